--- a/balance/slowstart/capacity.go
+++ b/balance/slowstart/capacity.go
@@ -3,61 +3,65 @@
 import "math"
 
 const (
-	// capacityMemory is how long, in milliseconds, what settled counts in an estimate: long against single requests,
-	// short against a day's changes.
-	capacityMemory = 30000.0
-	// deviations is how far an estimate is lowered for the chance in it, in standard deviations of a count.
+	// capacityMemoryMS is the time constant with which settled requests fade from an estimate, in milliseconds: long
+	// compared to single requests, short compared to the changes of load during a day. What settled at workers that are gone
+	// fades as well.
+	capacityMemoryMS = 30000.0
+	// deviations is by how many standard deviations of a count an estimate is lowered, to allow for chance.
 	deviations = 2
 )
 
-// Capacity estimates what workers of each kind carry, from what this scheduler settles at warm ones: all schedulers
-// together settle so many times as much, and a worker carries at least what it settles. Workers of different size share
-// it by size.
-type Capacity struct{ kinds map[int]*usage }
+// Capacity estimates the capacity of the workers of each kind from what this scheduler settles at workers that are no
+// longer in slow start (warm ones). All schedulers together settle as much as this one times their number, and a worker's
+// capacity is at least what it settles. Workers of different size count in proportion to their size.
+type Capacity struct{ usageByKind map[int]*usage }
 
-// usage is what settled at workers of one kind, and how much size was there for how long. Both fade.
+// usage is what settled at the warm workers of one kind, and how much worker size was there for how long. Both fade
+// exponentially.
 type usage struct {
-	requests, work float64
-	size           float64
-	sizeTime       float64
-	at             float64
+	requests    float64 // number of settled requests
+	workMS      float64 // their total work, in milliseconds
+	size        float64 // sum of the sizes of all warm workers
+	sizeMS      float64 // integral of size over time, in milliseconds
+	updatedAtMS float64 // time up to which the values have faded
 }
 
-func (c *Capacity) of(now float64, kind int) *usage {
-	if c.kinds == nil {
-		c.kinds = map[int]*usage{}
+// usageAt returns the usage of a kind, faded up to now (in milliseconds). It creates the usage if there is none.
+func (c *Capacity) usageAt(now float64, kind int) *usage {
+	if c.usageByKind == nil {
+		c.usageByKind = map[int]*usage{}
 	}
-	u := c.kinds[kind]
+	u := c.usageByKind[kind]
 	if u == nil {
-		u = &usage{at: now}
-		c.kinds[kind] = u
+		u = &usage{updatedAtMS: now}
+		c.usageByKind[kind] = u
 	}
-	if span := now - u.at; span > 0 {
-		fade := math.Exp(-span / capacityMemory)
+	if elapsed := now - u.updatedAtMS; elapsed > 0 {
+		fade := math.Exp(-elapsed / capacityMemoryMS)
 		u.requests *= fade
-		u.work *= fade
-		u.sizeTime = u.sizeTime*fade + u.size*capacityMemory*(1-fade)
-		u.at = now
+		u.workMS *= fade
+		u.sizeMS = u.sizeMS*fade + u.size*capacityMemoryMS*(1-fade)
+		u.updatedAtMS = now
 	}
 	return u
 }
 
-// Warm tells the sum of the sizes of all warm workers of a kind, as it is from now on.
-func (c *Capacity) Warm(now float64, kind int, size float64) { c.of(now, kind).size = size }
+// Warm sets the sum of the sizes of all warm workers of a kind from now on.
+func (c *Capacity) Warm(now float64, kind int, size float64) { c.usageAt(now, kind).size = size }
 
-// Settled tells that a request of this work has settled at a warm worker of a kind.
+// Settled records that a request of this work, in milliseconds, has settled at a warm worker of a kind.
 func (c *Capacity) Settled(now float64, kind int, work float64) {
-	u := c.of(now, kind)
+	u := c.usageAt(now, kind)
 	u.requests++
-	u.work += work
+	u.workMS += work
 }
 
-// Of is how many requests a worker of the kind and size runs at once in the mean, at the pace of their hints, if all
-// schedulers settle as much as this one. It is 0 where too little is known.
+// Of estimates how many requests a worker of the kind and size runs at once on average, at the pace of their hints,
+// assuming that each scheduler settles as much as this one. It returns 0 if too little has settled.
 func (c *Capacity) Of(now float64, kind int, size float64, schedulers int) float64 {
-	u := c.of(now, kind)
-	if u.sizeTime <= 0 || u.requests <= deviations*deviations {
+	u := c.usageAt(now, kind)
+	if u.sizeMS <= 0 || u.requests <= deviations*deviations {
 		return 0
 	}
-	return float64(schedulers) * size * u.work / u.sizeTime * (1 - deviations/math.Sqrt(u.requests))
+	return float64(schedulers) * size * u.workMS / u.sizeMS * (1 - deviations/math.Sqrt(u.requests))
 }
--- a/balance/slowstart/slowstart.go
+++ b/balance/slowstart/slowstart.go
@@ -1,77 +1,86 @@
-// Package slowstart decides how much one scheduler may send to a worker in slow start, so that what all schedulers
-// together send stays within what the worker is allowed, however many they are and whatever each has to send.
+// Package slowstart limits how much one scheduler may send to a worker in slow start, so that what all schedulers
+// together send to it stays within the worker's budget, whatever the number of schedulers and the load of each.
 //
-// It has no I/O, no clock and no state but the Log of what was sent: times come from the caller, in milliseconds.
-// The proof of the bound is in docs/design/cold.md.
+// The package has no I/O and no clock, and its only state is what callers keep in Work, Log and Capacity. Times are in
+// milliseconds and come from the caller. The work of a request is in milliseconds too: how long it runs at the pace that
+// work hints assume. A worker's capacity is the number of requests that it runs at once at that pace.
+// The proof that the sum stays within the budget is in docs/design/cold.md.
 package slowstart
 
 import "math"
 
+// Shares of a worker's budget are counted in units: a unit is one request of mean work.
 const (
-	// plannedShare is the part of the budget that is given out: the rest is for hints and estimates that are off.
+	// plannedShare is the fraction of the budget that is divided among the schedulers. The rest covers errors of hints and
+	// estimates.
 	plannedShare = 0.75
-	// unitsFirst is what a scheduler is given of the budget before the next one in order is given any, in requests of
-	// mean work: with one alone most requests would be too heavy for it, with many they go to few schedulers, which
-	// seldom have so much to send.
-	unitsFirst = 2
-	// heaviestShare is what one request may take of the work planned for all, and heaviestUnits how many times the mean
-	// it may cost: its hint may be far too low, while many hints are off by less together.
-	heaviestShare = 1.0 / 3
-	heaviestUnits = 4
-	// Where fewer requests than unhintedPart bring hints there are taken to be none; so many requests show it.
-	unhintedPart = 0.1
-	unhintedFrom = 10
-	// fewRequests is how many allowed requests are few: more of the budget is then for chance.
-	fewRequests = 30
+	// firstUnits is what a scheduler is given of the budget before the next one in the allocation order is given any. With
+	// a single unit most requests would be too heavy for the scheduler's part; with many units the budget would go to few
+	// schedulers, which seldom have so much to send.
+	firstUnits = 2
+	// maxRequestShare is the fraction of the planned units that a single request may take, and maxRequestUnits how many
+	// units it may take. They bound the damage of a single hint that is far too low; the hints of many requests are off
+	// by less in total.
+	maxRequestShare = 1.0 / 3
+	maxRequestUnits = 4
+	// Requests count as unhinted when less than minHintedShare of them carry a work hint, once unhintedMinRequests have
+	// arrived.
+	minHintedShare      = 0.1
+	unhintedMinRequests = 10
+	// smallAllowance is the number of allowed requests below which Budget adds a larger margin for chance.
+	smallAllowance = 30
 )
 
-// Limits is what the settings allow workers in slow start.
+// Limits holds the settings for workers in slow start.
 type Limits struct {
-	InitialShare float64 // part of its capacity that a worker has when it starts
-	WarmUp       float64 // from the start until it has all of it
-	Window       float64 // any time of this length is held to the budget
+	InitialShare float64 // fraction of its capacity that a worker has when it starts
+	WarmUp       float64 // time from a worker's start until it has its full capacity, in milliseconds
+	Window       float64 // length of the sliding window that the budget applies to, in milliseconds
 	Multiple     float64 // how many times its capacity a worker may be sent in a window
 }
 
-// Share is the least part of its capacity that a worker of this age has.
+// Share returns the least fraction of its capacity that a worker has at an age in milliseconds.
 func (l Limits) Share(age float64) float64 {
 	return min(l.InitialShare+(1-l.InitialShare)*max(age, 0)/l.WarmUp, 1)
 }
 
-// Allowed is how many requests of mean work a worker may be sent in a window that ends at this age. The capacity is in
-// requests that run at once at the pace of their hints; the share is the one at the window's begin.
+// Allowed returns how many requests of mean work a worker may be sent in a window that ends at this age. The age and the
+// mean work are in milliseconds, the capacity in requests that run at once at the pace of their hints. The worker's share
+// of its capacity is taken at the beginning of the window.
 func (l Limits) Allowed(age, capacity, meanWork float64) float64 {
 	return l.Multiple * l.Share(age-l.Window) * l.Window * capacity / max(meanWork, 1e-3)
 }
 
-// Budget is how many requests of mean work all schedulers together may send in a window where so many are allowed: what
-// is beyond them is for chance.
+// Budget returns how many requests of mean work all schedulers together may send in a window, given how many are allowed.
+// What it adds to those is a margin for chance.
 func Budget(allowed float64) float64 {
-	if allowed < fewRequests {
+	if allowed < smallAllowance {
 		return allowed + 3*math.Sqrt(allowed) + 3
 	}
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// planned is the part of the budget that is given out.
-func planned(allowed float64) float64 {
+// plannedUnits returns the part of the budget that is divided among the schedulers, in units.
+func plannedUnits(allowed float64) float64 {
 	return plannedShare * Budget(allowed)
 }
 
-// Fleet is this scheduler's number among all of them.
+// Fleet tells which one of all schedulers this one is: its number, from 0, and how many there are. A size of 0 counts as 1.
 type Fleet struct{ Number, Size int }
 
-// rank is this scheduler's place in the order in which schedulers are given parts of a worker's budget. Each worker's
-// order begins elsewhere, or a few schedulers would have all workers of a release.
-func (f Fleet) rank(worker uint32) int {
+// allocationRank returns this scheduler's position, from 0, in the order in which schedulers are given parts of a worker's
+// budget. The order begins at another scheduler for each worker, by the worker's hash; otherwise the same few schedulers
+// would get the budgets of all workers of a release.
+func (f Fleet) allocationRank(workerHash uint32) int {
 	size := max(f.Size, 1)
-	return ((f.Number-int(worker%uint32(size)))%size + size) % size
+	return ((f.Number-int(workerHash%uint32(size)))%size + size) % size
 }
 
-// Work is what requests cost by what a scheduler has seen of them.
-type Work struct{ hinted, unhinted, settled, sum float64 }
+// Work estimates the mean work of requests from those that this scheduler has seen. It counts the arrived requests with and
+// without a hint, and the settled requests without a hint and their total work in milliseconds.
+type Work struct{ hinted, unhinted, settledUnhinted, settledUnhintedMS float64 }
 
-// Arrived tells that a request came, with a hint of its work or without.
+// Arrived records the arrival of a request, with or without a work hint.
 func (w *Work) Arrived(hinted bool) {
 	if hinted {
 		w.hinted++
@@ -80,107 +89,113 @@
 	}
 }
 
-// Settled tells what a request without a hint has cost.
-func (w *Work) Settled(cost float64) {
-	w.settled++
-	w.sum += cost
+// Settled records the work, in milliseconds, of a settled request that had no hint.
+func (w *Work) Settled(work float64) {
+	w.settledUnhinted++
+	w.settledUnhintedMS += work
 }
 
-// Unhinted tells whether next to no requests bring hints.
+// Unhinted reports whether hardly any requests carry hints.
 func (w *Work) Unhinted() bool {
-	came := w.hinted + w.unhinted
-	return came >= unhintedFrom && w.hinted < unhintedPart*came
+	arrived := w.hinted + w.unhinted
+	return arrived >= unhintedMinRequests && w.hinted < minHintedShare*arrived
 }
 
-// Mean is what a request costs in the mean, given what those with hints do; 0 where nothing is known. Those without are
-// weighed as they come: of what settles they are a smaller part as long as workers are in slow start.
-func (w *Work) Mean(ofHinted float64) float64 {
+// Mean returns the mean work of a request in milliseconds, given the mean of those with hints, or 0 if nothing is known.
+// Requests without hints are weighted by their share of the arrivals: while workers are in slow start, their share of the
+// settled requests is smaller.
+func (w *Work) Mean(hintedMean float64) float64 {
 	switch {
-	case w.settled == 0:
-		return ofHinted
-	case w.hinted == 0 || ofHinted == 0:
-		return w.sum / w.settled
+	case w.settledUnhinted == 0:
+		return hintedMean
+	case w.hinted == 0 || hintedMean == 0:
+		return w.settledUnhintedMS / w.settledUnhinted
 	}
-	return (w.hinted*ofHinted + w.unhinted*w.sum/w.settled) / (w.hinted + w.unhinted)
+	return (w.hinted*hintedMean + w.unhinted*w.settledUnhintedMS/w.settledUnhinted) / (w.hinted + w.unhinted)
 }
 
-// Requests is what a scheduler knows of the requests that come.
+// Requests is what a scheduler knows of the arriving requests.
 type Requests struct {
-	MeanWork float64 // of one, in milliseconds at the pace of the hints
-	Heaviest float64 // the most work of those that settled lately
-	Unhinted bool    // next to none bring a hint of their work
+	MeanWork float64 // mean work of a request, in milliseconds
+	Heaviest float64 // the largest work among the requests that settled last, in milliseconds
+	Unhinted bool    // hardly any carry a work hint
 }
 
-// Quota is what one scheduler may send to one worker in any window.
+// Quota limits what one scheduler may send to one worker in any window.
 type Quota struct {
-	Requests int     // so many at the most
-	Work     float64 // and so much in all
-	Heaviest float64 // and none of more work than this
-	Unhinted bool    // one without a hint may go alone
+	Requests         int     // maximum number of requests
+	WorkMS           float64 // maximum of their total work, in milliseconds
+	MaxRequestWorkMS float64 // maximum work of a single request, in milliseconds
+	AllowsUnhinted   bool    // requests without a hint may be sent, within AdmitsUnhinted
 }
 
-// Quota is this scheduler's part for a worker of this age. Parts only grow with age and capacity, and those of all
-// schedulers add up to what is planned.
+// Quota returns this scheduler's quota at a worker, given by its hash, of this age in milliseconds. A scheduler's part only
+// grows with age and capacity, and the parts of all schedulers add up to the planned units.
 //
-// A request without a hint may be too heavy by itself. Where others bring hints only these go; where next to none do, one
-// goes at the first scheduler in order, and at as many more as the plan bears requests as heavy as the
-// heaviest of late.
-func (l Limits) Quota(f Fleet, worker uint32, age, capacity float64, r Requests) Quota {
-	rank := f.rank(worker)
-	units := planned(l.Allowed(age, capacity, r.MeanWork))
-	mine := part(units, rank, max(f.Size, 1))
-	fits := rank == 0 || float64(rank+1)*r.Heaviest <= units*r.MeanWork
-	return Quota{Requests: int(mine), Work: mine * r.MeanWork, Heaviest: min(heaviestShare*units, heaviestUnits) * r.MeanWork,
-		Unhinted: r.Unhinted && fits}
-}
-
-// part is what the scheduler of this rank has of so many units: the first ones have unitsFirst each, as far as it goes;
-// what is left once all have that much is shared evenly.
-func part(units float64, rank, size int) float64 {
-	first := min(max(units-unitsFirst*float64(rank), 0), unitsFirst)
-	rest := max(units-unitsFirst*float64(size), 0)
+// A single request without a hint may be too heavy. Where other requests carry hints, only those are sent. Where hardly
+// any do, the first scheduler in the allocation order may send one request without a hint, and so may each further one for
+// which the planned units still cover a request as heavy as the heaviest of those that settled last.
+func (l Limits) Quota(f Fleet, workerHash uint32, age, capacity float64, r Requests) Quota {
+	rank := f.allocationRank(workerHash)
+	units := plannedUnits(l.Allowed(age, capacity, r.MeanWork))
+	ownUnits := unitsForRank(units, rank, max(f.Size, 1))
+	heaviestFits := rank == 0 || float64(rank+1)*r.Heaviest <= units*r.MeanWork
+	return Quota{Requests: int(ownUnits), WorkMS: ownUnits * r.MeanWork,
+		MaxRequestWorkMS: min(maxRequestShare*units, maxRequestUnits) * r.MeanWork,
+		AllowsUnhinted:   r.Unhinted && heaviestFits}
+}
+
+// unitsForRank returns how many of the planned units the scheduler of this rank gets. In order of rank, each scheduler gets
+// firstUnits until none are left; what is left once all schedulers have that many is divided evenly.
+func unitsForRank(units float64, rank, size int) float64 {
+	first := min(max(units-firstUnits*float64(rank), 0), firstUnits)
+	rest := max(units-firstUnits*float64(size), 0)
 	return first + rest/float64(size)
 }
 
-// Any tells whether there is anything that it lets go.
-func (q Quota) Any() bool { return q.Requests > 0 || q.Unhinted }
+// Any reports whether the quota admits any request.
+func (q Quota) Any() bool { return q.Requests > 0 || q.AllowsUnhinted }
 
-// Admits tells whether a request of this cost may go in addition to what went in the window that ends now.
-func (q Quota) Admits(sent Sent, cost float64) bool {
-	return sent.Requests < q.Requests && sent.Work+cost <= q.Work && cost <= q.Heaviest
+// Admits reports whether a request of this work, in milliseconds, may be sent in addition to what was sent in the window
+// that ends now.
+func (q Quota) Admits(sent Sent, work float64) bool {
+	return sent.Requests < q.Requests && sent.WorkMS+work <= q.WorkMS && work <= q.MaxRequestWorkMS
 }
 
-// AdmitsUnhinted tells whether a request may go whose work nobody knows, and which may be as heavy as this.
+// AdmitsUnhinted reports whether a request of unknown work may be sent: where AllowsUnhinted is set, one if nothing else was
+// sent in the window, and otherwise as many as Admits lets pass with the work taken as heaviest, in milliseconds.
 func (q Quota) AdmitsUnhinted(sent Sent, heaviest float64) bool {
-	return q.Unhinted && (sent.Requests == 0 || q.Admits(sent, heaviest))
+	return q.AllowsUnhinted && (sent.Requests == 0 || q.Admits(sent, heaviest))
 }
 
-// Sent is what went to a worker in a window.
+// Sent sums up what was sent to a worker in a window.
 type Sent struct {
 	Requests int
-	Work     float64
+	WorkMS   float64 // total work of the requests, in milliseconds
 }
 
-// Log is what this scheduler sent to one worker lately.
+// Log lists the requests that this scheduler sent to one worker within the last window.
 type Log struct{ entries []entry }
 
+// entry is a sent request: when it was sent, and its work, both in milliseconds.
 type entry struct{ at, work float64 }
 
-// Add notes a request of this cost, and forgets those that no window can hold any more.
-func (l *Log) Add(now, window, cost float64) {
-	old := 0
-	for old < len(l.entries) && now-l.entries[old].at > window {
-		old++
+// Add records a request of this work, sent now, and drops the entries that are older than a window. All are in
+// milliseconds.
+func (l *Log) Add(now, window, work float64) {
+	expired := 0
+	for expired < len(l.entries) && now-l.entries[expired].at > window {
+		expired++
 	}
-	l.entries = append(l.entries[old:], entry{now, cost})
+	l.entries = append(l.entries[expired:], entry{now, work})
 }
 
-// Within is what went in the window that ends now.
+// Within sums up what was sent in the window that ends now. Both times are in milliseconds.
 func (l *Log) Within(now, window float64) (sent Sent) {
 	for _, e := range l.entries {
 		if now-e.at <= window {
 			sent.Requests++
-			sent.Work += e.work
+			sent.WorkMS += e.work
 		}
 	}
 	return sent
--- a/balance/slowstart/slowstart_test.go
+++ b/balance/slowstart/slowstart_test.go
@@ -6,37 +6,40 @@
 	"testing"
 )
 
-var sizes = []int{1, 2, 3, 6, 20, 80, 300, 900}
+// fleetSizes are the numbers of schedulers that the tests run with.
+var fleetSizes = []int{1, 2, 3, 6, 20, 80, 300, 900}
 
-// The parts of all schedulers add up to what is shared, and each only grows with it. So where schedulers estimate the
-// budget differently the sum is at most what the highest estimate plans.
-func TestPartsAddUpToWhatIsPlanned(t *testing.T) {
+// The parts of all schedulers add up to the planned units, and each part only grows with them. So if schedulers estimate
+// the budget differently, the sum is at most the units planned from the highest estimate.
+func TestPartsAddUpToPlannedUnits(t *testing.T) {
 	draw := rand.New(rand.NewPCG(1, 1))
-	for _, size := range sizes {
+	for _, size := range fleetSizes {
 		for range 50 {
-			most, sum, unequal := draw.Float64()*2000, 0.0, 0.0
+			units, sum, unequalSum := draw.Float64()*2000, 0.0, 0.0
 			for rank := range size {
-				all, less := part(most, rank, size), part(most*draw.Float64(), rank, size)
-				if less > all {
-					t.Fatalf("%d schedulers: rank %d has %g of fewer than %g units, and %g of these", size, rank, less, most, all)
+				all, fewer := unitsForRank(units, rank, size), unitsForRank(units*draw.Float64(), rank, size)
+				if fewer > all {
+					t.Fatalf("%d schedulers: rank %d gets %g when fewer than %g units are planned, %g when all are", size, rank,
+						fewer, units, all)
 				}
 				sum += all
-				unequal += less
+				unequalSum += fewer
 			}
-			if math.Abs(sum-most) > 1e-6 || unequal > most {
-				t.Errorf("%d schedulers: %g units are shared as %g, with unequal estimates as %g", size, most, sum, unequal)
+			if math.Abs(sum-units) > 1e-6 || unequalSum > units {
+				t.Errorf("%d schedulers: of %g units the parts add up to %g, with unequal estimates to %g", size, units, sum, unequalSum)
 			}
 		}
 	}
 }
 
-// Each scheduler has a place of its own in each worker's order, which begins elsewhere for each worker.
-func TestRanksAreAnOrder(t *testing.T) {
-	for _, size := range sizes {
-		for _, worker := range []uint32{0, 7, 1 << 31, math.MaxUint32} {
+// Each scheduler has a rank of its own in each worker's allocation order, and the orders of different workers begin at
+// different schedulers.
+func TestAllocationRanksAreDistinct(t *testing.T) {
+	for _, size := range fleetSizes {
+		for _, workerHash := range []uint32{0, 7, 1 << 31, math.MaxUint32} {
 			seen := make([]bool, size)
 			for number := range size {
-				rank := Fleet{number, size}.rank(worker)
+				rank := Fleet{number, size}.allocationRank(workerHash)
 				if seen[rank] {
 					t.Errorf("%d schedulers: two have rank %d", size, rank)
 				}
@@ -44,35 +47,35 @@
 			}
 		}
 	}
-	if (Fleet{0, 300}).rank(1) == (Fleet{0, 300}).rank(2) {
-		t.Error("a scheduler is as far in the order of each worker")
+	if (Fleet{0, 300}).allocationRank(1) == (Fleet{0, 300}).allocationRank(2) {
+		t.Error("a scheduler has the same rank for two workers")
 	}
-	_ = Fleet{}.rank(5) // a configuration that names no size is of one scheduler
+	_ = Fleet{}.allocationRank(5) // must not panic: a size of 0 (not configured) counts as one scheduler
 }
 
-// Whatever schedulers have to send, at any moments, also all at once, and whichever of them restart (and then wait for a
-// window before they send to workers in slow start), what they send together in any window is within the budget, in
-// requests and in work, as long as none estimates more than a worker carries.
-func TestTheSumIsWithinTheBudgetInAnyWindow(t *testing.T) {
-	type send struct{ at, work float64 }
+// In any window, all schedulers together stay within the budget, in requests and in work, as long as none overestimates a
+// worker's capacity. This holds whatever they have to send and when, also all at once, and whichever of them restart (and
+// then wait for a window before they send to workers in slow start).
+func TestSumStaysWithinBudgetInAnyWindow(t *testing.T) {
+	type send struct{ at, work float64 } // in milliseconds
 	const meanWork = 100.0
-	for seed, size := range sizes {
+	for seed, size := range fleetSizes {
 		draw := rand.New(rand.NewPCG(uint64(seed), 2))
 		for _, capacity := range []float64{0.5, 3, 40} {
 			limits := Limits{InitialShare: 0.1 + 0.3*draw.Float64(), WarmUp: 6000, Window: 500 + 1500*draw.Float64(),
 				Multiple: 1.5 + 3*draw.Float64()}
-			logs, from := make([]Log, size), make([]float64, size)
+			logs, waitUntil := make([]Log, size), make([]float64, size)
 			var sent []send
 			for age := 1.0; age < limits.WarmUp; age += 20 + 200*draw.Float64() {
 				for _, number := range draw.Perm(size) {
 					if draw.IntN(200) == 0 {
-						logs[number], from[number] = Log{}, age+limits.Window
+						logs[number], waitUntil[number] = Log{}, age+limits.Window // restart
 					}
-					if age <= from[number] {
+					if age <= waitUntil[number] {
 						continue
 					}
-					requests := Requests{MeanWork: meanWork, Heaviest: 10 * meanWork, Unhinted: true}
-					quota := limits.Quota(Fleet{number, size}, 12345, age, capacity*(0.5+0.5*draw.Float64()), requests)
+					arriving := Requests{MeanWork: meanWork, Heaviest: 10 * meanWork, Unhinted: true}
+					quota := limits.Quota(Fleet{number, size}, 12345, age, capacity*(0.5+0.5*draw.Float64()), arriving)
 					for work := meanWork * draw.ExpFloat64(); quota.Admits(logs[number].Within(age, limits.Window), work); {
 						logs[number].Add(age, limits.Window, work)
 						sent = append(sent, send{age, work})
@@ -85,25 +88,25 @@
 						work += x.work
 					}
 				}
-				n := limits.Multiple * limits.Share(age) * limits.Window * capacity / meanWork
-				most := n + 2*math.Sqrt(n) + 2
-				if n < 30 {
-					most = n + 3*math.Sqrt(n) + 3
+				allowed := limits.Multiple * limits.Share(age) * limits.Window * capacity / meanWork
+				budget := allowed + 2*math.Sqrt(allowed) + 2
+				if allowed < 30 {
+					budget = allowed + 3*math.Sqrt(allowed) + 3
 				}
-				if requests > most || work > most*meanWork {
-					t.Fatalf("%d schedulers, capacity %g: %g requests and %g ms of work by age %g, the budget is %g requests", size, capacity,
-						requests, work, age, most)
+				if requests > budget || work > budget*meanWork {
+					t.Fatalf("%d schedulers, capacity %g: %g requests and %g ms of work by age %g ms, the budget is %g requests", size,
+						capacity, requests, work, age, budget)
 				}
 			}
 		}
 	}
 }
 
-// A request without a hint goes alone, and only where next to none bring hints: at the first scheduler in order always, at
-// others as far as the plan bears the heaviest of late.
-func TestUnhintedGoAlone(t *testing.T) {
+// A request without a hint is sent alone, and only where hardly any requests carry hints: by the first scheduler in the
+// allocation order always, by others as far as the planned units cover the heaviest request that settled lately.
+func TestUnhintedRequestIsSentAlone(t *testing.T) {
 	limits := Limits{InitialShare: 0.2, WarmUp: 20000, Window: 2000, Multiple: 3}
-	admitted := func(r Requests) (n int) {
+	admitting := func(r Requests) (n int) {
 		for number := range 100 {
 			if limits.Quota(Fleet{number, 100}, 0, 0, 1, r).AdmitsUnhinted(Sent{}, r.Heaviest) {
 				n++
@@ -111,62 +114,62 @@
 		}
 		return n
 	}
-	plan := planned(limits.Allowed(0, 1, 100)) * 100
-	for _, x := range []struct {
-		r    Requests
-		want int
+	plannedMS := plannedUnits(limits.Allowed(0, 1, 100)) * 100
+	for _, test := range []struct {
+		requests Requests
+		want     int
 	}{
 		{Requests{MeanWork: 100, Heaviest: 100}, 0},
-		{Requests{MeanWork: 100, Heaviest: plan / 4.5, Unhinted: true}, 4},
-		{Requests{MeanWork: 100, Heaviest: 10 * plan, Unhinted: true}, 1},
+		{Requests{MeanWork: 100, Heaviest: plannedMS / 4.5, Unhinted: true}, 4},
+		{Requests{MeanWork: 100, Heaviest: 10 * plannedMS, Unhinted: true}, 1},
 	} {
-		if got := admitted(x.r); got != x.want {
-			t.Errorf("%+v: %d schedulers may send one, want %d", x.r, got, x.want)
+		if got := admitting(test.requests); got != test.want {
+			t.Errorf("%+v: %d schedulers may send one, want %d", test.requests, got, test.want)
 		}
 	}
-	beside := Quota{Requests: 5, Work: 500, Heaviest: 500, Unhinted: true}
-	if beside.AdmitsUnhinted(Sent{1, 100}, 450) || !beside.AdmitsUnhinted(Sent{1, 100}, 350) {
-		t.Error("beside others one without a hint goes by the heaviest of late")
+	quota := Quota{Requests: 5, WorkMS: 500, MaxRequestWorkMS: 500, AllowsUnhinted: true}
+	if quota.AdmitsUnhinted(Sent{1, 100}, 450) || !quota.AdmitsUnhinted(Sent{1, 100}, 350) {
+		t.Error("after another request, one without a hint is not admitted by the work of the heaviest")
 	}
 }
 
-// Only what went in the window counts, and older entries are not kept.
-func TestLogForgets(t *testing.T) {
+// Only requests sent in the window count, and older entries are dropped.
+func TestLogDropsOldEntries(t *testing.T) {
 	var l Log
 	for i := range 1000 {
 		l.Add(float64(i), 10, 2)
 	}
 	if got := l.Within(999, 10); got != (Sent{11, 22}) || len(l.entries) > 11 {
-		t.Errorf("%+v counts, %d entries are kept", got, len(l.entries))
+		t.Errorf("counted %+v, kept %d entries", got, len(l.entries))
 	}
 }
 
-// Schedulers that settle a like part of the work each estimate about what a worker settles, none much more than it; little
-// that settled says nothing, and what settled long ago, at workers that are gone, fades.
-func TestCapacity(t *testing.T) {
+// Schedulers that settle about the same amount of work each estimate about what a worker settles, and none overestimates it
+// much. The estimate grows with a worker's size, and is 0 for another kind or after few settled requests.
+func TestCapacityEstimate(t *testing.T) {
 	const schedulers, workers, kind = 30, 12, 3
 	draw := rand.New(rand.NewPCG(3, 3))
 	sum := 0.0
 	for range schedulers {
 		var c Capacity
 		c.Warm(0, kind, workers)
-		// All settle as much as 2 cores of each worker do: jobs of 100 ms, so many a second.
+		// Together they settle what 2 cores of each worker do, in requests of 100 ms on average.
 		for at := 0.0; at < 60000; at += draw.ExpFloat64() * 100 * schedulers / (2 * workers) {
 			c.Settled(at, kind, 100*draw.ExpFloat64())
 		}
 		got := c.Of(60000, kind, 1, schedulers)
 		if sum += got; got > 2.5 {
-			t.Errorf("a worker that carries 2 is taken for %.2f", got)
+			t.Errorf("capacity of a worker that runs 2 at once is estimated as %.2f", got)
 		}
 		if half := c.Of(60000, kind, 0.5, schedulers); math.Abs(half-got/2) > 1e-9 {
-			t.Errorf("one of half the size is taken for %.2f", half)
+			t.Errorf("capacity of a worker of half the size is estimated as %.2f", half)
 		}
 		if c.Of(60000, kind+1, 1, schedulers) != 0 {
-			t.Error("something is known of a kind that settled nothing")
+			t.Error("the capacity of a kind that settled nothing is not 0")
 		}
 	}
 	if mean := sum / schedulers; mean < 1.5 || mean > 2 {
-		t.Errorf("workers that carry 2 are taken for %.2f in the mean", mean)
+		t.Errorf("mean estimate for workers that run 2 at once is %.2f", mean)
 	}
 	var few Capacity
 	few.Warm(0, kind, 1)
@@ -174,35 +177,36 @@
 		few.Settled(10, kind, 1e6)
 	}
 	if got := few.Of(20, kind, 1, schedulers); got != 0 {
-		t.Errorf("four requests tell of a capacity of %.2f", got)
+		t.Errorf("capacity after four requests is %.2f, want 0", got)
 	}
 }
 
-// Requests without hints count in the mean as they come, not as they settle: where these are five in seven and the heavier
-// ones, workers that had few of them got half as many more requests than they are allowed.
-func TestMeanWorkIsOfWhatComes(t *testing.T) {
+// In the mean work, requests without hints are weighted by their arrivals, not by how many settled. Weighted by settled
+// requests, where five in seven arrive without a hint and these are the heavier ones, workers that ran few of those were
+// sent one and a half times as many requests as allowed.
+func TestMeanWorkIsWeightedByArrivals(t *testing.T) {
 	var w Work
 	if w.Mean(0) != 0 || w.Mean(95) != 95 {
-		t.Error("something is known though nothing came")
+		t.Error("the mean is not that of hinted requests though nothing arrived")
 	}
 	for i := range 70 {
 		if w.Arrived(i%7 < 2); w.Unhinted() {
-			t.Error("two in seven bring hints")
+			t.Error("counted as unhinted, though two in seven carry hints")
 		}
 	}
 	w.Settled(160)
 	w.Settled(200)
 	if got := w.Mean(95); math.Abs(got-(2*95+5*180)/7.0) > 1e-9 {
-		t.Errorf("the mean is %g", got)
+		t.Errorf("the mean is %g ms", got)
 	}
-	var none Work
+	var unhinted Work
 	for range 9 {
-		none.Arrived(false)
+		unhinted.Arrived(false)
 	}
-	if none.Unhinted() {
-		t.Error("nine requests show that none bring hints")
+	if unhinted.Unhinted() {
+		t.Error("counted as unhinted after nine requests")
 	}
-	if none.Arrived(false); !none.Unhinted() {
-		t.Error("ten requests without a hint show nothing")
+	if unhinted.Arrived(false); !unhinted.Unhinted() {
+		t.Error("not counted as unhinted after ten requests without a hint")
 	}
 }
