--- a/balance/slowstart/capacity.go
+++ b/balance/slowstart/capacity.go
@@ -4,16 +4,16 @@
 
 const (
 	// capacityMemoryMS is the time constant with which settled requests fade from an estimate, in milliseconds: long
-	// compared to single requests, short compared to the changes of load during a day. What settled at workers that are gone
-	// fades as well.
+	// compared to single requests, short compared to the changes of load during a day. What settled at workers that are
+	// gone fades as well.
 	capacityMemoryMS = 30000.0
 	// deviations is by how many standard deviations of a count an estimate is lowered, to allow for chance.
 	deviations = 2
 )
 
 // Capacity estimates the capacity of the workers of each kind from what this scheduler settles at workers that are no
-// longer in slow start (warm ones). All schedulers together settle as much as this one times their number, and a worker's
-// capacity is at least what it settles. Workers of different size count in proportion to their size.
+// longer in slow start (warm ones). All schedulers together settle as much as this one times their number, and a
+// worker's capacity is at least what it settles. Workers of different size count in proportion to their size.
 type Capacity struct{ usageByKind map[int]*usage }
 
 // usage is what settled at the warm workers of one kind, and how much worker size was there for how long. Both fade
--- a/balance/slowstart/slowstart.go
+++ b/balance/slowstart/slowstart.go
@@ -2,9 +2,9 @@
 // together send to it stays within the worker's budget, whatever the number of schedulers and the load of each.
 //
 // The package has no I/O and no clock, and its only state is what callers keep in Work, Log and Capacity. Times are in
-// milliseconds and come from the caller. The work of a request is in milliseconds too: how long it runs at the pace that
-// work hints assume. A worker's capacity is the number of requests that it runs at once at that pace.
-// The proof that the sum stays within the budget is in docs/design/cold.md.
+// milliseconds and come from the caller. The work of a request is in milliseconds too: how long it runs at the pace
+// that work hints assume. A worker's capacity is the number of requests that it runs at once at that pace. The proof
+// that the sum stays within the budget is in docs/design/cold.md.
 package slowstart
 
 import "math"
@@ -44,15 +44,15 @@
 	return min(l.InitialShare+(1-l.InitialShare)*max(age, 0)/l.WarmUp, 1)
 }
 
-// Allowed returns how many requests of mean work a worker may be sent in a window that ends at this age. The age and the
-// mean work are in milliseconds, the capacity in requests that run at once at the pace of their hints. The worker's share
-// of its capacity is taken at the beginning of the window.
+// Allowed returns how many requests of mean work a worker may be sent in a window that ends at this age. The age and
+// the mean work are in milliseconds, the capacity in requests that run at once at the pace of their hints. The worker's
+// share of its capacity is taken at the beginning of the window.
 func (l Limits) Allowed(age, capacity, meanWork float64) float64 {
 	return l.Multiple * l.Share(age-l.Window) * l.Window * capacity / max(meanWork, 1e-3)
 }
 
-// Budget returns how many requests of mean work all schedulers together may send in a window, given how many are allowed.
-// What it adds to those is a margin for chance.
+// Budget returns how many requests of mean work all schedulers together may send in a window, given how many are
+// allowed. What it adds to those is a margin for chance.
 func Budget(allowed float64) float64 {
 	if allowed < smallAllowance {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -65,19 +65,20 @@
 	return plannedShare * Budget(allowed)
 }
 
-// Fleet tells which one of all schedulers this one is: its number, from 0, and how many there are. A size of 0 counts as 1.
+// Fleet tells which one of all schedulers this one is: its number, from 0, and how many there are. A size of 0 counts
+// as 1.
 type Fleet struct{ Number, Size int }
 
-// allocationRank returns this scheduler's position, from 0, in the order in which schedulers are given parts of a worker's
-// budget. The order begins at another scheduler for each worker, by the worker's hash; otherwise the same few schedulers
-// would get the budgets of all workers of a release.
+// allocationRank returns this scheduler's position, from 0, in the order in which schedulers are given parts of a
+// worker's budget. The order begins at another scheduler for each worker, by the worker's hash; otherwise the same few
+// schedulers would get the budgets of all workers of a release.
 func (f Fleet) allocationRank(workerHash uint32) int {
 	size := max(f.Size, 1)
 	return ((f.Number-int(workerHash%uint32(size)))%size + size) % size
 }
 
-// Work estimates the mean work of requests from those that this scheduler has seen. It counts the arrived requests with and
-// without a hint, and the settled requests without a hint and their total work in milliseconds.
+// Work estimates the mean work of requests from those that this scheduler has seen. It counts the arrived requests with
+// and without a hint, and the settled requests without a hint and their total work in milliseconds.
 type Work struct{ hinted, unhinted, settledUnhinted, settledUnhintedMS float64 }
 
 // Arrived records the arrival of a request, with or without a work hint.
@@ -101,9 +102,9 @@
 	return arrived >= unhintedMinRequests && w.hinted < minHintedShare*arrived
 }
 
-// Mean returns the mean work of a request in milliseconds, given the mean of those with hints, or 0 if nothing is known.
-// Requests without hints are weighted by their share of the arrivals: while workers are in slow start, their share of the
-// settled requests is smaller.
+// Mean returns the mean work of a request in milliseconds, given the mean of those with hints, or 0 if nothing is
+// known. Requests without hints are weighted by their share of the arrivals: while workers are in slow start, their
+// share of the settled requests is smaller.
 func (w *Work) Mean(hintedMean float64) float64 {
 	switch {
 	case w.settledUnhinted == 0:
@@ -129,12 +130,12 @@
 	AllowsUnhinted   bool    // requests without a hint may be sent, within AdmitsUnhinted
 }
 
-// Quota returns this scheduler's quota at a worker, given by its hash, of this age in milliseconds. A scheduler's part only
-// grows with age and capacity, and the parts of all schedulers add up to the planned units.
+// Quota returns this scheduler's quota at a worker, given by its hash, of this age in milliseconds. A scheduler's part
+// only grows with age and capacity, and the parts of all schedulers add up to the planned units.
 //
 // A single request without a hint may be too heavy. Where other requests carry hints, only those are sent. Where hardly
-// any do, the first scheduler in the allocation order may send one request without a hint, and so may each further one for
-// which the planned units still cover a request as heavy as the heaviest of those that settled last.
+// any do, the first scheduler in the allocation order may send one request without a hint, and so may each further one
+// for which the planned units still cover a request as heavy as the heaviest of those that settled last.
 func (l Limits) Quota(f Fleet, workerHash uint32, age, capacity float64, r Requests) Quota {
 	rank := f.allocationRank(workerHash)
 	units := plannedUnits(l.Allowed(age, capacity, r.MeanWork))
@@ -145,8 +146,8 @@
 		AllowsUnhinted:   r.Unhinted && heaviestFits}
 }
 
-// unitsForRank returns how many of the planned units the scheduler of this rank gets. In order of rank, each scheduler gets
-// firstUnits until none are left; what is left once all schedulers have that many is divided evenly.
+// unitsForRank returns how many of the planned units the scheduler of this rank gets. In order of rank, each scheduler
+// gets firstUnits until none are left; what is left once all schedulers have that many is divided evenly.
 func unitsForRank(units float64, rank, size int) float64 {
 	first := min(max(units-firstUnits*float64(rank), 0), firstUnits)
 	rest := max(units-firstUnits*float64(size), 0)
@@ -156,14 +157,15 @@
 // Any reports whether the quota admits any request.
 func (q Quota) Any() bool { return q.Requests > 0 || q.AllowsUnhinted }
 
-// Admits reports whether a request of this work, in milliseconds, may be sent in addition to what was sent in the window
-// that ends now.
+// Admits reports whether a request of this work, in milliseconds, may be sent in addition to what was sent in the
+// window that ends now.
 func (q Quota) Admits(sent Sent, work float64) bool {
 	return sent.Requests < q.Requests && sent.WorkMS+work <= q.WorkMS && work <= q.MaxRequestWorkMS
 }
 
-// AdmitsUnhinted reports whether a request of unknown work may be sent: where AllowsUnhinted is set, one if nothing else was
-// sent in the window, and otherwise as many as Admits lets pass with the work taken as heaviest, in milliseconds.
+// AdmitsUnhinted reports whether a request of unknown work may be sent: where AllowsUnhinted is set, one if nothing
+// else was sent in the window, and otherwise as many as Admits lets pass with the work taken as heaviest, in
+// milliseconds.
 func (q Quota) AdmitsUnhinted(sent Sent, heaviest float64) bool {
 	return q.AllowsUnhinted && (sent.Requests == 0 || q.Admits(sent, heaviest))
 }
--- a/balance/slowstart/slowstart_test.go
+++ b/balance/slowstart/slowstart_test.go
@@ -9,8 +9,8 @@
 // fleetSizes are the numbers of schedulers that the tests run with.
 var fleetSizes = []int{1, 2, 3, 6, 20, 80, 300, 900}
 
-// The parts of all schedulers add up to the planned units, and each part only grows with them. So if schedulers estimate
-// the budget differently, the sum is at most the units planned from the highest estimate.
+// The parts of all schedulers add up to the planned units, and each part only grows with them. So if schedulers
+// estimate the budget differently, the sum is at most the units planned from the highest estimate.
 func TestPartsAddUpToPlannedUnits(t *testing.T) {
 	draw := rand.New(rand.NewPCG(1, 1))
 	for _, size := range fleetSizes {
@@ -53,9 +53,9 @@
 	_ = Fleet{}.allocationRank(5) // must not panic: a size of 0 (not configured) counts as one scheduler
 }
 
-// In any window, all schedulers together stay within the budget, in requests and in work, as long as none overestimates a
-// worker's capacity. This holds whatever they have to send and when, also all at once, and whichever of them restart (and
-// then wait for a window before they send to workers in slow start).
+// In any window, all schedulers together stay within the budget, in requests and in work, as long as none overestimates
+// a worker's capacity. This holds whatever they have to send and when, also all at once, and whichever of them restart
+// (and then wait for a window before they send to workers in slow start).
 func TestSumStaysWithinBudgetInAnyWindow(t *testing.T) {
 	type send struct{ at, work float64 } // in milliseconds
 	const meanWork = 100.0
@@ -144,8 +144,9 @@
 	}
 }
 
-// Schedulers that settle about the same amount of work each estimate about what a worker settles, and none overestimates it
-// much. The estimate grows with a worker's size, and is 0 for another kind or after few settled requests.
+// Schedulers that settle about the same amount of work each estimate about what a worker settles, and none
+// overestimates it much. The estimate grows with a worker's size, and is 0 for another kind or after few settled
+// requests.
 func TestCapacityEstimate(t *testing.T) {
 	const schedulers, workers, kind = 30, 12, 3
 	draw := rand.New(rand.NewPCG(3, 3))
@@ -182,8 +183,8 @@
 }
 
 // In the mean work, requests without hints are weighted by their arrivals, not by how many settled. Weighted by settled
-// requests, where five in seven arrive without a hint and these are the heavier ones, workers that ran few of those were
-// sent one and a half times as many requests as allowed.
+// requests, where five in seven arrive without a hint and these are the heavier ones, workers that ran few of those
+// were sent one and a half times as many requests as allowed.
 func TestMeanWorkIsWeightedByArrivals(t *testing.T) {
 	var w Work
 	if w.Mean(0) != 0 || w.Mean(95) != 95 {
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -1,9 +1,11 @@
-// Package watch says how discovery's list is followed: when a call is due and how long it may wait, when an
-// answer is overdue, when a connection is to be given up, and until when the list that a scheduler has may be
-// relied on. It knows no socket and no clock: its host tells it what happened, then pulls what to do
-// (NextAside, NextHangUp, NextCall, NextTold), and calls Passed again at Wake. When a watch is to begin is
-// package balance's to say. All times are milliseconds of one clock. docs/design/told.md has its states in a
-// table.
+// Package watch decides how a scheduler follows discovery's list of workers by long polling: when a call is due and how
+// long discovery may hold it, when an answer is overdue, when a connection is to be closed, and until when the
+// scheduler may rely on the list that it has.
+//
+// The package has no sockets and no clock. Its host reports what happened (Wanted, Sent, Answered, Overhears, Failed,
+// Went), then pulls what to do until nothing is left (NextAside, NextHangUp, NextCall, NextTold), and calls Passed at
+// the time that Wake returns. Package balance decides when a watch is to begin; it is called the policy below. All
+// times are in milliseconds of one clock. docs/design/told.md has the states of a watch in a table.
 package watch
 
 import (
@@ -11,353 +13,383 @@
 	"math"
 )
 
+// All constants are in milliseconds, except crowdRounds.
 const (
-	// A change counts as told so long after discovery had it and could be reached, whether or not it arrived and
-	// whatever calls failed meanwhile, and what discovery at a new address has to tell so long after that was told.
-	ToldIn   = 6000.0
-	MovedFor = 4000.0
-	// EachCall is how long discovery may take for each scheduler's call where many call.
+	// StalenessBoundMS is how long after discovery had a change, and could be reached, a scheduler counts as informed of
+	// it, whether or not the change arrived and whatever calls failed meanwhile.
+	StalenessBoundMS = 6000.0
+	// MovedStalenessBoundMS is how long after a scheduler was told of discovery's new address it counts as informed of
+	// what discovery has there.
+	MovedStalenessBoundMS = 4000.0
+	// EachCall is how long discovery may take to answer the call of one scheduler when many call.
 	EachCall = 100.0
-	// Of that time a third may pass until the silence is noticed, a third while all schedulers ask in turn, and
-	// a third until discovery, which then turns a call away, has answered.
-	waitMost  = ToldIn / 3
-	lateBy    = ToldIn / 24 // for an answer on a watch that was due, and twice as long as the last one was late
-	lateMost  = ToldIn / 6
-	answerFor = ToldIn/3 + 500.0 // for any other: discovery's own end of a call comes first
-	crowdFor  = 3.0              // so many times what it takes to hear all of them in turn a crowd of callers may last
-	soonGap   = 100.0            // well below the 200 ms in which a watch must go on
+
+	// A third of the staleness bound may pass until the scheduler notices that discovery is silent, a third while all
+	// schedulers call in turn, and a third until discovery has answered: after that time it rejects a call.
+
+	// maxWaitMS is the longest time for which discovery is asked to hold a call.
+	maxWaitMS = StalenessBoundMS / 3
+	// graceMS is how late the answer to a call that waited may be before it counts as overdue. Twice the lateness of the
+	// last such answer is added, up to maxGraceMS in all.
+	graceMS    = StalenessBoundMS / 24
+	maxGraceMS = StalenessBoundMS / 6
+	// answerTimeoutMS is how long any other call may take, and how late an answer may be on a connection that is set
+	// aside. It is longer than discovery takes until it ends a call by itself, so that this comes first.
+	answerTimeoutMS = StalenessBoundMS/3 + 500.0
+	// crowdRounds bounds how long all schedulers may crowd discovery with their calls after an outage, as a multiple of
+	// the time that discovery takes to answer each of them once.
+	crowdRounds = 3.0
+	// earlyAnswerGapMS is how long the next call is put off after an answer that came too early. It is well below the 200
+	// ms within which a watch must go on.
+	earlyAnswerGapMS = 100.0
 )
 
-// State is how the watch stands.
+// State is the state of a watch.
 type State int
 
 const (
-	None    State = iota // no call is out
-	First                // the first call is out, or its connection is made; it asks for no wait
-	On                   // a call that may wait is out, or the next one is about to be
-	Doubted              // its answer is overdue; the connection stays until the next watch is begun
-	Moved                // discovery is elsewhere now; the former one is heard until the watch there is begun
+	Idle     State = iota // no call is in progress
+	First                 // the first call, which asks for no wait, or its connection is in progress
+	Watching              // a call that may wait is in progress, or the next one is about to be made
+	Overdue               // the answer to a call is overdue; its connection stays until the next watch begins
+	Moved                 // discovery has a new address; the connection to the former one is read until the watch there begins
 )
 
+// String returns the state's name in log lines.
 func (s State) String() string { return [...]string{"none", "first", "on", "doubted", "moved"}[s] }
 
-// Failure is how a call came to nothing.
+// Failure is the way in which a call failed.
 type Failure int
 
 const (
-	Broken     Failure = iota // its connection broke, or never came up, which says nothing of discovery itself
-	TurnedAway                // discovery answered with a no, or ended a first call: it is down, or has too many callers
-	Refused                   // nobody listens there: discovery is down
+	Broken     Failure = iota // the connection broke or was never made, which says nothing of discovery itself
+	TurnedAway                // discovery answered with an error status or ended a first call: it is down or overloaded
+	Refused                   // the connection was refused, as nobody listens at the address: discovery is down
 )
 
-// turns is how discovery turns calls away.
-type turns int
+// rejection is the way in which discovery rejects first calls.
+type rejection int
 
 const (
-	none turns = iota // it does not
-	gone              // nobody listens
-	atOnce
-	late // after a wait
+	notRejected rejection = iota
+	connectionRefused
+	rejectedAtOnce
+	rejectedAfterWait
 )
 
-// Call is one to make: for what is newer than a version, or for the whole list where that is below 0. It may
-// wait so long for news.
+// Call is a call to discovery that the host is to make.
 type Call struct {
-	After int64
-	Wait  float64
+	After int64   // ask for what is newer than this version of the list, or for the whole list if it is below 0
+	Wait  float64 // how long discovery may hold the call until there is news, in milliseconds
 }
 
-// Watch follows one list.
+// Watch follows one list. Its times are in milliseconds.
 type Watch struct {
-	askIn, all         float64
-	state              State
-	seq                int64   // the version of the list it has; below 0: all is to be asked for
-	call               Call    // the last one
-	due                bool    // it is yet to be made
-	called             float64 // when it was sent, or its connection begun
-	until              float64 // when its answer is overdue
-	nextAt             float64 // when to go on after an answer that came too soon
-	former             bool    // Moved: the former connection is there
-	aside              bool    // the connection that is there is to be set aside
-	besides, elsewhere bool    // there is one set aside, and it leads to a former address
-	asideAt            float64 // when its answer was due
-	hangUp             bool
-	missed             bool    // since the last answer: a watch fell silent, or discovery moved
-	till               float64 // when what may have been missed counts as told
-	down               bool    // by the failures since the last answer discovery is down, so that no news is missed
-	turns              turns   // how it turned away the last first call
-	turnsAt            float64 // the first one of those that it has turned away so on end
-	late               float64 // by how much one came late that had waited to its end
-	told               []bool  // what the module is yet to be told
+	mustAskInMS float64 // within which time discovery has to be asked again (setting must_ask_in)
+	fullRoundMS float64 // how long discovery takes to answer one call of each scheduler, one after the other
+
+	state       State
+	version     int64   // version of the list that the scheduler has; below 0: the whole list is to be asked for
+	call        Call    // the last call
+	callDue     bool    // the host is yet to make the call
+	calledAt    float64 // when the call was sent, or its connection begun
+	overdueAt   float64 // when the answer becomes overdue
+	nextCallAt  float64 // when to make the next call after an answer that came too early
+	formerOpen  bool    // in state Moved: the connection to the former address is open
+	mayBeMissed bool    // since the last answer a watch fell silent or discovery moved, so that changes may have been missed
+
+	setAsideDue     bool    // the host is yet to set the current connection aside
+	asideOpen       bool    // a connection is set aside and still read
+	asideFormer     bool    // it leads to a former address of discovery
+	asideAnswerDue  float64 // when the answer on it was due
+	closeDue        bool    // the host is yet to close the current connection
+	reliableUntil   float64 // until when the list may be relied on
+	down            bool    // the failures since the last answer show that discovery is down, so that there is no news to miss
+	rejectedBy      rejection
+	rejectedSince   float64 // when the first call was made of those that were rejected in this way without a break
+	lastLateness    float64 // how late the last answer came that discovery held until the call's wait was over
+	pendingOutcomes []bool  // what the policy is yet to be told, see NextTold
 }
 
-// New is the watch of a scheduler that begins now; askIn is the settings' time for asking, and all is how long it takes
-// discovery to hear all schedulers in turn. The list that it begins with
-// is as old as the process before it, and what that has missed since may count as told already: it is not relied on.
-func New(now, askIn, all float64) *Watch {
-	w := &Watch{askIn: askIn, all: all, till: now, seq: -1}
-	w.rest(None)
+// New returns the watch of a scheduler that starts now. mustAskIn is the setting must_ask_in; fullRound is how long
+// discovery takes to answer one call of each scheduler, one after the other. The list that a new process begins with is
+// as old as the process before it, and the scheduler may count as informed of changes since: the list is not relied on.
+func New(now, mustAskIn, fullRound float64) *Watch {
+	w := &Watch{mustAskInMS: mustAskIn, fullRoundMS: fullRound, reliableUntil: now, version: -1}
+	w.enter(Idle)
 	return w
 }
 
-// Began tells of the version of the list that the scheduler began with.
-func (w *Watch) Began(seq int64) { w.seq = seq }
+// Began sets the version of the list that the scheduler begins with.
+func (w *Watch) Began(version int64) { w.version = version }
 
-// Retune takes another time for asking.
-func (w *Watch) Retune(askIn float64) { w.askIn = askIn }
+// Retune changes the setting must_ask_in.
+func (w *Watch) Retune(mustAskIn float64) { w.mustAskInMS = mustAskIn }
 
-// State tells how it stands.
+// State returns the watch's state.
 func (w *Watch) State() State { return w.state }
 
-// Till is until when the list may be relied on. Later a worker may drain that it still shows in service.
-func (w *Watch) Till() float64 { return w.till }
+// Till returns until when the list may be relied on. After that, a worker may be draining that the list still shows as
+// in service.
+func (w *Watch) Till() float64 { return w.reliableUntil }
 
-// ---- what happens ----
+// ---- events that the host reports ----
 
-// Wanted tells that the module wants a watch: in place of one that fell silent, or of one at a former address,
-// another is begun; else one that is there stays.
+// Wanted reports that the policy wants a watch. A new one begins, also in place of one that is overdue or that is at a
+// former address; one that is in progress goes on.
 func (w *Watch) Wanted(now float64) {
 	switch w.state {
-	case First, On:
+	case First, Watching:
 		return
 	case Moved:
-		w.seq = -1 // how the new one counts versions need not be how the former one did
-		w.setAside(w.former, true)
-	case Doubted:
+		w.version = -1 // discovery at the new address may count versions differently
+		w.setAside(w.formerOpen, true)
+	case Overdue:
 		w.setAside(true, false)
 	}
-	w.rest(First)
-	w.next(now, 0)
+	w.enter(First)
+	w.scheduleCall(now, 0)
 }
 
-// Sent tells that the call was written, which may have waited for its connection.
+// Sent reports that the call was written, which may have waited for its connection.
 func (w *Watch) Sent(now float64) {
-	w.next(now, w.call.Wait)
-	w.due = false
+	w.scheduleCall(now, w.call.Wait)
+	w.callDue = false
 }
 
-// Fits tells whether a list may be taken: a part only of the version that was asked from, and none older than
-// that. One whose versions go back is not the one that the rest is of.
-func (w *Watch) Fits(seq int64, whole bool) error {
+// Fits checks whether a list can be applied, and returns an error if not. A partial list has to follow from the version
+// that was asked from, and no list may be older than that. If versions go back, the whole list is asked for next, as
+// the rest of the known list belongs to another sequence of versions.
+func (w *Watch) Fits(version int64, whole bool) error {
 	switch {
-	case w.seq < 0 && !whole:
-		return fmt.Errorf("a part of the list, where all was asked for")
-	case seq < w.seq:
-		w.seq = -1
-		return fmt.Errorf("version %d, and it was at a later one", seq)
+	case w.version < 0 && !whole:
+		return fmt.Errorf("got a part of the list, want the whole list")
+	case version < w.version:
+		w.version = -1
+		return fmt.Errorf("version %d, and it was at a later one", version)
 	}
 	return nil
 }
 
-// Answered tells that a call was answered with a list of this version, or none newer, on a connection that can
-// be used again or not.
-func (w *Watch) Answered(now float64, seq int64, kept bool) {
-	news := seq != w.seq
-	w.seq = seq
+// Answered reports that a call was answered with the list of this version, which is the known one if there is no news,
+// and whether the connection can be used again.
+func (w *Watch) Answered(now float64, version int64, reusable bool) {
+	news := version != w.version
+	w.version = version
 	if w.state == Moved {
-		if w.former = kept; !kept {
-			w.rest(Moved)
+		if w.formerOpen = reusable; !reusable {
+			w.enter(Moved)
 			return
 		}
 	} else {
-		w.state, w.missed, w.down, w.turns = On, false, false, none
-		w.took(now, news)
-		w.besides = w.besides && !w.elsewhere
-		w.rely(now+ToldIn, false)
-		w.told = append(w.told, true)
+		w.state, w.mayBeMissed, w.down, w.rejectedBy = Watching, false, false, notRejected
+		w.recordLateness(now, news)
+		w.asideOpen = w.asideOpen && !w.asideFormer
+		w.setReliableUntil(now+StalenessBoundMS, false)
+		w.pendingOutcomes = append(w.pendingOutcomes, true)
 	}
-	if !news && now < w.called+w.call.Wait/2 {
-		// It does not wait as it was asked to, and calls would follow on each other.
-		w.nextAt, w.until = now+soonGap, math.Inf(1)
+	if !news && now < w.calledAt+w.call.Wait/2 {
+		// Discovery doesn't hold calls as asked; without a gap they would follow each other at once.
+		w.nextCallAt, w.overdueAt = now+earlyAnswerGapMS, math.Inf(1)
 		return
 	}
-	w.next(now, min(w.askIn/2, waitMost))
+	w.scheduleCall(now, min(w.mustAskInMS/2, maxWaitMS))
 }
 
-// Overhears tells that an answer came on the connection that was set aside, and whether its list may be taken.
-func (w *Watch) Overhears(now float64, seq int64) bool {
-	if w.besides = false; w.elsewhere {
+// Overhears reports an answer on the connection that was set aside, and returns whether its list may be applied.
+func (w *Watch) Overhears(now float64, version int64) bool {
+	if w.asideOpen = false; w.asideFormer {
 		return true
 	}
-	if w.late = max(w.late, now-w.asideAt); seq < w.seq {
+	if w.lastLateness = max(w.lastLateness, now-w.asideAnswerDue); version < w.version {
 		return false
 	}
-	w.seq = seq
+	w.version = version
 	return true
 }
 
-// took keeps by how much an answer without news came late.
-func (w *Watch) took(now float64, news bool) {
-	if due := w.called + w.call.Wait; !news && w.call.Wait > 0 && now >= due {
-		w.late = now - due
+// recordLateness records how late an answer without news came.
+func (w *Watch) recordLateness(now float64, news bool) {
+	if dueAt := w.calledAt + w.call.Wait; !news && w.call.Wait > 0 && now >= dueAt {
+		w.lastLateness = now - dueAt
 	}
 }
 
-// Failed tells that a call came to nothing. Its connection is gone.
+// Failed reports that a call failed. Its connection is closed.
 func (w *Watch) Failed(now float64, how Failure) {
 	switch w.state {
-	case First, On:
-		w.fails(now, how)
-		w.told = append(w.told, false)
-		w.rest(None)
-	case Doubted:
-		w.rest(None) // the module knows, and has its turn to wait for
+	case First, Watching:
+		w.assessFailure(now, how)
+		w.pendingOutcomes = append(w.pendingOutcomes, false)
+		w.enter(Idle)
+	case Overdue:
+		w.enter(Idle) // the policy was told when the answer became overdue, and will ask for a watch in its turn
 	case Moved:
-		w.former = false
-		w.rest(Moved)
+		w.formerOpen = false
+		w.enter(Moved)
 	}
 }
 
-// fails takes what a failure says of discovery. While that is down there is no news, and the list counts on from one
-// call to the next; any other failure leaves it as old as it was.
-func (w *Watch) fails(now float64, how Failure) {
-	since := w.called
+// assessFailure updates what is known of discovery's state by a failed call. While discovery is down there is no news,
+// and from one failed call to the next the list may be relied on for longer; any other failure leaves it as old as it
+// was.
+func (w *Watch) assessFailure(now float64, how Failure) {
+	informedAt := w.calledAt
 	switch {
 	case how == Broken:
-		w.turns = none
+		w.rejectedBy = notRejected
 		return
 	case how == Refused:
-		w.down, w.turns = true, gone
-	case w.state == On:
-		w.down, w.turns, since = true, none, now // it ended the watch itself, which was not silent till then
+		w.down, w.rejectedBy = true, connectionRefused
+	case w.state == Watching:
+		w.down, w.rejectedBy, informedAt = true, notRejected, now // discovery ended the watch, which was not silent until then
 	default:
-		if !w.turnedAway(now) {
+		if !w.recordRejection(now) {
 			return
 		}
 	}
 	if w.down {
-		w.rely(max(w.till, min(since+ToldIn, w.called+w.askIn)), false)
+		w.setReliableUntil(max(w.reliableUntil, min(informedAt+StalenessBoundMS, w.calledAt+w.mustAskInMS)), false)
 	}
 }
 
-// turnedAway takes that a first call was turned away, and tells whether that shows discovery to be down. One that has too
-// many callers turns calls away too: after a break all call within a short time, and again in longer rounds.
-func (w *Watch) turnedAway(now float64) bool {
-	turns := atOnce
-	if now > w.called+answerFor/2 {
-		turns = late
+// recordRejection records that discovery rejected a first call, and returns whether the rejection counts as a sign that
+// discovery is down. A discovery with too many callers rejects calls too: after an outage all schedulers call within a
+// short time, and again in longer rounds. So rejections show it to be down, if it wasn't known to be, only once they
+// have been of one kind for longer than that can last.
+func (w *Watch) recordRejection(now float64) bool {
+	by := rejectedAtOnce
+	if now > w.calledAt+answerTimeoutMS/2 {
+		by = rejectedAfterWait
 	}
-	if turns == w.turns {
-		w.down = w.down || w.called >= w.turnsAt+answerFor+crowdFor*w.all
+	if by == w.rejectedBy {
+		w.down = w.down || w.calledAt >= w.rejectedSince+answerTimeoutMS+crowdRounds*w.fullRoundMS
 		return true
 	}
-	// Otherwise than before it may have been back meanwhile.
-	w.down = w.down && w.turns == none
-	w.turns, w.turnsAt = turns, w.called
-	return w.all <= ToldIn-waitMost // more schedulers call sooner than it may be able to answer
+	// After a rejection or refusal of another kind, discovery may have been up in between.
+	w.down = w.down && w.rejectedBy == notRejected
+	w.rejectedBy, w.rejectedSince = by, w.calledAt
+	// More schedulers than fit this time call before discovery may be able to answer them all.
+	return w.fullRoundMS <= StalenessBoundMS-maxWaitMS
 }
 
-// Went tells that discovery is at another address from now on. It is asked for all of the list, by all
-// schedulers together, so that each waits for its turn.
+// Went reports that discovery is at another address from now on. All schedulers ask for the whole list there at the
+// same time, so the policy decides when it is this one's turn.
 func (w *Watch) Went(now float64) {
 	switch w.state {
-	case First, Doubted:
-		w.hangUp = true
-		w.rest(None)
-	case On:
-		w.former = true
+	case First, Overdue:
+		w.closeDue = true
+		w.enter(Idle)
+	case Watching:
+		w.formerOpen = true
 	}
 	w.state = Moved
-	w.rely(min(w.till, now+MovedFor), true)
-	w.told = append(w.told, true, false) // the failures of the former one say nothing of the new one
+	w.setReliableUntil(min(w.reliableUntil, now+MovedStalenessBoundMS), true)
+	w.pendingOutcomes = append(w.pendingOutcomes, true, false) // failures at the former address say nothing of the new one
 }
 
-// Passed sees to what is due by now: the next call, or an answer that is overdue.
+// Passed does what is due by now: it has the next call made, or takes an answer as overdue.
 func (w *Watch) Passed(now float64) {
-	if now >= w.nextAt {
-		w.next(now, min(w.askIn/2, waitMost))
+	if now >= w.nextCallAt {
+		w.scheduleCall(now, min(w.mustAskInMS/2, maxWaitMS))
 	}
-	if w.besides && now >= w.asideAt+answerFor {
-		w.besides = false
+	if w.asideOpen && now >= w.asideAnswerDue+answerTimeoutMS {
+		w.asideOpen = false
 	}
-	if now < w.until {
+	if now < w.overdueAt {
 		return
 	}
 	switch w.state {
 	case First:
-		w.rely(w.till, true) // it may have been on, and fallen silent
-		w.hangUp, w.told = true, append(w.told, false)
-		w.rest(None)
-	case On:
-		// The answer may only be late, and a call for each that is would be too much for discovery.
-		w.rely(w.till, true)
-		w.told = append(w.told, false)
-		w.rest(Doubted)
+		w.setReliableUntil(w.reliableUntil, true) // discovery may have taken the call as a watch, and fallen silent
+		w.closeDue, w.pendingOutcomes = true, append(w.pendingOutcomes, false)
+		w.enter(Idle)
+	case Watching:
+		// The answer may only be late. To call anew at once for each late answer would be too much for discovery.
+		w.setReliableUntil(w.reliableUntil, true)
+		w.pendingOutcomes = append(w.pendingOutcomes, false)
+		w.enter(Overdue)
 	case Moved:
-		w.hangUp, w.former = true, false
-		w.rest(Moved)
+		w.closeDue, w.formerOpen = true, false
+		w.enter(Moved)
 	}
 }
 
-// setAside keeps a connection that may be only late till its answer has come: what is written on one that is
-// hung up just then counts as told, and nobody would have read it.
-func (w *Watch) setAside(there, elsewhere bool) {
-	if there {
-		w.aside, w.besides, w.elsewhere = true, true, elsewhere
-		w.asideAt = w.called + w.call.Wait
+// setAside has an open connection, whose answer may only be late, kept until the answer has come. If it were closed
+// just as discovery writes, the scheduler would count as informed of a change that nobody read.
+func (w *Watch) setAside(open, former bool) {
+	if open {
+		w.setAsideDue, w.asideOpen, w.asideFormer = true, true, former
+		w.asideAnswerDue = w.calledAt + w.call.Wait
 	}
 }
 
-// next has a call made that may wait so long.
-func (w *Watch) next(now, wait float64) {
-	w.call, w.due, w.called = Call{w.seq, wait}, true, now
-	w.nextAt, w.until = math.Inf(1), now+wait+min(lateBy+2*w.late, lateMost)
+// scheduleCall has a call made now that discovery may hold for wait milliseconds.
+func (w *Watch) scheduleCall(now, wait float64) {
+	w.call, w.callDue, w.calledAt = Call{w.version, wait}, true, now
+	w.nextCallAt, w.overdueAt = math.Inf(1), now+wait+min(graceMS+2*w.lastLateness, maxGraceMS)
 	if w.state == First {
-		w.until = now + answerFor
+		w.overdueAt = now + answerTimeoutMS
 	}
 }
 
-func (w *Watch) rest(s State) { w.state, w.due, w.nextAt, w.until = s, false, math.Inf(1), math.Inf(1) }
+// enter changes to a state in which no call is due and no answer expected.
+func (w *Watch) enter(s State) {
+	w.state, w.callDue, w.nextCallAt, w.overdueAt = s, false, math.Inf(1), math.Inf(1)
+}
 
-// rely keeps until when the list counts as whole; what was missed shortens that until there is an answer.
-func (w *Watch) rely(till float64, missed bool) {
-	if w.missed {
-		till = min(till, w.till)
+// setReliableUntil sets until when the list may be relied on. If changes may have been missed, now or since the last
+// answer, that time is not extended before the next answer.
+func (w *Watch) setReliableUntil(until float64, missed bool) {
+	if w.mayBeMissed {
+		until = min(until, w.reliableUntil)
 	}
-	w.till, w.missed = till, w.missed || missed
+	w.reliableUntil, w.mayBeMissed = until, w.mayBeMissed || missed
 }
 
-// ---- what is to be done ----
+// ---- actions that the host pulls ----
 
-// NextAside tells whether the connection that is there is to be set aside: no call is made on it any more, and
-// what still comes is read (Overhears). One that was aside before is closed.
+// NextAside returns whether the current connection is to be set aside: no call is made on it any more, and an answer
+// that still comes is passed to Overhears. A connection that was set aside before is closed.
 func (w *Watch) NextAside() bool {
-	was := w.aside
-	w.aside = false
-	return was
+	due := w.setAsideDue
+	w.setAsideDue = false
+	return due
 }
 
-// Besides tells whether the connection that is set aside is still wanted. Else it is to be closed.
-func (w *Watch) Besides() bool { return w.besides }
+// Besides returns whether the connection that is set aside is still to be read. If not, it is to be closed.
+func (w *Watch) Besides() bool { return w.asideOpen }
 
-// NextHangUp tells whether the connection is to be closed. Nothing is heard of it any more.
+// NextHangUp returns whether the current connection is to be closed. Nothing that happens on it is reported any more.
 func (w *Watch) NextHangUp() bool {
-	was := w.hangUp
-	w.hangUp = false
-	return was
+	due := w.closeDue
+	w.closeDue = false
+	return due
 }
 
-// NextCall tells the call to make, on the connection that is there or else on a new one.
+// NextCall returns the call to make, on the current connection or, if there is none, on a new one, and whether there is
+// one.
 func (w *Watch) NextCall() (Call, bool) {
-	was := w.due
-	w.due = false
-	return w.call, was
+	due := w.callDue
+	w.callDue = false
+	return w.call, due
 }
 
-// NextTold tells what the module is to hear next: that its watch is on, or that it failed.
+// NextTold returns what the policy is to be told next: that its watch is in progress (on) or that it failed. ok is
+// false if there is nothing to tell.
 func (w *Watch) NextTold() (on, ok bool) {
-	if len(w.told) == 0 {
+	if len(w.pendingOutcomes) == 0 {
 		return false, false
 	}
-	on = w.told[0]
-	w.told = w.told[1:]
+	on = w.pendingOutcomes[0]
+	w.pendingOutcomes = w.pendingOutcomes[1:]
 	return on, true
 }
 
-// Wake is when Passed has something to see to.
+// Wake returns when Passed is to be called next.
 func (w *Watch) Wake() float64 {
-	if w.besides {
-		return min(w.nextAt, w.until, w.asideAt+answerFor)
+	if w.asideOpen {
+		return min(w.nextCallAt, w.overdueAt, w.asideAnswerDue+answerTimeoutMS)
 	}
-	return min(w.nextAt, w.until)
+	return min(w.nextCallAt, w.overdueAt)
 }
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -2,126 +2,128 @@
 
 import "testing"
 
-// Each row plays what happens to a watch whose last answer came at 10 s, and tells how it stands and until when the
-// list counts.
-func TestUntilWhenTheListCounts(t *testing.T) {
-	const askIn = 10000.0
+// Each row gives events on a watch whose last answer came at 10 s, and the state and the time until which the list may
+// be relied on that have to follow, in milliseconds.
+func TestListIsReliableUntil(t *testing.T) {
+	const mustAskInMS = 10000.0
 	for name, row := range map[string]struct {
-		play func(w *Watch)
-		is   State
-		till float64
+		events        func(w *Watch)
+		state         State
+		reliableUntil float64
 	}{
-		"answered":                     {func(w *Watch) {}, On, 16000},
-		"overdue":                      {func(w *Watch) { w.Passed(12250) }, Doubted, 16000},
-		"answered late":                {func(w *Watch) { w.Passed(12250); w.Answered(12400, 5, true) }, On, 18400},
-		"silent, and called in vain":   {func(w *Watch) { w.Passed(12250); w.Wanted(13000); w.Failed(13001, Refused) }, None, 16000},
-		"silent, and called at last":   {func(w *Watch) { w.Passed(12250); w.Wanted(13000); w.Answered(13100, 6, true) }, On, 19100},
-		"reset":                        {func(w *Watch) { w.Failed(11000, Broken) }, None, 16000},
-		"told that it ends":            {func(w *Watch) { w.Failed(11000, TurnedAway) }, None, 17000},
-		"reset as discovery went down": {func(w *Watch) { w.Failed(11000, Broken); w.Wanted(12000); w.Failed(12001, Refused) }, None, 18000},
-		"reset, then turned away late": {func(w *Watch) { w.Failed(11000, Broken); w.Wanted(12000); w.Failed(14000, TurnedAway) }, None, 16000},
-		"reset, then no connection":    {func(w *Watch) { w.Failed(11000, Broken); w.Wanted(12000); w.Failed(12250, Broken) }, None, 16000},
-		"reset, then no answer":        {func(w *Watch) { w.Failed(11000, Broken); w.Wanted(12000); w.Sent(12001); w.Passed(14501) }, None, 16000},
-		"reset, then turned away":      {func(w *Watch) { w.Failed(11000, Broken); w.Wanted(12000); w.Failed(12001, TurnedAway) }, None, 16000},
-		"told that it ends, and turned away": {func(w *Watch) {
+		"answered":                      {func(w *Watch) {}, Watching, 16000},
+		"overdue":                       {func(w *Watch) { w.Passed(12250) }, Overdue, 16000},
+		"answered late":                 {func(w *Watch) { w.Passed(12250); w.Answered(12400, 5, true) }, Watching, 18400},
+		"silent, next call refused":     {func(w *Watch) { w.Passed(12250); w.Wanted(13000); w.Failed(13001, Refused) }, Idle, 16000},
+		"silent, next call answered":    {func(w *Watch) { w.Passed(12250); w.Wanted(13000); w.Answered(13100, 6, true) }, Watching, 19100},
+		"reset":                         {func(w *Watch) { w.Failed(11000, Broken) }, Idle, 16000},
+		"ended by discovery":            {func(w *Watch) { w.Failed(11000, TurnedAway) }, Idle, 17000},
+		"reset, then refused":           {func(w *Watch) { w.Failed(11000, Broken); w.Wanted(12000); w.Failed(12001, Refused) }, Idle, 18000},
+		"reset, then rejected late":     {func(w *Watch) { w.Failed(11000, Broken); w.Wanted(12000); w.Failed(14000, TurnedAway) }, Idle, 16000},
+		"reset, then connection failed": {func(w *Watch) { w.Failed(11000, Broken); w.Wanted(12000); w.Failed(12250, Broken) }, Idle, 16000},
+		"reset, then no answer":         {func(w *Watch) { w.Failed(11000, Broken); w.Wanted(12000); w.Sent(12001); w.Passed(14501) }, Idle, 16000},
+		"reset, then rejected":          {func(w *Watch) { w.Failed(11000, Broken); w.Wanted(12000); w.Failed(12001, TurnedAway) }, Idle, 16000},
+		"ended by discovery, then rejected": {func(w *Watch) {
 			w.Failed(11000, TurnedAway)
-			w.away(12000, 1)
-			w.away(15000, 1)
-		}, None, 21000},
-		"turned away otherwise than before": {func(w *Watch) {
+			w.reject(12000, 1)
+			w.reject(15000, 1)
+		}, Idle, 21000},
+		"rejected in another way than before": {func(w *Watch) {
 			w.Failed(11000, TurnedAway)
-			w.away(12000, 2000)
-			w.away(16000, 1)
-		}, None, 18000},
-		"back, with too many callers, after nobody listened": {func(w *Watch) {
+			w.reject(12000, 2000)
+			w.reject(16000, 1)
+		}, Idle, 18000},
+		"refused, then up again but overloaded": {func(w *Watch) {
 			w.Failed(11000, Broken)
 			w.Wanted(12000)
 			w.Failed(12001, Refused)
-			w.away(15000, 1)
-			w.away(17000, 1)
-		}, None, 18000},
-		"reset, and turned away on end": {func(w *Watch) {
+			w.reject(15000, 1)
+			w.reject(17000, 1)
+		}, Idle, 18000},
+		"reset, then rejected all the time": {func(w *Watch) {
 			w.Failed(11000, Broken)
 			for at := 12000.0; at <= 21000; at += 3000 {
-				w.away(at, 2000)
+				w.reject(at, 2000)
 			}
-		}, None, 27000},
-		"silent, and turned away on end": {func(w *Watch) {
+		}, Idle, 27000},
+		"silent, then rejected all the time": {func(w *Watch) {
 			w.Passed(12250)
 			for at := 13000.0; at <= 25000; at += 3000 {
-				w.away(at, 2000)
+				w.reject(at, 2000)
 			}
-		}, None, 16000},
-		"moved":                         {func(w *Watch) { w.Went(11000) }, Moved, 15000},
-		"moved, and heard at the old":   {func(w *Watch) { w.Went(11000); w.Answered(11100, 6, true) }, Moved, 15000},
-		"moved, and answered":           {func(w *Watch) { w.Went(11000); w.Wanted(12000); w.Answered(12100, 1, true) }, On, 18100},
-		"moved, and called in vain":     {func(w *Watch) { w.Went(11000); w.Wanted(12000); w.Failed(12001, TurnedAway) }, None, 15000},
-		"silent, then moved":            {func(w *Watch) { w.Passed(12250); w.Went(13000) }, Moved, 16000},
-		"moved, with a silent old one":  {func(w *Watch) { w.Went(11000); w.Passed(12250); w.Wanted(12300) }, First, 15000},
-		"an answer that came too soon":  {func(w *Watch) { w.Answered(10100, 5, true); w.Passed(10199) }, On, 16100},
-		"wanted, where it is on anyway": {func(w *Watch) { w.Wanted(11000) }, On, 16000},
+		}, Idle, 16000},
+		"moved": {func(w *Watch) { w.Went(11000) }, Moved, 15000},
+		"moved, then answered at the former address": {func(w *Watch) { w.Went(11000); w.Answered(11100, 6, true) }, Moved, 15000},
+		"moved, then answered":                       {func(w *Watch) { w.Went(11000); w.Wanted(12000); w.Answered(12100, 1, true) }, Watching, 18100},
+		"moved, then rejected":                       {func(w *Watch) { w.Went(11000); w.Wanted(12000); w.Failed(12001, TurnedAway) }, Idle, 15000},
+		"silent, then moved":                         {func(w *Watch) { w.Passed(12250); w.Went(13000) }, Moved, 16000},
+		"moved, former address silent":               {func(w *Watch) { w.Went(11000); w.Passed(12250); w.Wanted(12300) }, First, 15000},
+		"answered too early":                         {func(w *Watch) { w.Answered(10100, 5, true); w.Passed(10199) }, Watching, 16100},
+		"wanted while in progress":                   {func(w *Watch) { w.Wanted(11000) }, Watching, 16000},
 	} {
-		w := New(0, askIn, 200)
+		w := New(0, mustAskInMS, 200)
 		w.Began(4)
 		w.Wanted(9000)
 		w.Sent(9001)
 		w.Answered(10000, 5, true)
-		if c, ok := w.NextCall(); !ok || c != (Call{5, waitMost}) {
-			t.Fatal("goes on with", c, ok)
+		if c, ok := w.NextCall(); !ok || c != (Call{5, maxWaitMS}) {
+			t.Fatalf("after an answer the next call is %+v, %t", c, ok)
 		}
 		w.Sent(10000)
-		row.play(w)
-		if w.State() != row.is || w.Till() != row.till {
-			t.Errorf("%s: %s until %v, want %s until %v", name, w.State(), w.Till(), row.is, row.till)
+		row.events(w)
+		if w.State() != row.state || w.Till() != row.reliableUntil {
+			t.Errorf("%s: state %s, reliable until %v ms, want state %s, reliable until %v ms", name, w.State(), w.Till(), row.state,
+				row.reliableUntil)
 		}
 	}
 }
 
-// away has a watch begun that is turned away after so long.
-func (w *Watch) away(at, after float64) {
+// reject begins a watch whose first call discovery rejects after that many milliseconds.
+func (w *Watch) reject(at, after float64) {
 	w.Wanted(at)
 	w.Sent(at)
 	w.Failed(at+after, TurnedAway)
 }
 
-// The list that a process begins with is as old as the one before it: what came meanwhile may count as told. It counts once
-// discovery has answered, or is known to be down, when nothing more can be known. (It counted for the time for asking, and a
-// zone's schedulers that came back after 18 s posted to workers that had gone 16 s before.)
-func TestTheListOfANewProcess(t *testing.T) {
+// The list that a new process begins with is as old as the process before it, and the scheduler may count as informed
+// of changes since. It may be relied on once discovery has answered, or is known to be down, when there is no news to
+// get. When it was relied on for the time within which discovery has to be asked again, a zone's schedulers that
+// restarted after 18 s posted to workers that had gone 16 s before.
+func TestListOfANewProcess(t *testing.T) {
 	for name, row := range map[string]struct {
-		play func(w *Watch)
-		till float64
+		events        func(w *Watch)
+		reliableUntil float64
 	}{
-		"not called yet":       {func(w *Watch) {}, 0},
-		"called":               {func(w *Watch) { w.Wanted(1); w.Sent(1) }, 0},
-		"answered":             {func(w *Watch) { w.Wanted(1); w.Sent(1); w.Answered(100, 5, true) }, 6100},
-		"the first call fails": {func(w *Watch) { w.Wanted(1); w.Failed(2, Broken) }, 0},
-		"never answered":       {func(w *Watch) { w.Wanted(1); w.Sent(1); w.Passed(2501) }, 0},
-		"turned away":          {func(w *Watch) { w.away(1, 2000) }, 0},
-		"nobody listens":       {func(w *Watch) { w.Wanted(1); w.Failed(2, Refused) }, 6001},
-		"turned away for 5 s":  {func(w *Watch) { w.away(1, 2000); w.away(3000, 2000) }, 0},
-		"turned away for over 8 s": {func(w *Watch) {
-			w.away(1, 2000)
-			w.away(3000, 2000)
-			w.away(7000, 2000)
+		"not called yet":    {func(w *Watch) {}, 0},
+		"called":            {func(w *Watch) { w.Wanted(1); w.Sent(1) }, 0},
+		"answered":          {func(w *Watch) { w.Wanted(1); w.Sent(1); w.Answered(100, 5, true) }, 6100},
+		"first call failed": {func(w *Watch) { w.Wanted(1); w.Failed(2, Broken) }, 0},
+		"not answered":      {func(w *Watch) { w.Wanted(1); w.Sent(1); w.Passed(2501) }, 0},
+		"rejected":          {func(w *Watch) { w.reject(1, 2000) }, 0},
+		"refused":           {func(w *Watch) { w.Wanted(1); w.Failed(2, Refused) }, 6001},
+		"rejected for 5 s":  {func(w *Watch) { w.reject(1, 2000); w.reject(3000, 2000) }, 0},
+		"rejected for over 8 s": {func(w *Watch) {
+			w.reject(1, 2000)
+			w.reject(3000, 2000)
+			w.reject(7000, 2000)
 		}, 13000},
-		"turned away now so, now so": {func(w *Watch) {
-			w.away(1, 2000)
-			w.away(3000, 1)
-			w.away(7000, 2000)
+		"rejected in alternating ways": {func(w *Watch) {
+			w.reject(1, 2000)
+			w.reject(3000, 1)
+			w.reject(7000, 2000)
 		}, 0},
 	} {
 		w := New(0, 10000, 200)
 		w.Began(4)
-		if row.play(w); w.Till() != row.till {
-			t.Errorf("%s: until %v, want %v", name, w.Till(), row.till)
+		if row.events(w); w.Till() != row.reliableUntil {
+			t.Errorf("%s: reliable until %v ms, want %v ms", name, w.Till(), row.reliableUntil)
 		}
 	}
 }
 
-// What is written on a connection that was given up for another counts as told, and is read; that of a former address
-// only until the new one has answered.
-func TestWhatComesBesidesIsRead(t *testing.T) {
+// A connection that was replaced by another is still read, as the scheduler counts as informed of what discovery writes
+// there. A connection to a former address is read only until discovery has answered at the new one.
+func TestConnectionSetAsideIsRead(t *testing.T) {
 	for _, moved := range []bool{false, true} {
 		w := New(0, 10000, 200)
 		w.Wanted(0)
@@ -134,34 +136,34 @@
 		}
 		w.Wanted(3100)
 		if !w.NextAside() || w.NextHangUp() || !w.Besides() {
-			t.Fatal("the connection is not kept")
+			t.Fatal("the connection is not set aside")
 		}
 		w.Sent(3101)
 		if w.Answered(3200, 7, true); w.Besides() == moved {
-			t.Errorf("moved %t: still wanted: %t", moved, w.Besides())
+			t.Errorf("moved %t: the connection set aside is still read: %t", moved, w.Besides())
 		}
 		if !moved && (w.Overhears(3300, 6) || w.Besides()) {
-			t.Error("an older list was taken")
+			t.Error("an older list was accepted, or its connection is still read")
 		}
 	}
 }
 
-// A discovery that is slow is not called anew each time: how late its answers are is borne with.
-func TestSlowAnswersAreBorneWith(t *testing.T) {
-	w, doubts, now := New(0, 10000, 200), 0, 0.0
+// A slow discovery is not called anew for each late answer: the grace grows with the lateness of its answers.
+func TestGraceGrowsWithLateness(t *testing.T) {
+	w, overdue, now := New(0, 10000, 200), 0, 0.0
 	w.Wanted(0)
 	w.Sent(0)
 	for range 10 {
 		w.Answered(now, 5, true)
 		w.Sent(now)
-		due := now + waitMost + 400
-		if w.Wake() < due {
+		answeredAt := now + maxWaitMS + 400
+		if w.Wake() < answeredAt {
 			w.Passed(w.Wake())
-			doubts++
+			overdue++
 		}
-		now = due
+		now = answeredAt
 	}
-	if doubts != 1 {
-		t.Errorf("doubted %d times", doubts)
+	if overdue != 1 {
+		t.Errorf("an answer was overdue %d times, want once", overdue)
 	}
 }
