--- a/startup/startup.go
+++ b/startup/startup.go
@@ -1,4 +1,6 @@
-// Package startup decodes the settings that a scheduler is given at its start, on the bench and on sockets.
+// Package startup decodes the settings that a scheduler is given at its start, both by the benchmark harness (package
+// benchwire) and by the configuration of a scheduler that serves over sockets (package scheduler). Times in the
+// settings are in microseconds; this package returns them in milliseconds.
 package startup
 
 import (
@@ -12,182 +14,185 @@
 	"shalebeam/balance"
 )
 
-// Told is what the settings say: the module's terms, and what only a host has to know.
+// Told is the decoded settings: the terms of package balance, and what only its host needs.
 type Told struct {
 	Terms     balance.Terms
-	Schemes   []string // names, in the order of the terms
-	Tenants   []string // the same
-	Zones     []string
-	Kinds     []string
-	Reports   bool    // workers tell of their load
-	FreeSlots bool    // the load report's x0 is free slots here
-	Idle      float64 // a worker closes a connection that stood idle for so long
-	Dial      float64 // a connection that is not up by then never comes
+	Schemes   []string // names, in the order of Terms.Schemes
+	Tenants   []string // names, in the order of Terms.Quota
+	Zones     []string // names; a zone's number is its index
+	Kinds     []string // names; a kind's number is its index
+	Reports   bool     // workers report their load
+	FreeSlots bool     // the field x0 of a load report is the number of free slots
+	Idle      float64  // a worker closes a connection that was idle for this long, in milliseconds
+	Dial      float64  // timeout for establishing a connection, in milliseconds
 }
 
-type facts struct {
-	Me      int      `json:"my_number"`
-	Peers   int      `json:"peers_total"`
-	Zone    int      `json:"zone"`
-	Tick    int64    `json:"tick"`
-	Mode    string   `json:"membership_mode"`
-	Surplus float64  `json:"surplus_gain"`
-	Weights string   `json:"weights"`
-	Zones   []string `json:"zones"`
-	Kinds   []string `json:"kinds"`
-	Schemes []struct {
-		Name     string   `json:"name"`
-		Effect   string   `json:"effect"`
-		Scope    string   `json:"key_scope"`
-		Zones    []any    `json:"zones_only"`
-		Kinds    []any    `json:"kinds_open"`
-		Window   int64    `json:"window"`
-		SLA      int64    `json:"sla_time"`
-		Aim      *float64 `json:"aim_stretch"`
-		Expiry   int64    `json:"expiry"`
-		Gain     float64  `json:"gain"`
-		LateGain float64  `json:"tardy_gain"`
+// settings is the JSON form of the settings. Integer times are in microseconds. A pointer tells a missing value from 0.
+type settings struct {
+	SchedulerNumber int      `json:"my_number"`
+	SchedulerCount  int      `json:"peers_total"`
+	Zone            int      `json:"zone"`
+	TickUS          int64    `json:"tick"`
+	MembershipMode  string   `json:"membership_mode"`
+	SurplusGain     float64  `json:"surplus_gain"`
+	Weights         string   `json:"weights"`
+	Zones           []string `json:"zones"`
+	Kinds           []string `json:"kinds"`
+	Schemes         []struct {
+		Name       string   `json:"name"`
+		Effect     string   `json:"effect"`
+		KeyScope   string   `json:"key_scope"`
+		ZonesOnly  []any    `json:"zones_only"`
+		KindsOpen  []any    `json:"kinds_open"`
+		WindowUS   int64    `json:"window"`
+		SLATimeUS  int64    `json:"sla_time"`
+		AimStretch *float64 `json:"aim_stretch"`
+		ExpiryUS   int64    `json:"expiry"`
+		Gain       float64  `json:"gain"`
+		LateGain   float64  `json:"tardy_gain"`
 	} `json:"schemes"`
 	Report struct {
 		Fields []string `json:"fields"`
 	} `json:"report"`
-	Orgs []struct {
-		Name  string  `json:"name"`
-		Quota float64 `json:"quota_per_s"`
+	Tenants []struct {
+		Name      string  `json:"name"`
+		QuotaPerS float64 `json:"quota_per_s"`
 	} `json:"orgs"`
 	Domain struct {
-		Kind    []int     `json:"class_kind"`
-		Stretch []float64 `json:"class_stretch"`
-		Starts  bool      `json:"tells_start"`
-		X0      string    `json:"report_x0"`
+		ClassKind    []int     `json:"class_kind"`    // by scheme: the only kind that may run it, below 0 for any
+		ClassStretch []float64 `json:"class_stretch"` // by scheme: see balance.SchemeRow.Stretch
+		TellsStart   bool      `json:"tells_start"`
+		ReportX0     string    `json:"report_x0"`
 	} `json:"domain"`
 	Limits struct {
-		Posts  *int  `json:"max_postings"`
-		Copies bool  `json:"parallel_tries"`
-		Cancel bool  `json:"cancel"`
-		Stay   int64 `json:"max_retry_after"`
-		Advice bool  `json:"retry_after"`
-		Peers  bool  `json:"peers"`
-		Probes bool  `json:"probes"`
-		Idle   int64 `json:"conn_idle"`
-		Dial   int64 `json:"connect_timeout"`
+		MaxPostings      *int  `json:"max_postings"`
+		ParallelTries    bool  `json:"parallel_tries"`
+		Cancel           bool  `json:"cancel"`
+		MaxRetryAfterUS  int64 `json:"max_retry_after"`
+		RetryAfter       bool  `json:"retry_after"`
+		Peers            bool  `json:"peers"`
+		Probes           bool  `json:"probes"`
+		ConnIdleUS       int64 `json:"conn_idle"`
+		ConnectTimeoutUS int64 `json:"connect_timeout"`
 	} `json:"policy_limits"`
 	Fees struct {
-		New  float64 `json:"handshake"`
-		Peer float64 `json:"peer"`
+		Handshake float64 `json:"handshake"`
+		Peer      float64 `json:"peer"`
 	} `json:"fees"`
-	Rules struct {
-		ColdFrom  float64  `json:"cold_from"`
-		Cold      int64    `json:"cold"`
-		Fall      int64    `json:"fall"`
-		FallTimes float64  `json:"fall_multiple"`
-		AskIn     int64    `json:"must_ask_in"`
-		Free      *float64 `json:"budget_free"`
-		Ratio     *float64 `json:"resend_ratio"`
-		For       *int64   `json:"look_back"`
+	Guarantees struct {
+		ColdFrom     float64  `json:"cold_from"`
+		ColdUS       int64    `json:"cold"`
+		FallUS       int64    `json:"fall"`
+		FallMultiple float64  `json:"fall_multiple"`
+		MustAskInUS  int64    `json:"must_ask_in"`
+		BudgetFree   *float64 `json:"budget_free"`
+		ResendRatio  *float64 `json:"resend_ratio"`
+		LookBackUS   *int64   `json:"look_back"`
 	} `json:"guarantees"`
 }
 
-// Decode reads the settings object. What it does not know it passes over.
+// Decode decodes the settings, a JSON object, and checks them. Unknown keys are ignored. The seed goes into the terms.
 func Decode(raw []byte, seed uint64) (Told, error) {
-	var f facts
-	if err := json.Unmarshal(raw, &f); err != nil {
+	var in settings
+	if err := json.Unmarshal(raw, &in); err != nil {
 		return Told{}, fmt.Errorf("settings: %w", err)
 	}
-	if len(f.Schemes) == 0 {
+	if len(in.Schemes) == 0 {
 		return Told{}, fmt.Errorf("settings: schemes is missing or empty")
 	}
-	for i, c := range f.Schemes {
-		if c.Expiry <= 0 {
-			return Told{}, fmt.Errorf("settings: schemes[%d].expiry: %d is not above 0", i, c.Expiry)
+	for i, scheme := range in.Schemes {
+		if scheme.ExpiryUS <= 0 {
+			return Told{}, fmt.Errorf("settings: schemes[%d].expiry: %d us, want more than 0", i, scheme.ExpiryUS)
 		}
 	}
-	if n := f.Limits.Posts; n != nil && *n <= 0 {
-		return Told{}, fmt.Errorf("settings: policy_limits.max_postings: %d is not above 0", *n)
+	if n := in.Limits.MaxPostings; n != nil && *n <= 0 {
+		return Told{}, fmt.Errorf("settings: policy_limits.max_postings: %d, want more than 0", *n)
 	}
-	terms, err := f.terms(seed)
+	terms, err := in.terms(seed)
 	if err != nil {
 		return Told{}, fmt.Errorf("settings: %w", err)
 	}
-	t := Told{Terms: terms, Zones: f.Zones, Kinds: f.Kinds, Reports: len(f.Report.Fields) > 0,
-		FreeSlots: f.Domain.X0 == "free slots",
-		Idle:      ms(f.Limits.Idle), Dial: ms(f.Limits.Dial)}
-	for _, c := range f.Schemes {
-		t.Schemes = append(t.Schemes, c.Name)
+	t := Told{Terms: terms, Zones: in.Zones, Kinds: in.Kinds, Reports: len(in.Report.Fields) > 0,
+		FreeSlots: in.Domain.ReportX0 == "free slots",
+		Idle:      usToMS(in.Limits.ConnIdleUS), Dial: usToMS(in.Limits.ConnectTimeoutUS)}
+	for _, scheme := range in.Schemes {
+		t.Schemes = append(t.Schemes, scheme.Name)
 	}
-	for _, o := range f.Orgs {
-		t.Tenants = append(t.Tenants, o.Name)
+	for _, tenant := range in.Tenants {
+		t.Tenants = append(t.Tenants, tenant.Name)
 	}
 	return t, nil
 }
 
-// Retuned is t with all of o that may change while a scheduler runs, and the keys of what differs and may
-// not.
-func (t Told) Retuned(o Told) (out Told, kept []string, err error) {
-	a, b := &t.Terms, &o.Terms
-	for _, p := range []struct {
+// Retuned returns the settings to use after a reload: those of fresh, except that what can't change while a scheduler
+// runs is kept from t. It also returns the keys of the values that were kept although fresh differs.
+func (t Told) Retuned(fresh Told) (out Told, kept []string, err error) {
+	old, updated := &t.Terms, &fresh.Terms
+	for _, fixed := range []struct {
 		key  string
 		same bool
-	}{{"my_number", a.Me == b.Me}, {"peers_total", a.Peers == b.Peers}, {"zone", a.Zone == b.Zone},
-		{"zones", slices.Equal(t.Zones, o.Zones)}, {"kinds", slices.Equal(t.Kinds, o.Kinds)},
-		{"weights", a.LiveWeight == b.LiveWeight},
-		{"domain", a.TellsStart == b.TellsStart && t.FreeSlots == o.FreeSlots},
-		{"membership_mode", a.MustAsk == b.MustAsk}, {"report", t.Reports == o.Reports},
-		{"policy_limits.peers", a.Messages == b.Messages}} {
-		if !p.same {
-			kept = append(kept, p.key)
+	}{{"my_number", old.Me == updated.Me}, {"peers_total", old.Peers == updated.Peers}, {"zone", old.Zone == updated.Zone},
+		{"zones", slices.Equal(t.Zones, fresh.Zones)}, {"kinds", slices.Equal(t.Kinds, fresh.Kinds)},
+		{"weights", old.LiveWeight == updated.LiveWeight},
+		{"domain", old.TellsStart == updated.TellsStart && t.FreeSlots == fresh.FreeSlots},
+		{"membership_mode", old.MustAsk == updated.MustAsk}, {"report", t.Reports == fresh.Reports},
+		{"policy_limits.peers", old.Messages == updated.Messages}} {
+		if !fixed.same {
+			kept = append(kept, fixed.key)
 		}
 	}
-	// A scheme bound to places of other lists would be bound to other workers.
-	bound := func(r balance.SchemeRow) bool { return r.Zones != 0 || r.Kinds != 0 }
+	// A scheme's zones and kinds are indexes into the lists of its own settings: with the lists that are kept they would
+	// mean other workers.
+	isBound := func(r balance.SchemeRow) bool { return r.Zones != 0 || r.Kinds != 0 }
 	for _, key := range kept {
-		if (key == "zones" || key == "kinds") && slices.ContainsFunc(b.Schemes, bound) {
-			return t, nil, fmt.Errorf("settings: %s differ, and schemes are bound to some: that needs a restart", key)
+		if (key == "zones" || key == "kinds") && slices.ContainsFunc(updated.Schemes, isBound) {
+			return t, nil, fmt.Errorf("settings: %s differ while schemes are bound to zones or kinds: a restart is needed", key)
 		}
 	}
-	out = o
-	c := &out.Terms
-	c.Seed, c.Me, c.Peers, c.Zone = a.Seed, a.Me, a.Peers, a.Zone
-	c.LiveWeight, c.TellsStart = a.LiveWeight, a.TellsStart
-	c.MustAsk, c.Messages = a.MustAsk, a.Messages
+	out = fresh
+	terms := &out.Terms
+	terms.Seed, terms.Me, terms.Peers, terms.Zone = old.Seed, old.Me, old.Peers, old.Zone
+	terms.LiveWeight, terms.TellsStart = old.LiveWeight, old.TellsStart
+	terms.MustAsk, terms.Messages = old.MustAsk, old.Messages
 	out.Zones, out.Kinds, out.Reports, out.FreeSlots = t.Zones, t.Kinds, t.Reports, t.FreeSlots
 	return out, kept, nil
 }
 
-// Lacks names a key that one object of JSON has and another lacks, "" where there is none. Of the rows of an
-// array of objects each has to have what all rows had.
+// Lacks returns the path of a key that the JSON object old has and raw lacks, or "" if there is none or either can't be
+// decoded. In an array of objects, each object of raw needs the keys that all objects of old have.
 func Lacks(old, raw json.RawMessage) string {
 	var a, b any
 	if json.Unmarshal(old, &a) != nil || json.Unmarshal(raw, &b) != nil {
 		return ""
 	}
-	return lacks(a, b)
+	return missingKey(a, b)
 }
 
-func lacks(a, b any) string {
-	switch a := a.(type) {
+// missingKey is Lacks on decoded values.
+func missingKey(old, fresh any) string {
+	switch old := old.(type) {
 	case map[string]any:
-		b, _ := b.(map[string]any)
-		for _, key := range slices.Sorted(maps.Keys(a)) {
-			if _, ok := b[key]; !ok {
+		fresh, _ := fresh.(map[string]any)
+		for _, key := range slices.Sorted(maps.Keys(old)) {
+			if _, ok := fresh[key]; !ok {
 				return key
 			}
-			if sub := lacks(a[key], b[key]); sub != "" {
+			if sub := missingKey(old[key], fresh[key]); sub != "" {
 				return key + "." + sub
 			}
 		}
 	case []any:
-		b, _ := b.([]any)
-		rows := objects(a)
+		fresh, _ := fresh.([]any)
+		rows := objects(old)
 		if len(rows) == 0 {
 			return ""
 		}
-		all := maps.Clone(rows[0])
+		common := maps.Clone(rows[0])
 		for _, row := range rows {
-			maps.DeleteFunc(all, func(key string, _ any) bool { _, ok := row[key]; return !ok })
+			maps.DeleteFunc(common, func(key string, _ any) bool { _, ok := row[key]; return !ok })
 		}
-		for _, key := range slices.Sorted(maps.Keys(all)) {
-			for i, row := range objects(b) {
+		for _, key := range slices.Sorted(maps.Keys(common)) {
+			for i, row := range objects(fresh) {
 				if _, ok := row[key]; !ok {
 					return strconv.Itoa(i) + "." + key
 				}
@@ -197,16 +202,17 @@
 	return ""
 }
 
-func objects(all []any) (rows []map[string]any) {
-	for _, x := range all {
-		if row, ok := x.(map[string]any); ok {
+// objects returns those elements of a decoded array that are objects.
+func objects(array []any) (rows []map[string]any) {
+	for _, element := range array {
+		if row, ok := element.(map[string]any); ok {
 			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-// Load makes of a worker's report what the module is told.
+// Load converts a worker's load report, by field name, to what package balance is told.
 func (t *Told) Load(report map[string]float64) balance.Load {
 	load := balance.NoLoad
 	if free, ok := report["x0"]; ok && t.FreeSlots && !math.IsInf(free, 0) {
@@ -215,106 +221,111 @@
 	return load
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+func usToMS(us int64) float64 { return float64(us) / 1000 }
 
-// terms makes of it what the module is told.
-func (f *facts) terms(seed uint64) (balance.Terms, error) {
-	t := balance.Terms{Seed: seed, Me: f.Me, Peers: f.Peers, Zone: f.Zone, Tick: ms(f.Tick), OverGain: f.Surplus,
-		MaxPosts: math.MaxInt, Copies: f.Limits.Copies, Cancels: f.Limits.Cancel, Messages: f.Limits.Peers,
-		Probes: f.Limits.Probes, Idle: ms(f.Limits.Idle), NewFee: f.Fees.New, TellFee: f.Fees.Peer,
-		LiveWeight: f.Weights == "live",
-		MustAsk:    f.Mode == "subscribe", AskIn: ms(f.Rules.AskIn), TellsStart: f.Domain.Starts,
-		ColdFrom: f.Rules.ColdFrom, ColdFor: ms(f.Rules.Cold), Fall: ms(f.Rules.Fall), FallTimes: f.Rules.FallTimes}
-	if f.Limits.Posts != nil {
-		t.MaxPosts = *f.Limits.Posts
+// terms converts the settings to the terms of package balance.
+func (in *settings) terms(seed uint64) (balance.Terms, error) {
+	t := balance.Terms{Seed: seed, Me: in.SchedulerNumber, Peers: in.SchedulerCount, Zone: in.Zone,
+		Tick: usToMS(in.TickUS), OverGain: in.SurplusGain,
+		MaxPosts: math.MaxInt, Copies: in.Limits.ParallelTries, Cancels: in.Limits.Cancel, Messages: in.Limits.Peers,
+		Probes: in.Limits.Probes, Idle: usToMS(in.Limits.ConnIdleUS), NewFee: in.Fees.Handshake, TellFee: in.Fees.Peer,
+		LiveWeight: in.Weights == "live",
+		MustAsk:    in.MembershipMode == "subscribe", AskIn: usToMS(in.Guarantees.MustAskInUS),
+		TellsStart: in.Domain.TellsStart,
+		ColdFrom:   in.Guarantees.ColdFrom, ColdFor: usToMS(in.Guarantees.ColdUS),
+		Fall: usToMS(in.Guarantees.FallUS), FallTimes: in.Guarantees.FallMultiple}
+	if in.Limits.MaxPostings != nil {
+		t.MaxPosts = *in.Limits.MaxPostings
 	}
-	if f.Limits.Advice {
-		t.MaxStay = ms(f.Limits.Stay)
+	if in.Limits.RetryAfter {
+		t.MaxStay = usToMS(in.Limits.MaxRetryAfterUS)
 	}
-	for i, c := range f.Schemes {
-		row := balance.SchemeRow{Name: c.Name, Window: ms(c.Window), SLA: ms(c.SLA), Expiry: ms(c.Expiry),
-			Gain:     c.Gain,
-			LateGain: c.LateGain}
-		// An effect that is not known is taken for the strictest.
+	for i, scheme := range in.Schemes {
+		row := balance.SchemeRow{Name: scheme.Name, Window: usToMS(scheme.WindowUS), SLA: usToMS(scheme.SLATimeUS),
+			Expiry:   usToMS(scheme.ExpiryUS),
+			Gain:     scheme.Gain,
+			LateGain: scheme.LateGain}
+		// An unknown effect counts as the strictest.
 		row.Effect = balance.OnceOnly
-		switch c.Effect {
+		switch scheme.Effect {
 		case "retryable":
 			row.Effect = balance.Repeatable
 		case "dedup":
 			row.Effect = balance.Referenced
 		}
 		row.Group = balance.GroupCell
-		switch c.Scope {
+		switch scheme.KeyScope {
 		case "all":
 			row.Group = balance.GroupAll
 		case "zone":
 			row.Group = balance.GroupZone
 		}
 		var err error
-		if row.Zones, err = bits(c.Zones, f.Zones); err != nil {
+		if row.Zones, err = bitSet(scheme.ZonesOnly, in.Zones); err != nil {
 			return t, fmt.Errorf("schemes[%d].zones_only: %w", i, err)
 		}
-		if row.Kinds, err = bits(c.Kinds, f.Kinds); err != nil {
+		if row.Kinds, err = bitSet(scheme.KindsOpen, in.Kinds); err != nil {
 			return t, fmt.Errorf("schemes[%d].kinds_open: %w", i, err)
 		}
-		if i < len(f.Domain.Kind) && f.Domain.Kind[i] >= 0 {
-			row.Kinds = 1 << min(f.Domain.Kind[i], most)
+		if i < len(in.Domain.ClassKind) && in.Domain.ClassKind[i] >= 0 {
+			row.Kinds = 1 << min(in.Domain.ClassKind[i], maxIndex)
 		}
-		if i < len(f.Domain.Stretch) {
-			row.Stretch = f.Domain.Stretch[i]
-		} else if c.Aim != nil {
-			row.Stretch = *c.Aim
+		if i < len(in.Domain.ClassStretch) {
+			row.Stretch = in.Domain.ClassStretch[i]
+		} else if scheme.AimStretch != nil {
+			row.Stretch = *scheme.AimStretch
 		}
 		t.Schemes = append(t.Schemes, row)
 	}
-	for _, o := range f.Orgs {
-		t.Quota = append(t.Quota, o.Quota)
+	for _, tenant := range in.Tenants {
+		t.Quota = append(t.Quota, tenant.QuotaPerS)
 	}
-	r := &f.Rules
-	if r.Free == nil && r.Ratio == nil && r.For == nil {
+	rules := &in.Guarantees
+	if rules.BudgetFree == nil && rules.ResendRatio == nil && rules.LookBackUS == nil {
 		return t, nil
 	}
 	switch {
-	case r.For == nil || *r.For <= 0:
-		return t, fmt.Errorf("guarantees.look_back: a budget of postings needs a time above 0")
-	case r.Free != nil && *r.Free < 0:
-		return t, fmt.Errorf("guarantees.budget_free: %v is below 0", *r.Free)
-	case r.Ratio != nil && *r.Ratio < 0:
-		return t, fmt.Errorf("guarantees.resend_ratio: %v is below 0", *r.Ratio)
+	case rules.LookBackUS == nil || *rules.LookBackUS <= 0:
+		return t, fmt.Errorf("guarantees.look_back: want more than 0 us for the retry budget")
+	case rules.BudgetFree != nil && *rules.BudgetFree < 0:
+		return t, fmt.Errorf("guarantees.budget_free: %v, want 0 or more", *rules.BudgetFree)
+	case rules.ResendRatio != nil && *rules.ResendRatio < 0:
+		return t, fmt.Errorf("guarantees.resend_ratio: %v, want 0 or more", *rules.ResendRatio)
 	}
-	t.BudgetFor = ms(*r.For)
-	if r.Free != nil {
-		t.BudgetFree = *r.Free
+	t.BudgetFor = usToMS(*rules.LookBackUS)
+	if rules.BudgetFree != nil {
+		t.BudgetFree = *rules.BudgetFree
 	}
-	if r.Ratio != nil {
-		t.BudgetRatio = *r.Ratio
+	if rules.ResendRatio != nil {
+		t.BudgetRatio = *rules.ResendRatio
 	}
 	return t, nil
 }
 
-// most is how many zones or kinds a scheme can be bound to a part of.
-const most = 63
+// maxIndex is the greatest index of a zone or kind that a scheme can be bound to: a scheme holds a bit for each.
+const maxIndex = 63
 
-// bits makes a set of places of what a scheme is bound to: names, or places themselves. Left out there is no
-// bound; what is not known would open the scheme to all, and is refused.
-func bits(open []any, names []string) (set uint64, err error) {
-	if open != nil && len(open) == 0 {
-		return 0, fmt.Errorf("no worker is open to it")
+// bitSet returns the set of the zones or kinds that a scheme is bound to, as bits by index. Each is given by its name
+// or by its index in names. A nil list means no restriction. An empty list and an unknown element are errors: an
+// unknown one must not open the scheme to all workers.
+func bitSet(bound []any, names []string) (set uint64, err error) {
+	if bound != nil && len(bound) == 0 {
+		return 0, fmt.Errorf("the list is empty, so that no worker could run the scheme")
 	}
-	for _, x := range open {
-		at := -1
-		switch x := x.(type) {
+	for _, element := range bound {
+		index := -1
+		switch x := element.(type) {
 		case string:
-			at = slices.Index(names, x)
+			index = slices.Index(names, x)
 		case float64:
-			if at = int(x); float64(at) != x || len(names) > 0 && at >= len(names) {
-				at = -1
+			if index = int(x); float64(index) != x || len(names) > 0 && index >= len(names) {
+				index = -1
 			}
 		}
-		if at < 0 || at > most {
-			return 0, fmt.Errorf("%v is not known", x)
+		if index < 0 || index > maxIndex {
+			return 0, fmt.Errorf("%v is not a known name or index", element)
 		}
-		set |= 1 << at
+		set |= 1 << index
 	}
 	return set, nil
 }
--- a/startup/startup_test.go
+++ b/startup/startup_test.go
@@ -19,17 +19,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := told.Terms
-	if w.Seed != 7 || w.Me != 2 || w.Peers != 3 || w.Tick != 2 || !w.MustAsk || !w.LiveWeight ||
-		w.MaxStay != 2000 || w.MaxPosts < 1000 || len(w.Quota) != 1 || w.Quota[0] != 4 {
-		t.Errorf("terms: %+v", w)
+	terms := told.Terms
+	if terms.Seed != 7 || terms.Me != 2 || terms.Peers != 3 || terms.Tick != 2 || !terms.MustAsk || !terms.LiveWeight ||
+		terms.MaxStay != 2000 || terms.MaxPosts < 1000 || len(terms.Quota) != 1 || terms.Quota[0] != 4 {
+		t.Errorf("terms: %+v", terms)
 	}
-	s := balance.SchemeRow{Name: "s", Effect: balance.Referenced, Group: balance.GroupZone, Window: 40000, SLA: 500,
+	first := balance.SchemeRow{Name: "s", Effect: balance.Referenced, Group: balance.GroupZone, Window: 40000, SLA: 500,
 		Stretch: 2.5, Expiry: 7500}
-	// An effect that is not known is the strictest.
-	u := balance.SchemeRow{Name: "t", Effect: balance.OnceOnly, Group: balance.GroupCell, Expiry: 1, Stretch: 1.5, Kinds: 1}
-	if w.Schemes[0] != s || w.Schemes[1] != u {
-		t.Errorf("schemes: %+v", w.Schemes)
+	// An unknown effect counts as the strictest.
+	second := balance.SchemeRow{Name: "t", Effect: balance.OnceOnly, Group: balance.GroupCell, Expiry: 1, Stretch: 1.5, Kinds: 1}
+	if terms.Schemes[0] != first || terms.Schemes[1] != second {
+		t.Errorf("schemes: %+v", terms.Schemes)
 	}
 	if told.Schemes[1] != "t" || told.Tenants[0] != "o" || told.Zones[1] != "b" ||
 		told.Idle != 10000 || told.Dial != 250 {
@@ -45,12 +45,12 @@
 		`{"schemes":[{"name":"s"}]}`, `{"schemes":[{"expiry":-1}]}`,
 		`{"schemes":[{"expiry":1}],"policy_limits":{"max_postings":0}}`} {
 		if _, err := Decode([]byte(raw), 1); err == nil {
-			t.Errorf("%s was taken", raw)
+			t.Errorf("%s was accepted", raw)
 		}
 	}
 }
 
-func TestLacks(t *testing.T) {
+func TestMissingKey(t *testing.T) {
 	const old = `{"a":1,"b":{"c":[1,2],"d":null},"rows":[{"x":1,"y":1},{"x":2}],"known":[]}`
 	for raw, want := range map[string]string{
 		old: "",
@@ -67,47 +67,47 @@
 	}
 }
 
-func TestRetuned(t *testing.T) {
-	told := func(raw string) Told {
+func TestReload(t *testing.T) {
+	decode := func(raw string) Told {
 		out, err := Decode([]byte(raw), 7)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return out
 	}
-	old := told(`{"my_number":1,"peers_total":2,"zones":["a"],"schemes":[{"name":"s","expiry":1000}]}`)
-	fresh := told(`{"my_number":0,"peers_total":2,"zones":["b"],"tick":3000,"policy_limits":{"max_postings":2},
+	old := decode(`{"my_number":1,"peers_total":2,"zones":["a"],"schemes":[{"name":"s","expiry":1000}]}`)
+	fresh := decode(`{"my_number":0,"peers_total":2,"zones":["b"],"tick":3000,"policy_limits":{"max_postings":2},
 "schemes":[{"name":"s","expiry":2000},{"name":"t","expiry":2000}]}`)
 	got, kept, err := old.Retuned(fresh)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(kept) != 2 || kept[0] != "my_number" || kept[1] != "zones" {
-		t.Errorf("kept: %v", kept)
+		t.Errorf("kept %v, want my_number and zones", kept)
 	}
 	if got.Terms.Me != 1 || got.Zones[0] != "a" || got.Terms.Tick != 3 || got.Terms.MaxPosts != 2 ||
 		len(got.Terms.Schemes) != 2 || got.Schemes[1] != "t" || got.Terms.Schemes[0].Expiry != 2 {
 		t.Errorf("got: %+v", got)
 	}
 	if _, kept, err := old.Retuned(old); len(kept) != 0 || err != nil {
-		t.Errorf("kept of the same: %v %v", kept, err)
+		t.Errorf("reload of the same settings: kept %v, error %v", kept, err)
 	}
-	bound := told(`{"my_number":1,"peers_total":2,"zones":["b","a"],"schemes":[{"name":"s","expiry":1000,"zones_only":["a"]}]}`)
+	bound := decode(`{"my_number":1,"peers_total":2,"zones":["b","a"],"schemes":[{"name":"s","expiry":1000,"zones_only":["a"]}]}`)
 	if _, _, err := old.Retuned(bound); err == nil || !strings.Contains(err.Error(), "zones") {
-		t.Errorf("bound to places of another list: %v", err)
+		t.Errorf("schemes bound to zones of a changed list: error %v, want one that names zones", err)
 	}
 }
 
-func TestBoundSchemesAndBudget(t *testing.T) {
+func TestBoundSchemesAndRetryBudget(t *testing.T) {
 	const head = `{"zones":["a","b"],"kinds":["k","l"],"schemes":[{"name":"s","expiry":1000,`
 	told, err := Decode([]byte(head+`"zones_only":["b",0],"kinds_open":[1]}],
 "guarantees":{"budget_free":1,"resend_ratio":0.05,"look_back":2000000}}`), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w := told.Terms; w.Schemes[0].Zones != 3 || w.Schemes[0].Kinds != 2 || w.BudgetFor != 2000 ||
-		w.BudgetFree != 1 || w.BudgetRatio != 0.05 {
-		t.Errorf("got %+v", w)
+	if terms := told.Terms; terms.Schemes[0].Zones != 3 || terms.Schemes[0].Kinds != 2 || terms.BudgetFor != 2000 ||
+		terms.BudgetFree != 1 || terms.BudgetRatio != 0.05 {
+		t.Errorf("got %+v", terms)
 	}
 	for raw, key := range map[string]string{
 		`"zones_only":["c"]}]}`:                                         "schemes[0].zones_only",
@@ -121,10 +121,10 @@
 		`"gain":1}],"guarantees":{"look_back":5,"resend_ratio":-0.01}}`: "guarantees.resend_ratio",
 	} {
 		if _, err := Decode([]byte(head+raw), 1); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v, want %s named", raw, err, key)
+			t.Errorf("%s: error %v, want one that names %s", raw, err, key)
 		}
 	}
-	// Literally: no posting beyond the first, ever.
+	// A budget of 0 is kept as such: it allows no posting beyond a txn's first.
 	told, err = Decode([]byte(head+`"gain":1}],"guarantees":{"budget_free":0,"resend_ratio":0,"look_back":5}}`), 1)
 	if err != nil || told.Terms.BudgetFor != 0.005 || told.Terms.BudgetFree != 0 {
 		t.Errorf("got %+v %v", told.Terms, err)
