--- a/benchwire/benchwire.go
+++ b/benchwire/benchwire.go
@@ -1,5 +1,7 @@
-// Package benchwire decodes the bench's wire to calls on balance, and encodes what balance decides. It makes
-// no choices; its one duty beside the coding is the wake-up timer.
+// Package benchwire runs schedulers (package balance) for the benchmark harness, called the bench. The bench sends
+// batches of messages, a JSON object a line, and gets for each batch a line with the actions that the schedulers decide
+// on. The package makes no decisions: it decodes messages to calls of package balance, encodes what that decides, and
+// keeps the wake-up timer of each scheduler. Times on the wire are in microseconds, in package balance in milliseconds.
 package benchwire
 
 import (
@@ -15,147 +17,165 @@
 	"shalebeam/startup"
 )
 
+// batch is a line of input.
 type batch struct {
-	At   *int64    `json:"at_time"`
-	Msgs []message `json:"msgs"`
+	AtUS     *int64    `json:"at_time"` // current time, in microseconds
+	Messages []message `json:"msgs"`
 }
 
+// head is the part that all messages have.
 type head struct {
-	Cmd  string `json:"cmd"`
-	Inst int    `json:"scheduler_id"`
+	Command     string `json:"cmd"`
+	SchedulerID int    `json:"scheduler_id"`
 }
 
+// message has the fields of all commands. A message brings those of its command.
 type message struct {
 	head
-	Ref       json.RawMessage    `json:"ref"`
-	Seed      uint64             `json:"init_seed"`
-	Facts     json.RawMessage    `json:"facts"`
-	Scope     string             `json:"scope"`
-	Elements  []element          `json:"elements"`
-	Hint      int64              `json:"work_hint"`
-	Entity    string             `json:"entity"`
-	Org       int                `json:"org"`
-	Qos       int                `json:"qos"`
-	Remaining int64              `json:"remaining"`
-	Opts      int                `json:"opts"`
-	Cores     float64            `json:"cores_needed"`
-	Worker    string             `json:"worker"`
-	Try       int                `json:"try"`
-	Outcome   int                `json:"outcome"`
-	Closed    bool               `json:"closed"`
-	Telemetry map[string]float64 `json:"telemetry"`
-	Author    int                `json:"author"`
-	Payload   []byte             `json:"payload"`
+	Ref         json.RawMessage    `json:"ref"` // a txn's id, or a timer's token
+	Seed        uint64             `json:"init_seed"`
+	Settings    json.RawMessage    `json:"facts"` // see package startup
+	Scope       string             `json:"scope"` // of a list of workers
+	Elements    []element          `json:"elements"`
+	WorkHintUS  int64              `json:"work_hint"`
+	Key         string             `json:"entity"`
+	Tenant      int                `json:"org"`
+	Scheme      int                `json:"qos"`
+	RemainingUS int64              `json:"remaining"` // until the client gives up
+	Options     int                `json:"opts"`      // see optHinted and optRepeat
+	Cores       float64            `json:"cores_needed"`
+	Worker      string             `json:"worker"`
+	Attempt     int                `json:"try"`
+	Outcome     int                `json:"outcome"` // index in outcomes
+	Closed      bool               `json:"closed"`
+	LoadReport  map[string]float64 `json:"telemetry"`
+	Sender      int                `json:"author"`
+	Payload     []byte             `json:"payload"`
 }
 
+// Bits of message.Options.
+const (
+	optHinted = 1 // WorkHintUS is given
+	optRepeat = 2 // the client marked the request as a repeat
+)
+
+// element is a worker in a list of workers.
 type element struct {
-	Worker    string  `json:"worker"`
-	Group     int     `json:"group"`
-	LastStart int64   `json:"last_start"`
-	Model     int     `json:"model"`
-	Condition string  `json:"condition"`
-	Hint      float64 `json:"capacity_hint"`
-	DC        int     `json:"dc"`
+	Worker      string  `json:"worker"`
+	Cell        int     `json:"group"`
+	LastStartUS int64   `json:"last_start"`
+	Kind        int     `json:"model"`
+	State       string  `json:"condition"` // see states
+	Weight      float64 `json:"capacity_hint"`
+	Zone        int     `json:"dc"`
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
-func us(ms float64) int64 { return int64(math.Ceil(ms * 1000)) }
+func usToMS(us int64) float64 { return float64(us) / 1000 }
+func msToUS(ms float64) int64 { return int64(math.Ceil(ms * 1000)) }
 
+// states maps the names of a worker's states on the wire.
 var states = map[string]balance.State{"Running": balance.Running, "Stopping": balance.Draining,
 	"Deleted": balance.Removed}
 
+// outcomes lists the outcomes of postings and probes by their codes on the wire.
 var outcomes = []balance.Outcome{balance.Done, balance.Erred, balance.Full, balance.TimedOut,
 	balance.NoConnect, balance.Reset, balance.Cancelled, balance.NeverSent}
 
+// maxTimerUS is the longest delay of a timer, 70 minutes in microseconds. It is below 2^32.
+const maxTimerUS = 70 * 60 * 1e6
+
+// instance is one scheduler that the bench has started.
 type instance struct {
-	id    int
-	sched *balance.Scheduler
-	timer float64 // when the pending timer comes due
-	told  startup.Told
+	id        int
+	scheduler *balance.Scheduler
+	timerAt   float64 // when the pending timer is due, in milliseconds; +Inf if there is none
+	settings  startup.Told
 }
 
-// Link hosts the instances, which share nothing.
-type Link struct {
-	insts map[int]*instance
-	stray map[int]bool
-	errs  io.Writer
-	out   bytes.Buffer
+// Session runs the schedulers that one bench starts. They share nothing.
+type Session struct {
+	instances       map[int]*instance
+	unknownReported map[int]bool // by the id of a scheduler that was not started: that its messages are ignored is reported
+	warnings        io.Writer
+	out             bytes.Buffer // the reply that is being written
 }
 
-// New returns a link that says on errs what it passes over.
-func New(errs io.Writer) *Link {
-	return &Link{insts: map[int]*instance{}, stray: map[int]bool{}, errs: errs}
+// New returns a session that reports ignored messages on warnings.
+func New(warnings io.Writer) *Session {
+	return &Session{instances: map[int]*instance{}, unknownReported: map[int]bool{}, warnings: warnings}
 }
 
-// Answer takes one line and returns the reply's.
-func (l *Link) Answer(line []byte) ([]byte, error) {
+// Answer handles a batch, given as a line of JSON, and returns the line of the reply. It is valid until the next call.
+func (s *Session) Answer(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
-		return nil, fmt.Errorf("not a batch: %w", err)
+		return nil, fmt.Errorf("invalid batch: %w", err)
 	}
-	if b.At == nil || b.Msgs == nil {
-		return nil, fmt.Errorf("not a batch: at_time or msgs is missing")
+	if b.AtUS == nil || b.Messages == nil {
+		return nil, fmt.Errorf("invalid batch: at_time or msgs is missing")
 	}
-	now := ms(*b.At)
-	l.out.Reset()
-	l.out.WriteString(`{"do":[`)
-	var touched []*instance
-	for i := range b.Msgs {
-		m := &b.Msgs[i]
-		in := l.insts[m.Inst]
-		switch m.Cmd {
+	now := usToMS(*b.AtUS)
+	s.out.Reset()
+	s.out.WriteString(`{"do":[`)
+	var touched []*instance // those that got a message, in the order of their first one
+	for i := range b.Messages {
+		m := &b.Messages[i]
+		in := s.instances[m.SchedulerID]
+		switch m.Command {
 		case "spawn":
-			if m.Facts == nil {
-				return nil, fmt.Errorf("spawn without facts")
+			if m.Settings == nil {
+				return nil, fmt.Errorf("spawn: facts is missing")
 			}
-			told, err := startup.Decode(m.Facts, m.Seed)
+			settings, err := startup.Decode(m.Settings, m.Seed)
 			if err != nil {
 				return nil, fmt.Errorf("spawn: %w", err)
 			}
-			in = &instance{id: m.Inst, sched: balance.New(told.Terms), timer: math.Inf(1), told: told}
-			l.insts[m.Inst] = in
+			in = &instance{id: m.SchedulerID, scheduler: balance.New(settings.Terms), timerAt: math.Inf(1), settings: settings}
+			s.instances[m.SchedulerID] = in
 		case "stop":
-			delete(l.insts, m.Inst)
+			delete(s.instances, m.SchedulerID)
 			continue
 		}
 		if in == nil {
-			if !l.stray[m.Inst] {
-				l.stray[m.Inst] = true
-				fmt.Fprintf(l.errs, "benchlink: %s for instance %d, which was not started: passed over\n", m.Cmd, m.Inst)
+			if !s.unknownReported[m.SchedulerID] {
+				s.unknownReported[m.SchedulerID] = true
+				fmt.Fprintf(s.warnings, "benchlink: ignored %s for scheduler %d, which was not started\n", m.Command, m.SchedulerID)
 			}
 			continue
 		}
-		known := false
-		for _, o := range touched {
-			known = known || o == in
+		isTouched := false
+		for _, other := range touched {
+			isTouched = isTouched || other == in
 		}
-		if !known {
+		if !isTouched {
 			touched = append(touched, in)
 		}
-		l.guard(in, func() { in.take(now, m) })
+		s.reportPanic(in, func() { in.handle(now, m) })
 	}
 	for _, in := range touched {
-		if l.insts[in.id] == in {
-			l.guard(in, func() { l.pull(now, in) })
+		if s.instances[in.id] == in { // not stopped or replaced since
+			s.reportPanic(in, func() { s.writeActions(now, in) })
 		}
 	}
-	l.out.WriteString("]}\n")
-	return l.out.Bytes(), nil
+	s.out.WriteString("]}\n")
+	return s.out.Bytes(), nil
 }
 
-// guard answers a panic of the module with its text, as the wire asks.
-func (l *Link) guard(in *instance, f func()) {
+// reportPanic calls f. If f panics, it writes the action bail_out with the panic's text, as the protocol of the bench
+// asks.
+func (s *Session) reportPanic(in *instance, f func()) {
 	defer func() {
 		if r := recover(); r != nil {
-			l.act("bail_out", in.id)
-			l.str("note_text", fmt.Sprint(r))
-			l.out.WriteByte('}')
+			s.beginAction("bail_out", in.id)
+			s.writeString("note_text", fmt.Sprint(r))
+			s.out.WriteByte('}')
 		}
 	}()
 	f()
 }
 
-func (m *message) text() string {
+// refText returns the ref if it is a string, and "" otherwise.
+func (m *message) refText() string {
 	if len(m.Ref) > 1 && m.Ref[0] == '"' {
 		var s string
 		if json.Unmarshal(m.Ref, &s) == nil {
@@ -165,133 +185,140 @@
 	return ""
 }
 
-func (m *message) how() balance.Outcome {
+// outcome returns the outcome of a posting or a probe.
+func (m *message) outcome() balance.Outcome {
 	if m.Outcome < 0 || m.Outcome >= len(outcomes) {
-		return balance.Erred // a code that is not known proves nothing
+		return balance.Erred // may have run: an unknown code proves nothing
 	}
 	return outcomes[m.Outcome]
 }
 
-func (in *instance) take(now float64, m *message) {
-	s := in.sched
-	switch m.Cmd {
+// handle passes a message to the scheduler. Unknown commands are ignored.
+func (in *instance) handle(now float64, m *message) {
+	scheduler := in.scheduler
+	switch m.Command {
 	case "call":
 		hint := -1.0
-		if m.Opts&1 != 0 {
-			hint = ms(m.Hint)
+		if m.Options&optHinted != 0 {
+			hint = usToMS(m.WorkHintUS)
 		}
-		s.Arrived(now, balance.Txn{Ref: m.text(), Scheme: m.Qos, Tenant: m.Org, Key: m.Entity, Hint: hint,
-			Slots: m.Cores, Left: ms(m.Remaining), Repeat: m.Opts&2 != 0})
+		scheduler.Arrived(now, balance.Txn{Ref: m.refText(), Scheme: m.Scheme, Tenant: m.Tenant, Key: m.Key, Hint: hint,
+			Slots: m.Cores, Left: usToMS(m.RemainingUS), Repeat: m.Options&optRepeat != 0})
 	case "dropped":
-		s.Gone(now, m.text())
+		scheduler.Gone(now, m.refText())
 	case "answer":
-		s.Ended(now, m.text(), m.Try, m.how(), m.Closed, in.told.Load(m.Telemetry))
+		scheduler.Ended(now, m.refText(), m.Attempt, m.outcome(), m.Closed, in.settings.Load(m.LoadReport))
 	case "update_of":
-		s.Started(now, m.text(), m.Try)
+		scheduler.Started(now, m.refText(), m.Attempt)
 	case "datagram":
-		s.Heard(now, m.Author, m.Payload)
+		scheduler.Heard(now, m.Sender, m.Payload)
 	case "ping_result":
-		s.Probed(now, m.Worker, m.how(), in.told.Load(m.Telemetry))
+		scheduler.Probed(now, m.Worker, m.outcome(), in.settings.Load(m.LoadReport))
 	case "sync":
 		if m.Scope == "Error" {
-			s.Watched(now, false)
+			scheduler.Watched(now, false)
 			return
 		}
 		rows := make([]balance.Listed, 0, len(m.Elements))
 		for _, e := range m.Elements {
-			state, ok := states[e.Condition]
+			state, ok := states[e.State]
 			if !ok {
-				state = balance.Draining // nothing is sent to a worker in a state that is not known
+				state = balance.Draining // so that nothing is sent to a worker in an unknown state
 			}
-			rows = append(rows, balance.Listed{ID: e.Worker, Cell: e.Group, Zone: e.DC, Kind: e.Model, State: state,
-				Start: ms(e.LastStart), Weight: e.Hint})
+			rows = append(rows, balance.Listed{ID: e.Worker, Cell: e.Cell, Zone: e.Zone, Kind: e.Kind, State: state,
+				Start: usToMS(e.LastStartUS), Weight: e.Weight})
 		}
-		s.ListChanged(now, m.Scope != "Partial", rows)
+		scheduler.ListChanged(now, m.Scope != "Partial", rows)
 		if m.Scope != "Persisted" {
-			s.Watched(now, true)
+			scheduler.Watched(now, true)
 		}
 	case "timer":
-		if now >= in.timer {
-			in.timer = math.Inf(1)
+		if now >= in.timerAt {
+			in.timerAt = math.Inf(1)
 		}
 	}
 }
 
-func (l *Link) pull(now float64, in *instance) {
-	s := in.sched
+// writeActions writes all actions that the scheduler decides on, and a timer if it has to be woken earlier than by the
+// pending one.
+func (s *Session) writeActions(now float64, in *instance) {
+	scheduler := in.scheduler
 	for more := true; more; {
 		more = false
-		if f, ok := s.NextFinal(now); ok {
+		if f, ok := scheduler.NextFinal(now); ok {
 			more = true
 			if f.Declined {
-				l.act("refuse", in.id)
+				s.beginAction("refuse", in.id)
 				if f.Stay > 0 {
-					l.num("stay_away", us(f.Stay))
+					s.writeInt("stay_away", msToUS(f.Stay))
 				}
 			} else {
-				l.act("end_failed", in.id)
+				s.beginAction("end_failed", in.id)
 			}
-			l.str("ref", f.Ref)
-			l.out.WriteByte('}')
-		} else if c, ok := s.NextCancel(now); ok {
+			s.writeString("ref", f.Ref)
+			s.out.WriteByte('}')
+		} else if c, ok := scheduler.NextCancel(now); ok {
 			more = true
-			l.act("revoke", in.id)
-			l.str("ref", c.Ref)
-			l.num("try", int64(c.Posting))
-			l.out.WriteByte('}')
-		} else if p, ok := s.NextPosting(now); ok {
+			s.beginAction("revoke", in.id)
+			s.writeString("ref", c.Ref)
+			s.writeInt("try", int64(c.Posting))
+			s.out.WriteByte('}')
+		} else if p, ok := scheduler.NextPosting(now); ok {
 			more = true
-			l.act("issue", in.id)
-			l.str("ref", p.Ref)
-			l.str("worker", p.Worker)
+			s.beginAction("issue", in.id)
+			s.writeString("ref", p.Ref)
+			s.writeString("worker", p.Worker)
 			if p.Timeout > 0 {
-				l.num("timeout", us(p.Timeout))
+				s.writeInt("timeout", msToUS(p.Timeout))
 			}
-			l.out.WriteByte('}')
-		} else if id, ok := s.NextProbe(now); ok {
+			s.out.WriteByte('}')
+		} else if id, ok := scheduler.NextProbe(now); ok {
 			more = true
-			l.act("sample", in.id)
-			l.str("worker", id)
-			l.out.WriteByte('}')
-		} else if body, ok := s.NextMessage(now); ok {
+			s.beginAction("sample", in.id)
+			s.writeString("worker", id)
+			s.out.WriteByte('}')
+		} else if body, ok := scheduler.NextMessage(now); ok {
 			more = true
-			l.act("broadcast_to", in.id)
-			l.str("recipient", "all")
-			l.str("payload", base64.StdEncoding.EncodeToString(body))
-			l.out.WriteByte('}')
-		} else if s.NextWatch(now) {
+			s.beginAction("broadcast_to", in.id)
+			s.writeString("recipient", "all")
+			s.writeString("payload", base64.StdEncoding.EncodeToString(body))
+			s.out.WriteByte('}')
+		} else if scheduler.NextWatch(now) {
 			more = true
-			l.act("track", in.id)
-			l.out.WriteString(`,"on":true}`)
+			s.beginAction("track", in.id)
+			s.out.WriteString(`,"on":true}`)
 		}
 	}
-	if at := s.Wake(now); at < in.timer {
-		in.timer = at
-		l.act("schedule", in.id)
-		l.num("after", min(us(at-now), 70*60*1e6))
-		l.num("ref", 1)
-		l.out.WriteByte('}')
+	if at := scheduler.Wake(now); at < in.timerAt {
+		in.timerAt = at
+		s.beginAction("schedule", in.id)
+		s.writeInt("after", min(msToUS(at-now), maxTimerUS))
+		s.writeInt("ref", 1)
+		s.out.WriteByte('}')
 	}
 }
 
-func (l *Link) act(cmd string, inst int) {
-	if b := l.out.Bytes(); b[len(b)-1] != '[' {
-		l.out.WriteByte(',')
+// beginAction writes the beginning of an action, up to and with its scheduler's id.
+func (s *Session) beginAction(command string, schedulerID int) {
+	if b := s.out.Bytes(); b[len(b)-1] != '[' {
+		s.out.WriteByte(',')
 	}
-	l.out.WriteString(`{"cmd":"` + cmd + `"`)
-	l.num("scheduler_id", int64(inst))
+	s.out.WriteString(`{"cmd":"` + command + `"`)
+	s.writeInt("scheduler_id", int64(schedulerID))
 }
 
-func (l *Link) num(name string, v int64) {
-	l.out.WriteString(`,"` + name + `":`)
-	l.out.Write(strconv.AppendInt(l.out.AvailableBuffer(), v, 10))
+// writeInt writes a field with an integer.
+func (s *Session) writeInt(name string, v int64) {
+	s.out.WriteString(`,"` + name + `":`)
+	s.out.Write(strconv.AppendInt(s.out.AvailableBuffer(), v, 10))
 }
 
-func (l *Link) str(name, v string) {
-	l.out.WriteString(`,"` + name + `":`)
+// writeString writes a field with a string.
+func (s *Session) writeString(name, v string) {
+	s.out.WriteString(`,"` + name + `":`)
 	b, err := json.Marshal(v)
 	if err != nil {
 		b = []byte(`""`)
 	}
-	l.out.Write(b)
+	s.out.Write(b)
 }
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink runs the decisions on the bench's wire: a batch a line on standard input, a reply a line
-// on standard output.
+// Command benchlink runs schedulers for the benchmark harness (see package benchwire): it reads a batch of messages a
+// line from standard input, and writes a reply a line to standard output.
 package main
 
 import (
@@ -14,25 +14,26 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // instances are small and most garbage is read lines: rarer collection saves CPU
+	debug.SetGCPercent(400) // schedulers are small and most garbage is input lines: collecting it less often saves CPU
 	if err := serve(os.Stdin, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
 }
 
+// serve answers batches until the end of the input. Warnings go to errs.
 func serve(in io.Reader, out, errs io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	link := benchwire.New(errs)
+	session := benchwire.New(errs)
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
 		if len(line) > 0 {
-			reply, bad := link.Answer(line)
-			if bad != nil {
-				return fmt.Errorf("line %d: %w", n, bad)
+			reply, batchErr := session.Answer(line)
+			if batchErr != nil {
+				return fmt.Errorf("line %d: %w", n, batchErr)
 			}
-			if _, bad = out.Write(reply); bad != nil {
-				return fmt.Errorf("write: %w", bad)
+			if _, batchErr = out.Write(reply); batchErr != nil {
+				return fmt.Errorf("write the reply to line %d: %w", n, batchErr)
 			}
 		}
 		if errors.Is(err, io.EOF) {
