--- a/benchwire/benchwire.go
+++ b/benchwire/benchwire.go
@@ -19,7 +19,7 @@
 
 // batch is a line of input.
 type batch struct {
-	AtUS     *int64    `json:"at_time"` // current time, in microseconds
+	AtUS     *int64    `json:"at_time"` // current time
 	Messages []message `json:"msgs"`
 }
 
@@ -35,7 +35,7 @@
 	Ref         json.RawMessage    `json:"ref"` // a txn's id, or a timer's token
 	Seed        uint64             `json:"init_seed"`
 	Settings    json.RawMessage    `json:"facts"` // see package startup
-	Scope       string             `json:"scope"` // of a list of workers
+	Scope       string             `json:"scope"` // Complete, Partial, Persisted (stored before the start) or Error (no list)
 	Elements    []element          `json:"elements"`
 	WorkHintUS  int64              `json:"work_hint"`
 	Key         string             `json:"entity"`
@@ -49,7 +49,7 @@
 	Outcome     int                `json:"outcome"` // index in outcomes
 	Closed      bool               `json:"closed"`
 	LoadReport  map[string]float64 `json:"telemetry"`
-	Sender      int                `json:"author"`
+	Sender      int                `json:"author"` // scheduler that sent Payload
 	Payload     []byte             `json:"payload"`
 }
 
@@ -95,7 +95,7 @@
 // Session runs the schedulers that one bench starts. They share nothing.
 type Session struct {
 	instances       map[int]*instance
-	unknownReported map[int]bool // by the id of a scheduler that was not started: that its messages are ignored is reported
+	unknownReported map[int]bool // ids of schedulers that were not started, with a warning written
 	warnings        io.Writer
 	out             bytes.Buffer // the reply that is being written
 }
--- a/startup/startup.go
+++ b/startup/startup.go
@@ -42,14 +42,14 @@
 		Name       string   `json:"name"`
 		Effect     string   `json:"effect"`
 		KeyScope   string   `json:"key_scope"`
-		ZonesOnly  []any    `json:"zones_only"`
-		KindsOpen  []any    `json:"kinds_open"`
-		WindowUS   int64    `json:"window"`
+		ZonesOnly  []any    `json:"zones_only"` // zones that may run it, by name or index
+		KindsOpen  []any    `json:"kinds_open"` // kinds that may run it, by name or index
+		WindowUS   int64    `json:"window"`     // how long the group remembers an idempotency key
 		SLATimeUS  int64    `json:"sla_time"`
-		AimStretch *float64 `json:"aim_stretch"`
+		AimStretch *float64 `json:"aim_stretch"` // see balance.SchemeRow.Stretch
 		ExpiryUS   int64    `json:"expiry"`
 		Gain       float64  `json:"gain"`
-		LateGain   float64  `json:"tardy_gain"`
+		LateGain   float64  `json:"tardy_gain"` // share of the gain after the SLA time
 	} `json:"schemes"`
 	Report struct {
 		Fields []string `json:"fields"`
@@ -59,34 +59,34 @@
 		QuotaPerS float64 `json:"quota_per_s"`
 	} `json:"orgs"`
 	Domain struct {
-		ClassKind    []int     `json:"class_kind"`    // by scheme: the only kind that may run it, below 0 for any
-		ClassStretch []float64 `json:"class_stretch"` // by scheme: see balance.SchemeRow.Stretch
-		TellsStart   bool      `json:"tells_start"`
+		ClassKind    []int     `json:"class_kind"`    // by scheme: the only kind that may run it; below 0: KindsOpen holds
+		ClassStretch []float64 `json:"class_stretch"` // by scheme, before AimStretch: see balance.SchemeRow.Stretch
+		TellsStart   bool      `json:"tells_start"`   // workers tell when they start to run a posting
 		ReportX0     string    `json:"report_x0"`
 	} `json:"domain"`
 	Limits struct {
-		MaxPostings      *int  `json:"max_postings"`
-		ParallelTries    bool  `json:"parallel_tries"`
+		MaxPostings      *int  `json:"max_postings"`   // of a txn; no limit if missing
+		ParallelTries    bool  `json:"parallel_tries"` // a txn may have two postings open
 		Cancel           bool  `json:"cancel"`
 		MaxRetryAfterUS  int64 `json:"max_retry_after"`
-		RetryAfter       bool  `json:"retry_after"`
+		RetryAfter       bool  `json:"retry_after"` // declined clients may be told when to come back, up to MaxRetryAfterUS
 		Peers            bool  `json:"peers"`
 		Probes           bool  `json:"probes"`
 		ConnIdleUS       int64 `json:"conn_idle"`
 		ConnectTimeoutUS int64 `json:"connect_timeout"`
 	} `json:"policy_limits"`
 	Fees struct {
-		Handshake float64 `json:"handshake"`
-		Peer      float64 `json:"peer"`
+		Handshake float64 `json:"handshake"` // cost of a new connection for each txn
+		Peer      float64 `json:"peer"`      // cost of a message to peers for each txn
 	} `json:"fees"`
 	Guarantees struct {
-		ColdFrom     float64  `json:"cold_from"`
-		ColdUS       int64    `json:"cold"`
-		FallUS       int64    `json:"fall"`
-		FallMultiple float64  `json:"fall_multiple"`
-		MustAskInUS  int64    `json:"must_ask_in"`
-		BudgetFree   *float64 `json:"budget_free"`
-		ResendRatio  *float64 `json:"resend_ratio"`
+		ColdFrom     float64  `json:"cold_from"`     // slow start: see slowstart.Limits.InitialShare
+		ColdUS       int64    `json:"cold"`          // see slowstart.Limits.WarmUp
+		FallUS       int64    `json:"fall"`          // see slowstart.Limits.Window
+		FallMultiple float64  `json:"fall_multiple"` // see slowstart.Limits.Multiple
+		MustAskInUS  int64    `json:"must_ask_in"`   // discovery has to be asked again within this time
+		BudgetFree   *float64 `json:"budget_free"`   // retry budget: postings beyond the first of each txn in LookBackUS
+		ResendRatio  *float64 `json:"resend_ratio"`  // the same, for each txn taken
 		LookBackUS   *int64   `json:"look_back"`
 	} `json:"guarantees"`
 }
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -96,19 +96,19 @@
 	overdueAt   float64 // when the answer becomes overdue
 	nextCallAt  float64 // when to make the next call after an answer that came too early
 	formerOpen  bool    // in state Moved: the connection to the former address is open
-	mayBeMissed bool    // since the last answer a watch fell silent or discovery moved, so that changes may have been missed
-
-	setAsideDue     bool    // the host is yet to set the current connection aside
-	asideOpen       bool    // a connection is set aside and still read
-	asideFormer     bool    // it leads to a former address of discovery
-	asideAnswerDue  float64 // when the answer on it was due
-	closeDue        bool    // the host is yet to close the current connection
-	reliableUntil   float64 // until when the list may be relied on
-	down            bool    // the failures since the last answer show that discovery is down, so that there is no news to miss
-	rejectedBy      rejection
-	rejectedSince   float64 // when the first call was made of those that were rejected in this way without a break
-	lastLateness    float64 // how late the last answer came that discovery held until the call's wait was over
-	pendingOutcomes []bool  // what the policy is yet to be told, see NextTold
+	mayBeMissed bool    // since the last answer a watch fell silent or discovery moved: changes may have been missed
+
+	setAsideDue     bool      // the host is yet to set the current connection aside
+	asideOpen       bool      // a connection is set aside and still read
+	asideFormer     bool      // it leads to a former address of discovery
+	asideAnswerDue  float64   // when the answer on it was due
+	closeDue        bool      // the host is yet to close the current connection
+	reliableUntil   float64   // until when the list may be relied on
+	down            bool      // the failures since the last answer show that discovery is down: there is no news to miss
+	rejectedBy      rejection // how the last first call was rejected, if it was
+	rejectedSince   float64   // when the first call was made of those that were rejected in this way without a break
+	lastLateness    float64   // how late the last answer came that discovery held until the call's wait was over
+	pendingOutcomes []bool    // what the policy is yet to be told, see NextTold
 }
 
 // New returns the watch of a scheduler that starts now. mustAskIn is the setting must_ask_in; fullRound is how long
