--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,18 +1,31 @@
 package balance
 
-// One Scheduler decides for one scheduler. The host tells it what happened (Arrived, Started, Ended, Gone,
-// ListChanged, Watched, Relies, Probed, Heard, Stops: they only update what is known), then pulls decisions, one a
-// call, until none is left (NextFinal, NextCancel, NextPosting, NextProbe, NextMessage, NextWatch), and calls
-// again at Wake. The types that cross this edge are in terms.go, inputs that only keep what is known in
-// known.go. The ordinary path is ADUS: see rerank, band, pick. The list is followed as it is told (NextWatch
-// where it has to be asked for). Beside these stand six mechanisms, some in another form among many
-// schedulers (see thin):
-//  1. Room: a ranked worker believed full passes the txn to the next rank; with no room anywhere it is held.
-//  2. Homes: a txn that needs a key is banded among the few workers that keep it.
-//  3. Suspicion: a worker that fails or falls silent stands aside until a cheap trial brings it back.
-//  4. Fresh workers: each scheduler keeps to its quota of what they are allowed, see package slowstart.
-//  5. Further postings: what never ran goes again, what may have run or waits unbegun as its scheme allows.
-//  6. Overload: told by the oldest wait; then what may gain goes first, the late is declined or called off.
+// A Scheduler makes the decisions of one scheduler process; it has no I/O and no clock. Its caller reports
+// events (Arrived, Started, Ended, Gone, ListChanged, Watched, Relies, Probed, Heard, Stops), which only update
+// state. It then polls for decisions, one per call, until there are none (NextFinal, NextCancel, NextPosting,
+// NextProbe, NextMessage, NextWatch), and polls again at Wake. The types of this interface are in terms.go, the
+// code that only updates state is in known.go.
+//
+// The ordinary path is ADUS: rerank sorts the workers by load, band divides txns by cost into bands of equal
+// work, and pickWorker sends a txn to the worker at its band's rank. The worker list is applied as discovery
+// sends it; where discovery has to be asked for it, NextWatch says when. Six mechanisms are added to ADUS. Some
+// of them work differently with many schedulers (see manySchedulers):
+//  1. Free slots: where a ranked worker is believed full, the txn goes to the next rank; if no worker has a
+//     free slot it is queued here.
+//  2. Key affinity: a txn that needs a key is banded among the few workers that cache the key.
+//  3. Ejection: a worker that fails or stops responding gets no postings until a cheap trial succeeds.
+//  4. Slow start: each scheduler keeps to its quota of what a starting worker may be sent, see package
+//     slowstart.
+//  5. Retries and hedges: a posting that never ran is retried; one that may have run, or waits unstarted, is
+//     repeated as its scheme allows. Both are counted as extra postings and limited by a retry budget.
+//  6. Overload: detected by the age of the oldest queued txn. The queue is then ordered by expected gain, and
+//     txns that would be late are declined or have their postings cancelled.
+//
+// All decisions keep four rules, to which comments refer by number:
+//  1. Each txn gets exactly one final answer, by its expiry at the latest.
+//  2. A txn that may have run is posted again, or declined, only where its scheme makes a second run harmless.
+//  3. Txns are posted only to workers that the list shows as running.
+//  4. All schedulers together keep to the budget of a worker in slow start.
 
 import (
 	"cmp"
@@ -26,1227 +39,1361 @@
 )
 
 const (
-	binsPerDouble = 4      // histogram bins: a band's edge is then off by a fifth of a cost at the most
-	numBins       = 160    // spans 40 doublings, more than any two jobs differ by
-	costsKept     = 500    // long enough that the few heavy costs do not move the edges at each one
-	costsNeeded   = 30     // fewer say little of where the work lies; among many a third, as they come slowly
-	rankAfter     = 3      // C: loads here change with each job, and a sort of a few workers costs little
-	rankPart      = 128    // in large fleets as rarely as leaves a ranking as fresh
-	rankEvery     = 1000.0 // about as old as a report gets
-	homes         = 3      // see pickHome
-	ranksSeen     = 30     // of those beyond the band's, for one that is surely free: in larger fleets one is near
-	tellEvery     = 33.0   // for each peer: a few messages a job at the most, as a job runs far longer
-	shareOver     = 4000.0 // short, as clients come in bursts, yet a dozen txns of most tenants
-	asideFirst    = 500.0  // then twice as long each time: a restart takes seconds, a slip less
-	watchFirst    = 250.0  // of the same kind, kept well below the time after which the list counts as known
-	watchGap      = 100.0  // between the first calls of two schedulers that start together
-	watchAnswer   = 2000.0 // a list service turns away what has waited longer for its answer
-	manyPeers     = 5      // each then sees a fifth of the work at the most, about a job a worker
-	warmEarly     = 2.0    // among many: a worker is taken to be warm so many times sooner than at the latest
-	runsNeeded    = 3      // so many runs show what a worker carries
-	workUnknown   = 100.0  // taken for a request's work before anything is known of it
-	settledKept   = 50     // enough that one heavy job is a small part, few enough to follow the day
-	mostBytes     = 255    // of a message, a whole number of entries
-	newsPart      = 16     // of what it keeps away: most failures are chance, and most txns settle elsewhere
-	farPart       = 50     // of a txn's work that the way to other zones may take, and is no matter
-	settledMark   = 0x80   // in an entry of a scheme that failed: it has settled since
+	// bins of the cost histogram for each doubling of the cost: a band's edge is off by at most a fifth of a
+	// cost
+	binsPerDoubling = 4
+	numBins         = 160 // spans 40 doublings, more than any two txns differ by
+	// costs in the histogram: enough that each of the few heavy costs does not move the band edges
+	recentCostCount = 500
+	// with fewer costs the distribution of work is unknown; a third is enough with many schedulers, where costs
+	// come slowly
+	minCostsForBands = 30
+	// ADUS's C: loads change with each completed txn here, and sorting a few workers is cheap
+	rerankMinCompletions = 3
+	// large fleets are ranked once per (workers / 128) completions, which leaves the ranking equally fresh
+	rerankFleetDivisor = 128
+	rerankIntervalMs   = 1000.0 // about the greatest age of a load report
+	affinityWorkers    = 3      // workers that a key is cached on, see pickByKey
+	// ranks tried after the band's own for a worker surely free: in larger fleets one is near
+	maxRanksSearched = 30
+	// a message is due this often times the number of peers: a few messages per txn at most, as a txn runs far
+	// longer
+	messageIntervalPerPeerMs = 33.0
+	// short, as clients send in bursts, but long enough for a dozen txns of most tenants
+	tenantWindowMs = 4000.0
+	// first ejection, doubled with each further failure: a restart takes seconds, a transient fault less
+	ejectionBaseMs = 500.0
+	// first backoff of a watch, doubled with each failure; kept well below watch.ToldIn, after which a list
+	// change counts as known
+	watchBackoffBaseMs   = 250.0
+	watchCallGapMs       = 100.0  // between the first watch calls of two schedulers that start together
+	watchAnswerTimeoutMs = 2000.0 // discovery turns away a call that has waited longer than this for its answer
+	// each scheduler then sees a fifth of the work at most, about one txn per worker
+	manySchedulersFrom = 5
+	// with many schedulers a worker is taken to warm up this many times as fast as the slowest rate allowed
+	earlyWarmFactor = 2.0
+	minRunSamples   = 3     // samples needed before they are used to estimate a worker's capacity
+	defaultWorkMs   = 100.0 // assumed work of a request before any is known
+	// enough that one heavy txn is a small part, few enough to follow the load over the day
+	recentSettledCount = 50
+	maxMessageBytes    = 255 // of a peer message; a whole number of 3-byte entries
+	// a report prevents one of this many failures: most failures are chance, and most txns settle elsewhere
+	reportBenefitDivisor = 16
+	// a longer round trip to other zones is ignored up to this fraction of a txn's work
+	crossZoneDivisor = 50
+	settledFlag      = 0x80 // bit in a scheme failure entry: the scheme has since settled at that worker
 )
 
-// Scheduler holds all that one scheduler knows.
+// Scheduler holds the state of one scheduler. All times are float64 milliseconds; fields ending in At are times
+// of the caller's clock.
 type Scheduler struct {
-	terms       *Terms // as last told; a txn keeps those it came under
-	seeded      uint32 // the seed's part of each draw
-	draws       uint32
-	born        float64   // when the first list came
-	stopAt      float64   // when this scheduler ends
-	coldAt      float64   // before this it sends nothing to cold workers
-	yields      bool      // another process of this scheduler decides for it
-	ledAt       float64   // when it did last
-	took        []float64 // when txns came, and postings beyond their first went out, in the budget's window
-	further     []float64
-	txns        map[string]*txn
-	held        queue      // open txns that want a posting: none is out, or the one that is out is in doubt
-	due         [2]alarms  // when those are given up, without and with overload
-	oldest      alarms     // those with nothing out, by when they came
-	excess      []*txn     // with more postings out than needed: answered, or one has begun
-	waits       []*posting // those out that have not begun, in the order in which they were made
-	oldestOut   alarms     // their txns, by when they came
-	byID        map[string]*worker
-	staffed     map[string]*staffed  // workers that staff took out, now or before
-	list        []*worker            // those the list names, in its order
-	ranks       []*ranking           // of all workers, then one for each set of them that a scheme is bound to
-	touched     []*worker            // whose load may have changed since the last ranking
-	young       []*worker            // those that may be cold, in the list's order
-	sick        []*worker            // those that failed lately
-	fulls       []sighting           // when workers showed themselves full, in order
-	below       [numBins + 1]float64 // work in the histogram below each bin, at the last ranking
-	costs       []uint8
-	costAt      int
-	bins        [numBins]int
-	allCosts    float64        // the sum of those kept
-	work        slowstart.Work // what txns cost
-	keys        []uint32       // of the last keyed txns
-	asked       map[uint32]int
-	since       int // completions since the last ranking
-	rankAt      float64
-	sizes       map[int]float64 // the most weight seen, by kind, where weights are lowered by load
-	stale       bool            // the list changed since the last ranking
-	settled     []sending       // the last txns settled
-	heaviest    float64         // the most work of them
-	runs        samples         // running times
-	left        *worker         // where an own job last ended
-	leftAt      float64
-	starting    []*worker // cold ones at which this scheduler has a quota
-	live        int       // workers that the list shows as running
-	carried     map[size]float64
-	capacity    slowstart.Capacity
-	warmOf      map[int]float64      // sizes of all warm workers, by kind, at the last ranking
-	none        map[*ranking]float64 // the least cost that no worker takes at this decision
-	salt        uint32               // the first draw of the last ranking
-	near, far   float64              // the way to workers of the own zone and of others
-	delays      samples              // times from posting to start
-	tightest    float64              // SLA time of any scheme
-	richest     float64              // the most gain that a txn of any scheme has
-	longest     []float64
-	tenants     []tenant
-	pulls       int    // postings asked for so far
-	news        []news // still to be told among many
-	toldTo      uint16 // see outs
-	moves, told int    // postings made or ended so far, and when peers were last told
-	toldAt      float64
-	heardAt     map[int]float64 // when each peer last told
-	listTill    float64         // see Relies
-	watching    bool
-	watchAt     float64
-	watchBad    int
-}
-
-// New returns a scheduler that knows nothing but its terms.
+	terms *Terms // as last set; a txn keeps those it arrived under
+	// checksum state after the seed, with which each random number starts
+	seedChecksum  uint32
+	randomDraws   uint32  // random numbers drawn so far
+	firstListAt   float64 // when the first worker list came; below 0: not yet
+	stopAt        float64 // when this scheduler process ends
+	slowStartFrom float64 // earliest time to send to workers in slow start
+	// another process of this scheduler leads: it messages peers and sends to workers in slow start
+	yielded      bool
+	leadingSince float64 // when this process last took the lead from another one
+	// times of txn arrivals within the retry budget's window
+	arrivals      []float64
+	extraPostings []float64 // times of retries and hedges within the same window
+	// open txns, and closed ones with postings in flight, by reference
+	txns map[string]*txn
+	// open txns that wait for a posting: none is in flight, or the one in flight is in doubt
+	queue txnQueue
+	// when queued txns are given up, without overload [0] and with it [1]
+	giveUpTimes     [2]txnHeap
+	queuedByArrival txnHeap // queued txns with nothing in flight, by arrival time
+	// txns with superfluous postings in flight: the txn is closed, or one of several postings has started
+	cancelCandidates []*txn
+	// postings in flight that have not started, in the order in which they were made
+	unstarted          []*posting
+	unstartedByArrival txnHeap // txns of the unstarted postings, by arrival time
+	// the workers of the list, and others with postings in flight
+	workersByID map[string]*worker
+	// operators' withdrawals of workers, present and past, by worker ID
+	withdrawals map[string]*withdrawal
+	// the workers that discovery's list names, in its order
+	list []*worker
+	// index 0 ranks all workers; one more for each set of zones and kinds that a scheme is bound to
+	rankings []*ranking
+	// workers whose load may have changed since the last ranking
+	dirty []*worker
+	// workers that may be in slow start, in the list's order
+	slowStartCandidates []*worker
+	unhealthy           []*worker // workers that failed lately
+	// when workers were observed to be full, in time order
+	fullEvents []fullEvent
+	// work in the histogram's bins below each bin, at the last ranking
+	workBelow [numBins + 1]float64
+	// histogram bins of the last costs, a ring buffer
+	recentCosts []uint8
+	oldestCost  int          // index in recentCosts of the oldest one
+	binCounts   [numBins]int // recent costs in each bin
+	costSum     float64      // sum of the recent costs
+	// mean cost and share of hinted and unhinted txns
+	workStats   slowstart.Work
+	recentKeys  []uint32       // hashes of the keys of the last keyed txns
+	keyCounts   map[uint32]int // how often each hash is in recentKeys
+	completions int            // txns settled since the last ranking
+	rankedAt    float64        // when the last ranking was made
+	// highest weight seen, by kind; used where weights are lowered by load
+	maxWeights      map[int]float64
+	rankingStale    bool        // the list changed since the last ranking
+	recentSettled   []timedWork // work of the last txns settled
+	heaviestSettled float64     // the most work among recentSettled
+	runTimes        samples     // run times of hinted txns
+	// worker where a posting of this scheduler last settled
+	lastFreed   *worker
+	lastFreedAt float64 // when that posting settled
+	// workers in slow start for which this scheduler has a quota
+	quotaWorkers []*worker
+	// number of workers that the list shows as running
+	runningWorkers    int
+	capacityEstimates map[workerSize]float64 // see capacityOf; cleared at each ranking
+	capacity          slowstart.Capacity     // what warm workers settle, by kind
+	// summed sizes of all warm workers, by kind, at the last ranking
+	warmSizes map[int]float64
+	// by ranking, the least cost that no worker accepts in the current decision
+	unplaceableCosts map[*ranking]float64
+	// number of the first random draw of the last ranking
+	tieSeed              uint32
+	sameZoneRoundTripMs  float64 // round trip to a worker of the own zone; 0: not known yet
+	crossZoneRoundTripMs float64 // round trip to a worker of another zone; 0: not known yet
+	startDelays          samples // times from posting to start
+	shortestSLAMs        float64 // shortest SLA time of any scheme
+	maxGain              float64 // highest gain that a txn of any scheme can have
+	// longest time to expiry that a txn came with, by scheme
+	longestLeftMs []float64
+	tenants       []tenant // recent arrivals of each tenant, for its quota
+	// calls of NextPosting that looked for a worker so far
+	postingDecisions int
+	// scheme failures and recoveries still to be sent to peers (many schedulers only)
+	pendingReports      []schemeReport
+	lastHashSent        uint16          // see inFlightMessage
+	inFlightChanges     int             // postings made or ended so far
+	inFlightChangesSent int             // inFlightChanges when peers were last sent a message
+	lastMessageAt       float64         // when peers were last sent a message
+	peerHeardAt         map[int]float64 // when each peer was last heard
+	listValidUntil      float64         // see Relies
+	watchPending        bool            // a list request is in progress
+	nextWatchAt         float64         // when the list is to be requested next
+	watchFailures       int             // failed list requests in a row, at most 4
+}
+
+// New returns a scheduler that knows only its terms.
 func New(terms Terms) *Scheduler {
-	s := &Scheduler{txns: map[string]*txn{}, byID: map[string]*worker{},
-		born: -1, ledAt: math.Inf(-1), stopAt: math.Inf(1), listTill: math.Inf(1),
-		staffed: map[string]*staffed{}, asked: map[uint32]int{}, carried: map[size]float64{}, warmOf: map[int]float64{},
-		none: map[*ranking]float64{}, sizes: map[int]float64{}, heardAt: map[int]float64{},
-	}
-	s.seeded = ^crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(nil, terms.Seed))
-	s.rankingOf(&SchemeRow{})
+	s := &Scheduler{txns: map[string]*txn{}, workersByID: map[string]*worker{},
+		firstListAt: -1, leadingSince: math.Inf(-1), stopAt: math.Inf(1), listValidUntil: math.Inf(1),
+		withdrawals: map[string]*withdrawal{}, keyCounts: map[uint32]int{},
+		capacityEstimates: map[workerSize]float64{}, warmSizes: map[int]float64{},
+		unplaceableCosts: map[*ranking]float64{}, maxWeights: map[int]float64{}, peerHeardAt: map[int]float64{},
+	}
+	s.seedChecksum = ^crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(nil, terms.Seed))
+	s.rankingFor(&SchemeRow{})
 	s.Retune(terms)
 	return s
 }
 
-// Retune takes other terms. Open txns keep theirs, and what was learnt stays. Who this scheduler is, its
-// peers, zones and kinds, and what workers tell must be as they were.
+// Retune replaces the terms. Open txns keep the terms they arrived under, and learned state is kept. The
+// scheduler's own number, its peers, zones and kinds, and what workers report must stay the same.
 func (s *Scheduler) Retune(terms Terms) {
-	old, longest := s.terms, s.longest
-	s.terms, s.tightest, s.richest, s.longest = &terms, math.Inf(1), 0, make([]float64, len(terms.Schemes))
+	old, oldLongestLeftMs := s.terms, s.longestLeftMs
+	s.terms, s.shortestSLAMs, s.maxGain, s.longestLeftMs = &terms, math.Inf(1), 0, make([]float64, len(terms.Schemes))
 	if len(terms.Quota) != len(s.tenants) {
 		s.tenants = make([]tenant, len(terms.Quota))
 	}
 	for i, row := range terms.Schemes {
-		s.tightest = min(s.tightest, row.SLA)
-		s.richest = max(s.richest, row.Gain, row.Gain*terms.OverGain)
-		for k := range longest {
+		s.shortestSLAMs = min(s.shortestSLAMs, row.SLA)
+		s.maxGain = max(s.maxGain, row.Gain, row.Gain*terms.OverGain)
+		for k := range oldLongestLeftMs {
 			if old.Schemes[k].Name == row.Name {
-				s.longest[i] = min(longest[k], row.Expiry)
+				s.longestLeftMs[i] = min(oldLongestLeftMs[k], row.Expiry)
 			}
 		}
-		s.rankingOf(&row)
+		s.rankingFor(&row)
 	}
-	s.stale = true
+	s.rankingStale = true
 }
 
-// ---- what is known ----
+// ---- state ----
 
-// Watched tells that the list request sent before was answered, or failed.
+// Watched reports that the previous list request was answered, or that it failed.
 func (s *Scheduler) Watched(now float64, ok bool) {
-	if s.watching = ok; ok {
-		s.watchBad = 0
+	if s.watchPending = ok; ok {
+		s.watchFailures = 0
 		return
 	}
-	// A list service that turns calls away is not helped by all schedulers calling at once again: each calls in
-	// its turn, as what breaks one watch breaks all, and when that failed too by chance.
-	s.watchBad = min(s.watchBad+1, 4)
-	wait, part := watchFirst*float64(int(1)<<s.watchBad)*1.5, (1+float64(s.chance()%1024)/1024)/2
-	// Where the list counts no more all work waits for this.
-	wait = max(min(wait, max(s.listTill-now, 6*watchFirst)), s.watchRound())
-	if left := s.listTill - now - watchAnswer; left > 0 {
-		// While it counts, an answer in time spares that. The first call may fail, and leaves time for another.
-		if wait = min(wait, left); s.watchBad == 1 {
-			if part = s.myPart(); left > watchAnswer {
-				wait = min(wait, left-watchAnswer)
+	// If all schedulers call again at once, a discovery service that turns calls away stays overloaded. Whatever
+	// breaks one watch breaks all of them, so after the first failure each scheduler calls in its turn; after
+	// further failures the time is random.
+	s.watchFailures = min(s.watchFailures+1, 4)
+	waitMs, fraction := watchBackoffBaseMs*float64(int(1)<<s.watchFailures)*1.5, (1+float64(s.nextRandom()%1024)/1024)/2
+	// Once the list has become invalid, all work waits for this call.
+	waitMs = max(min(waitMs, max(s.listValidUntil-now, 6*watchBackoffBaseMs)), s.watchSpreadMs())
+	if listValidMs := s.listValidUntil - now - watchAnswerTimeoutMs; listValidMs > 0 {
+		// While the list is still valid, an answer in time avoids that wait. The first call may fail, so time is
+		// left for a second one.
+		if waitMs = min(waitMs, listValidMs); s.watchFailures == 1 {
+			if fraction = s.turnFraction(); listValidMs > watchAnswerTimeoutMs {
+				waitMs = min(waitMs, listValidMs-watchAnswerTimeoutMs)
 			}
 		}
 	}
-	s.watchAt = now + wait*part
+	s.nextWatchAt = now + waitMs*fraction
 }
 
-// watchRound is how long all schedulers take to call one after the other, if each is to call in time, and to be
-// answered while the list still counts. A call given up in the list service's queue is still worked through
-// there: when all called at once after a restart those behind were given up too, called again, and most
-// schedulers had no list for as long as that went on.
-func (s *Scheduler) watchRound() float64 {
-	return min(watchGap*float64(s.terms.Peers-1), 0.8*s.terms.AskIn)
+// watchSpreadMs returns the time over which all schedulers spread their calls to discovery so that each one
+// calls in time and is answered while the list is still valid. Discovery still processes calls whose callers
+// have timed out in its queue: when all schedulers called at once after a restart, those at the end of the queue
+// timed out and called again, and most schedulers had no list for as long as that went on.
+func (s *Scheduler) watchSpreadMs() float64 {
+	return min(watchCallGapMs*float64(s.terms.Peers-1), 0.8*s.terms.AskIn)
 }
 
-// myPart is where among all schedulers this one's turn lies, from 0 to below 1.
-func (s *Scheduler) myPart() float64 { return float64(s.terms.Me) / float64(max(s.terms.Peers, 1)) }
+// turnFraction returns this scheduler's position in the order of all schedulers, in [0, 1).
+func (s *Scheduler) turnFraction() float64 {
+	return float64(s.terms.Me) / float64(max(s.terms.Peers, 1))
+}
 
-// Arrived takes a new txn, which is now owed one final answer.
+// Arrived adds a new txn, which from now on is owed exactly one final answer.
 func (s *Scheduler) Arrived(now float64, x Txn) {
-	t := &txn{Txn: x, terms: s.terms, came: now, until: now + x.Left, hash: crc32.ChecksumIEEE([]byte(x.Key))}
-	s.work.Arrived(x.Hint > 0)
+	t := &txn{Txn: x, terms: s.terms, arrivedAt: now, expiresAt: now + x.Left, keyHash: crc32.ChecksumIEEE([]byte(x.Key))}
+	s.workStats.Arrived(x.Hint > 0)
 	if x.Hint > 0 {
 		t.cost = x.Hint * max(x.Slots, 1)
-		s.keepCost(t.cost)
+		s.recordCost(t.cost)
 	} else {
-		t.cost = s.median()
-	}
-	// A client's later try has used up part of its SLA time already: what is left of it, against the
-	// longest left that a txn of its scheme came with, tells how much.
-	s.longest[x.Scheme] = max(s.longest[x.Scheme], x.Left)
-	row := t.row()
-	t.due = now + x.Left - s.longest[x.Scheme] + row.SLA + row.Stretch*t.run()
-	t.due, t.until = min(t.due, s.stopAt), min(t.until, s.stopAt)
+		t.cost = s.medianCost()
+	}
+	// A client's retry has already used up part of its SLA time. How much is the difference between the time
+	// left to its expiry and the longest such time that a txn of its scheme came with.
+	s.longestLeftMs[x.Scheme] = max(s.longestLeftMs[x.Scheme], x.Left)
+	row := t.schemeRow()
+	t.slaAt = now + x.Left - s.longestLeftMs[x.Scheme] + row.SLA + row.Stretch*t.expectedRunMs()
+	t.slaAt, t.expiresAt = min(t.slaAt, s.stopAt), min(t.expiresAt, s.stopAt)
 	if x.Tenant < len(s.tenants) && s.terms.Quota[x.Tenant] > 0 {
-		t.surplus = s.tenants[x.Tenant].past(now, s.terms.Quota[x.Tenant]/float64(max(s.terms.Peers, 1)), x.Repeat)
+		t.overQuota = s.tenants[x.Tenant].overQuota(now, s.terms.Quota[x.Tenant]/float64(max(s.terms.Peers, 1)), x.Repeat)
 	}
 	if x.Key != "" {
-		s.keepKey(t.hash)
+		s.recordKey(t.keyHash)
 	}
 	s.txns[x.Ref] = t
-	s.took = append(s.took, now)
-	s.hold(t)
+	s.arrivals = append(s.arrivals, now)
+	s.enqueue(t)
 }
 
-// past tells whether an arrival is beyond its tenant's share, by those within it that came lately. A repeat
-// takes none of the share: its first try has, and with overload come repeats of what was declined.
-func (n *tenant) past(now, quota float64, repeat bool) bool {
-	n.came = slices.DeleteFunc(n.came, func(at float64) bool { return at < now-shareOver })
-	if float64(len(n.came)) >= quota*shareOver/1000 {
+// overQuota reports whether an arrival exceeds its tenant's quota (txns per second), judged by the arrivals
+// within the quota in the last tenantWindowMs. A repeat uses none of the quota: its first try has done so, and
+// under overload declined txns come back as repeats.
+func (n *tenant) overQuota(now, quota float64, repeat bool) bool {
+	n.arrivals = slices.DeleteFunc(n.arrivals, func(at float64) bool { return at < now-tenantWindowMs })
+	if float64(len(n.arrivals)) >= quota*tenantWindowMs/1000 {
 		return true
 	}
 	if !repeat {
-		n.came = append(n.came, now)
+		n.arrivals = append(n.arrivals, now)
 	}
 	return false
 }
 
-func (t *txn) run() float64 { return t.cost / max(t.Slots, 1) }
+// expectedRunMs returns how long the txn is expected to run, in ms.
+func (t *txn) expectedRunMs() float64 { return t.cost / max(t.Slots, 1) }
 
-// Started tells that a posting has begun to run.
-func (s *Scheduler) Started(now float64, ref string, no int) {
-	p := s.posting(ref, no)
-	if p == nil || p.done || p.begun {
+// Started reports that a posting has begun to run.
+func (s *Scheduler) Started(now float64, ref string, number int) {
+	p := s.posting(ref, number)
+	if p == nil || p.ended || p.started {
 		return
 	}
-	waited := now-p.at > s.prompt(p.w)
-	p.begun, p.start, p.w.heardAt, p.w.begunAt = true, now, now, max(p.w.begunAt, p.at)
-	s.unwait(p)
-	if p.t.out > 1 {
-		s.excess = append(s.excess, p.t)
+	startedLate := now-p.postedAt > s.promptStartMs(p.worker)
+	p.started, p.startedAt, p.worker.lastHeardAt, p.worker.lastStartedPostedAt =
+		true, now, now, max(p.worker.lastStartedPostedAt, p.postedAt)
+	s.removeUnstarted(p)
+	if p.txn.inFlight > 1 {
+		s.cancelCandidates = append(s.cancelCandidates, p.txn)
 	}
-	p.w.delay.add(now - p.at)
-	s.delays.add(now - p.at)
-	p.w.most = max(p.w.most, len(p.w.own)-p.w.unbegun)
-	p.w.fails, p.w.aside = 0, 0
-	if waited {
-		// The slot that came free went to this one, so it is as full as before.
-		s.full(now, p.w)
+	p.worker.startDelays.add(now - p.postedAt)
+	s.startDelays.add(now - p.postedAt)
+	p.worker.maxRunning = max(p.worker.maxRunning, len(p.worker.inFlight)-p.worker.unstarted)
+	p.worker.connectionFailures, p.worker.ejectedUntil = 0, 0
+	if startedLate {
+		// This posting took the slot that came free, so the worker is as full as before.
+		s.recordFull(now, p.worker)
 	}
 }
 
-// Ended tells how a posting ended, and whether its txn is over.
-func (s *Scheduler) Ended(now float64, ref string, no int, how Outcome, closed bool, load Load) {
-	p := s.posting(ref, no)
-	if p == nil || p.done {
+// Ended reports how a posting ended, and whether its txn is closed.
+func (s *Scheduler) Ended(now float64, ref string, number int, outcome Outcome, closed bool, load Load) {
+	p := s.posting(ref, number)
+	if p == nil || p.ended {
 		return
 	}
-	t, w := p.t, p.w
-	if i := slices.Index(s.further, p.at); how == NeverSent && p.no > 0 && i >= 0 {
-		s.further = slices.Delete(s.further, i, i+1) // it does not count
-	}
-	p.done = true
-	s.unwait(p)
-	s.moves++
-	w.usedAt = now
-	w.own = slices.DeleteFunc(w.own, func(q *posting) bool { return q == p })
-	s.touch(w)
-	if !w.here && len(w.own) == 0 && s.byID[w.ID] == w {
-		delete(s.byID, w.ID)
-	}
-	t.out--
-	s.report(w, load)
-	// Where all postings are known, one that waited where slots were free was on a connection that fell
-	// silent.
-	waited := !p.begun && now-p.at > s.prompt(w) && (!s.knows() || w.known() >= w.most)
-	if how == Full || how == Cancelled && waited {
-		s.full(now, w)
-	}
-	if how == Full {
-		s.trip(now, p)
-	}
-	switch how {
+	t, w := p.txn, p.worker
+	if i := slices.Index(s.extraPostings, p.postedAt); outcome == NeverSent && p.number > 0 && i >= 0 {
+		// a posting never sent does not count against the retry budget
+		s.extraPostings = slices.Delete(s.extraPostings, i, i+1)
+	}
+	p.ended = true
+	s.removeUnstarted(p)
+	s.inFlightChanges++
+	w.lastEndedAt = now
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(q *posting) bool { return q == p })
+	s.markDirty(w)
+	if !w.inList && len(w.inFlight) == 0 && s.workersByID[w.ID] == w {
+		delete(s.workersByID, w.ID)
+	}
+	t.inFlight--
+	s.recordLoad(w, load)
+	// Where all postings at the worker are known, one that did not start although slots were free was on a
+	// connection that went silent.
+	waitedForSlot := !p.started && now-p.postedAt > s.promptStartMs(w) &&
+		(!s.knowsAllInFlight() || w.knownInFlight() >= w.maxRunning)
+	if outcome == Full || outcome == Cancelled && waitedForSlot {
+		s.recordFull(now, w)
+	}
+	if outcome == Full {
+		s.recordRoundTrip(now, p)
+	}
+	switch outcome {
 	case Done:
-		s.since++
+		s.completions++
 		work := t.cost
-		if t.Hint <= 0 && p.begun {
-			work = (now - p.start) * max(t.Slots, 1)
-			s.work.Settled(work)
+		if t.Hint <= 0 && p.started {
+			work = (now - p.startedAt) * max(t.Slots, 1)
+			s.workStats.Settled(work)
 		}
-		if s.settled = append(s.settled, sending{now, work}); len(s.settled) > settledKept {
-			s.settled = s.settled[1:]
+		if s.recentSettled = append(s.recentSettled, timedWork{now, work}); len(s.recentSettled) > recentSettledCount {
+			s.recentSettled = s.recentSettled[1:]
 		}
-		if !s.cold(now, w) {
+		if !s.inSlowStart(now, w) {
 			s.capacity.Settled(now, w.Kind, work)
 		}
-		s.heaviest = slices.MaxFunc(s.settled, func(a, b sending) int { return cmp.Compare(a.work, b.work) }).work
-		w.fails, w.aside, w.bad, w.heardAt = 0, 0, 0, now
-		if v, was := w.ill[t.row().Name]; was {
-			delete(w.ill, t.row().Name)
-			if v.bad > 1 { // after one alone nobody else stands aside
-				s.learn(now, news{w, t.row().Name, true})
+		byWork := func(a, b timedWork) int { return cmp.Compare(a.work, b.work) }
+		s.heaviestSettled = slices.MaxFunc(s.recentSettled, byWork).work
+		w.connectionFailures, w.ejectedUntil, w.badOutcomes, w.lastHeardAt = 0, 0, 0, now
+		if v, failedBefore := w.failuresByScheme[t.schemeRow().Name]; failedBefore {
+			delete(w.failuresByScheme, t.schemeRow().Name)
+			// peers eject a worker for a scheme only from its second failure on, so a single one needs no
+			// recovery report
+			if v.count > 1 {
+				s.queueReport(now, schemeReport{w, t.schemeRow().Name, true})
 			}
 		}
-		s.left, s.leftAt = w, now
-		if p.begun && t.Hint > 0 {
-			s.runs.add(now - p.start)
-			pace := t.run() / max(now-p.start, 1)
-			w.bears.add(float64(w.known()+1) * pace)
-			w.limit = limit(w.bears.at(0.5, 0))
-			w.runs.add(float64(len(w.own)-w.unbegun+1) * pace)
+		s.lastFreed, s.lastFreedAt = w, now
+		if p.started && t.Hint > 0 {
+			s.runTimes.add(now - p.startedAt)
+			pace := t.expectedRunMs() / max(now-p.startedAt, 1)
+			w.totalConcurrency.add(float64(w.knownInFlight()+1) * pace)
+			w.concurrencyLimit = concurrencyLimitFor(w.totalConcurrency.quantile(0.5, 0))
+			w.ownConcurrency.add(float64(len(w.inFlight)-w.unstarted+1) * pace)
 		}
-		for _, q := range t.posts {
-			if q.unfit { // another settled it, so the fault was that worker's
-				s.failing(now, q.w, t.row().Name, true, true)
+		for _, q := range t.postings {
+			if q.calledInvalid { // another worker settled the txn, so the verdict was that worker's fault
+				s.recordSchemeFailure(now, q.worker, t.schemeRow().Name, true, true)
 			}
 		}
 	case Unfit:
-		p.unfit, t.unfit = true, t.unfit+1
+		p.calledInvalid, t.calledInvalid = true, t.calledInvalid+1
 	case NoConnect:
-		s.failed(now, w, p.at)
+		s.recordConnectionFailure(now, w, p.postedAt)
 	case TimedOut, Cancelled:
-		s.unheard(now, p)
+		s.checkUnanswered(now, p)
 	case Reset:
-		s.failed(now, w, now)
+		s.recordConnectionFailure(now, w, now)
 		fallthrough
 	case Erred:
-		w.bad, w.badTill = w.bad+1, now+asideFirst*math.Exp2(float64(min(w.bad, 4)))
-		s.failing(now, w, t.row().Name, true, how == Erred)
-		s.ails(w)
+		w.badOutcomes, w.badOutcomeEjectedUntil =
+			w.badOutcomes+1, now+ejectionBaseMs*math.Exp2(float64(min(w.badOutcomes, 4)))
+		s.recordSchemeFailure(now, w, t.schemeRow().Name, true, outcome == Erred)
+		s.markUnhealthy(w)
 	}
-	p.ran = !how.NeverRan() && how != Done
-	t.ran = t.ran || p.ran
+	p.mayHaveRun = !outcome.NeverRan() && outcome != Done
+	t.mayHaveRun = t.mayHaveRun || p.mayHaveRun
 	if closed {
-		s.end(t)
+		s.closeTxn(t)
 	}
-	if t.over {
-		if t.out == 0 {
+	if t.closed {
+		if t.inFlight == 0 {
 			delete(s.txns, ref)
 		}
-	} else if t.out == 0 {
-		if s.hold(t); !s.affords(now, t) && float64(len(s.further)) >= s.allowance(now)/2 && s.mayDecline(t) {
-			// Its client's next try is not beyond any txn's first, and is in time if it comes at once. Held
-			// till the budget has room again it was late, and its client was told to stay away.
-			for i := range t.dueAt {
-				t.dueAt[i] = min(t.dueAt[i], now)
-				s.due[i].add(t.dueAt[i], t)
+	} else if t.inFlight == 0 {
+		if s.enqueue(t); !s.budgetAllows(now, t) && float64(len(s.extraPostings)) >= s.extraPostingsAllowed(now)/2 &&
+			s.mayDecline(t) {
+			// The client's own retry does not count as an extra posting, and is in time if it comes at once.
+			// Queued until the budget allowed another posting, the txn was late and its client was told to stay
+			// away.
+			for i := range t.giveUpAt {
+				t.giveUpAt[i] = min(t.giveUpAt[i], now)
+				s.giveUpTimes[i].add(t.giveUpAt[i], t)
 			}
 		}
 	}
 }
 
-// unheard counts a posting as failed that its worker never answers, though it answers others or a probe: a
-// long wait alone says that it is slow.
-func (s *Scheduler) unheard(now float64, p *posting) {
-	if !p.lost && (p.begun && now-p.start > 3*p.t.run() || !p.begun && s.silent(now, p) &&
-		(p.w.begunAt > p.at || p.w.free >= 1 && p.w.probedAt > p.at)) {
-		p.lost = true
-		s.failing(now, p.w, p.t.row().Name, true, true)
+// checkUnanswered records a scheme failure for a posting that its worker does not answer although it starts
+// later postings or answers a probe. A long wait alone only shows that the worker is slow.
+func (s *Scheduler) checkUnanswered(now float64, p *posting) {
+	if !p.countedLost && (p.started && now-p.startedAt > 3*p.txn.expectedRunMs() ||
+		!p.started && s.presumedLost(now, p) && (p.worker.lastStartedPostedAt > p.postedAt ||
+			p.worker.reportedFree >= 1 && p.worker.probedAt > p.postedAt)) {
+		p.countedLost = true
+		s.recordSchemeFailure(now, p.worker, p.txn.schemeRow().Name, true, true)
 	}
 }
 
-// failing stands a worker aside for one scheme: what it fails it may fail alone, and settle all others.
-func (s *Scheduler) failing(now float64, w *worker, scheme string, own, tell bool) {
-	v := w.ill[scheme]
-	tell = tell && now >= v.till // what was still out there when it went aside is no news
-	if v.bad++; own || v.bad > 1 {
-		v.till = now + asideFirst*math.Exp2(float64(min(v.bad, 4)))
+// recordSchemeFailure ejects a worker for one scheme: it may fail that scheme alone and settle all others. A
+// failure reported by a peer (not observed here) ejects it only from the second failure in a row on. report says
+// whether peers are to be told.
+func (s *Scheduler) recordSchemeFailure(now float64, w *worker, scheme string, observed, report bool) {
+	v := w.failuresByScheme[scheme]
+	report = report && now >= v.ejectedUntil // a posting made before the ejection began tells peers nothing new
+	if v.count++; observed || v.count > 1 {
+		v.ejectedUntil = now + ejectionBaseMs*math.Exp2(float64(min(v.count, 4)))
 	}
-	if w.ill == nil {
-		w.ill = map[string]ill{}
+	if w.failuresByScheme == nil {
+		w.failuresByScheme = map[string]schemeFailures{}
 	}
-	w.ill[scheme] = v
-	if s.ails(w); tell {
-		s.learn(now, news{w, scheme, false})
+	w.failuresByScheme[scheme] = v
+	if s.markUnhealthy(w); report {
+		s.queueReport(now, schemeReport{w, scheme, false})
 	}
 }
 
-// pays tells whether news may earn its price. All pay for what one tells, and gain at most what the fleet sends
-// there of that scheme meanwhile: told by each of hundreds with little work, it cost more than the failures.
-func (s *Scheduler) pays(now float64) bool {
-	peers, earned := float64(s.terms.Peers), 0.0
-	if len(s.settled) > 0 {
-		kept := float64(len(s.settled)) / max(now-s.settled[0].at, 1) * 4 * asideFirst * peers
-		earned = kept / float64(max(s.live, 1)*len(s.terms.Schemes)) / newsPart
+// reportPaysOff reports whether a failure report is worth its cost. All peers pay for a message, and the benefit
+// is at most the txns of that scheme that the whole fleet sends to the worker meanwhile: when each of hundreds
+// of schedulers with little work sent reports, they cost more than the failures.
+func (s *Scheduler) reportPaysOff(now float64) bool {
+	peers, benefit := float64(s.terms.Peers), 0.0
+	if len(s.recentSettled) > 0 {
+		avoided := float64(len(s.recentSettled)) / max(now-s.recentSettled[0].at, 1) * 4 * ejectionBaseMs * peers
+		benefit = avoided / float64(max(s.runningWorkers, 1)*len(s.terms.Schemes)) / reportBenefitDivisor
 	}
-	return earned >= s.terms.TellFee*(peers-1)*3/256
+	return benefit >= s.terms.TellFee*(peers-1)*3/256
 }
 
-// failed stands a worker aside. Where no connection came up for long it doubts what is out: a cut link gives
-// no reset, and that would stay silent. A refusal or reset is an answer: copies then only ate the fleet.
-func (s *Scheduler) failed(now float64, w *worker, since float64) {
-	w.fails, w.aside = w.fails+1, now+asideFirst*math.Exp2(float64(min(w.fails, 4)))
-	s.ails(w)
-	for _, p := range w.own {
-		if now-since > s.prompt(w) && p.t.terms.Copies && p.t.out == 1 && !p.t.over &&
-			p.t.row().Effect != OnceOnly {
-			s.hold(p.t)
+// recordConnectionFailure ejects a worker after a failed or reset connection. since is when the posting or probe
+// that could not connect was made (for a reset: now). If connecting failed only after a long wait, the worker's
+// postings in flight are queued for a second copy: a cut link sends no reset, so those postings would never be
+// answered. A refusal or a reset is an answer, after which second copies only used up capacity.
+func (s *Scheduler) recordConnectionFailure(now float64, w *worker, since float64) {
+	w.connectionFailures, w.ejectedUntil =
+		w.connectionFailures+1, now+ejectionBaseMs*math.Exp2(float64(min(w.connectionFailures, 4)))
+	s.markUnhealthy(w)
+	for _, p := range w.inFlight {
+		if now-since > s.promptStartMs(w) && p.txn.terms.Copies && p.txn.inFlight == 1 && !p.txn.closed &&
+			p.txn.schemeRow().Effect != OnceOnly {
+			s.enqueue(p.txn)
 		}
 	}
 }
 
-// Probed tells what came of a probe.
-func (s *Scheduler) Probed(now float64, id string, how Outcome, load Load) {
-	w := s.byID[id]
+// Probed reports the outcome of a probe.
+func (s *Scheduler) Probed(now float64, id string, outcome Outcome, load Load) {
+	w := s.workersByID[id]
 	if w == nil {
 		return
 	}
 	since := w.probedAt
-	w.probing, w.probedAt = false, now
-	if how == Done {
-		s.report(w, load)
-		w.fails, w.aside, w.heardAt = 0, 0, now
-	} else if w.fails > 0 || how == NoConnect || how == Reset {
-		s.failed(now, w, since) // a probe that only timed out may have waited at a busy worker
+	w.probePending, w.probedAt = false, now
+	if outcome == Done {
+		s.recordLoad(w, load)
+		w.connectionFailures, w.ejectedUntil, w.lastHeardAt = 0, 0, now
+	} else if w.connectionFailures > 0 || outcome == NoConnect || outcome == Reset {
+		s.recordConnectionFailure(now, w, since) // a probe that only timed out may have waited at a busy worker
 	}
 }
 
 // ---- the ordinary path: ADUS ----
 
-// listed tells that the list says more of loads than own postings and answers do.
-func (s *Scheduler) listed() bool { return s.terms.LiveWeight && s.thin() }
+// usesListedLoads reports whether the list's weights tell more about loads than this scheduler's own postings
+// and their answers do.
+func (s *Scheduler) usesListedLoads() bool { return s.terms.LiveWeight && s.manySchedulers() }
 
-// queue is how long a worker that holds so many txns for each core keeps a new one waiting.
-func (s *Scheduler) queue(holds float64) float64 { return max(holds-1, 0) * s.runs.at(0.5, 300) }
+// queueDelayMs returns how long, in ms, a new txn waits at a worker that holds this many txns per core.
+func (s *Scheduler) queueDelayMs(txnsPerCore float64) float64 {
+	return max(txnsPerCore-1, 0) * s.runTimes.quantile(0.5, 300)
+}
 
-// holds is how many txns a worker holds for each core, as listed some time ago.
-func (s *Scheduler) holds(w *worker) float64 { return s.sizes[w.Kind]/max(w.Weight, 1e-3) - 1 }
+// listedLoad returns how many txns per core a worker holds by its listed weight, which is some time old.
+func (s *Scheduler) listedLoad(w *worker) float64 {
+	return s.maxWeights[w.Kind]/max(w.Weight, 1e-3) - 1
+}
 
-// load is what the ranking sorts by: reported free slots, put right by own postings since, else own postings.
+// load returns the value by which workers are ranked: listed load, or reported free slots (negated) corrected by
+// the postings made since, or known postings in flight.
 func (s *Scheduler) load(w *worker) float64 {
-	if s.listed() {
-		return s.holds(w) // what reports tell with each answer is far older here
+	if s.usesListedLoads() {
+		return s.listedLoad(w) // load reports in answers are far older here
 	}
-	if w.free >= 0 {
-		return -(w.free + float64(w.ownThen-len(w.own)))
+	if w.reportedFree >= 0 {
+		return -(w.reportedFree + float64(w.inFlightAtReport-len(w.inFlight)))
 	}
-	return float64(w.known())
+	return float64(w.knownInFlight())
 }
 
-// rerank takes the workers touched since the last ranking to where they now belong.
+// rerank moves the workers marked dirty since the last ranking to their new places.
 func (s *Scheduler) rerank(now float64) {
-	s.forget(now)
-	s.starting = s.starting[:0]
-	s.salt, s.draws = s.draws, s.draws+uint32(len(s.list))
-	s.young = slices.DeleteFunc(s.young, func(w *worker) bool {
-		// A cold worker is ready only where this scheduler has a quota.
-		cold := s.cold(now, w) && w.here
-		if w.mine = cold && w.State == Running && s.quota(now, w).Any(); w.mine {
-			s.starting = append(s.starting, w)
+	s.dropSilentPeers(now)
+	s.quotaWorkers = s.quotaWorkers[:0]
+	s.tieSeed, s.randomDraws = s.randomDraws, s.randomDraws+uint32(len(s.list))
+	s.slowStartCandidates = slices.DeleteFunc(s.slowStartCandidates, func(w *worker) bool {
+		// A worker in slow start is ranked only where this scheduler has a quota for it.
+		stillStarting := s.inSlowStart(now, w) && w.inList
+		if w.hasQuota = stillStarting && w.State == Running && s.slowStartQuota(now, w).Any(); w.hasQuota {
+			s.quotaWorkers = append(s.quotaWorkers, w)
 		}
-		s.touch(w)
-		return !cold
+		s.markDirty(w)
+		return !stillStarting
 	})
-	for _, w := range s.touched {
-		w.touched = false
-		ready := w.here && w.State == Running && (w.mine || !s.cold(now, w))
+	for _, w := range s.dirty {
+		w.dirty = false
+		ready := w.inList && w.State == Running && (w.hasQuota || !s.inSlowStart(now, w))
 		load := s.load(w)
-		if w.placed && ready && load == w.rankLoad && w.rankZone == w.Zone && w.rankKind == w.Kind {
+		if w.ranked && ready && load == w.rankLoad && w.rankZone == w.Zone && w.rankKind == w.Kind {
 			continue
 		}
-		for _, r := range s.ranks {
-			if w.placed && w.slots[r.no] >= 0 {
-				r.take(w)
+		for _, r := range s.rankings {
+			if w.ranked && w.groupIndexes[r.index] >= 0 {
+				r.remove(w)
 			}
 		}
-		if w.placed = ready; ready {
+		if w.ranked = ready; ready {
 			w.rankLoad, w.rankZone, w.rankKind = load, w.Zone, w.Kind
-			for _, r := range s.ranks {
-				s.place(r, w)
+			for _, r := range s.rankings {
+				s.addIfEligible(r, w)
 			}
 		}
 	}
-	s.touched = s.touched[:0]
-	for _, r := range s.ranks {
-		r.begin()
+	s.dirty = s.dirty[:0]
+	for _, r := range s.rankings {
+		r.reset()
 	}
-	s.cut()
-	clear(s.carried)
-	s.countWarm(now)
-	s.since, s.stale, s.rankAt = 0, false, now
+	s.sumWorkBelow()
+	clear(s.capacityEstimates)
+	s.updateWarmSizes(now)
+	s.completions, s.rankingStale, s.rankedAt = 0, false, now
 }
 
-// countWarm tells the estimate of capacities which workers show it.
-func (s *Scheduler) countWarm(now float64) {
-	for kind := range s.warmOf {
-		s.warmOf[kind] = 0
+// updateWarmSizes tells the capacity estimate the summed sizes of the warm workers of each kind.
+func (s *Scheduler) updateWarmSizes(now float64) {
+	for kind := range s.warmSizes {
+		s.warmSizes[kind] = 0
 	}
 	for _, w := range s.list {
-		if w.State == Running && !s.cold(now, w) {
-			s.warmOf[w.Kind] += s.sizeOf(w)
+		if w.State == Running && !s.inSlowStart(now, w) {
+			s.warmSizes[w.Kind] += s.relativeSize(w)
 		}
 	}
-	for kind, size := range s.warmOf {
+	for kind, size := range s.warmSizes {
 		s.capacity.Warm(now, kind, size)
 	}
 }
 
-// sizeOf is a worker's size against others of its kind, as far as the list tells it.
-func (s *Scheduler) sizeOf(w *worker) float64 {
+// relativeSize returns a worker's size relative to others of its kind, as far as the list gives it.
+func (s *Scheduler) relativeSize(w *worker) float64 {
 	if s.terms.LiveWeight {
-		return 1 // its weight says how full it is
+		return 1 // here the weight tells how loaded the worker is, not its size
 	}
 	return max(w.Weight, 1e-3)
 }
 
-// band tells in which of n bands of equal work a cost lies, by the histogram as it was at the last ranking.
-// Within a bin the cut lies where the share is reached, or all jobs of one cost go to one band.
+// band returns which of n bands of equal work a cost falls into, by the histogram at the last ranking. It
+// interpolates within a bin; otherwise all txns of one cost would go to one band.
 func (s *Scheduler) band(n int, cost float64) int {
-	if s.below[numBins] == 0 {
-		s.cut()
+	if s.workBelow[numBins] == 0 {
+		s.sumWorkBelow()
 	}
-	at := min(max(math.Log2(max(cost, 1e-3))*binsPerDouble+40, 0), numBins-0.01)
-	b := int(at)
-	work := s.below[b] + (s.below[b+1]-s.below[b])*(at-float64(b))
-	return min(int(work/max(s.below[numBins], 1)*float64(n)), n-1)
+	position := min(max(math.Log2(max(cost, 1e-3))*binsPerDoubling+40, 0), numBins-0.01)
+	bin := int(position)
+	work := s.workBelow[bin] + (s.workBelow[bin+1]-s.workBelow[bin])*(position-float64(bin))
+	return min(int(work/max(s.workBelow[numBins], 1)*float64(n)), n-1)
 }
 
-// cut sums the histogram's work up, bin by bin.
-func (s *Scheduler) cut() {
-	for b, k := range s.bins {
-		s.below[b+1] = s.below[b] + float64(k)*costs[b]
+// sumWorkBelow recomputes the histogram's cumulative work, bin by bin.
+func (s *Scheduler) sumWorkBelow() {
+	for bin, count := range s.binCounts {
+		s.workBelow[bin+1] = s.workBelow[bin] + float64(count)*binCosts[bin]
 	}
 }
 
-// dueNow is when a held txn is given up. It was reckoned when it was held, but for what goes by the queues.
-func (s *Scheduler) dueNow(t *txn, crowded bool) float64 {
-	if s.queues(t) {
-		return s.decideAt(t, crowded)
+// giveUpTime returns when a queued txn is given up. The time was computed when the txn was queued, except where
+// it depends on the listed queues.
+func (s *Scheduler) giveUpTime(t *txn, overloaded bool) float64 {
+	if s.giveUpDependsOnQueues(t) {
+		return s.computeGiveUpTime(t, overloaded)
 	}
-	return t.dueAt[place(crowded)]
+	return t.giveUpAt[overloadIndex(overloaded)]
 }
 
-// queues tells of a txn whose end goes by the queues that the list shows.
-func (s *Scheduler) queues(t *txn) bool {
-	return s.listed() && t.row().Effect == OnceOnly
+// giveUpDependsOnQueues reports whether a txn's give-up time depends on the queue lengths that the list shows.
+func (s *Scheduler) giveUpDependsOnQueues(t *txn) bool {
+	return s.usesListedLoads() && t.schemeRow().Effect == OnceOnly
 }
 
-// giveUpAt is when the first held txn is given up.
-func (s *Scheduler) giveUpAt(crowded bool) float64 {
+// nextGiveUpAt returns when the next queued txn is given up.
+func (s *Scheduler) nextGiveUpAt(overloaded bool) float64 {
 	at := math.Inf(1)
-	if s.listed() {
-		for _, t := range s.held.all {
-			if t != nil && s.queues(t) {
-				at = min(at, s.decideAt(t, crowded))
+	if s.usesListedLoads() {
+		for _, t := range s.queue.slots {
+			if t != nil && s.giveUpDependsOnQueues(t) {
+				at = min(at, s.computeGiveUpTime(t, overloaded))
 			}
 		}
 	}
-	i := place(crowded)
-	due := &s.due[i]
+	i := overloadIndex(overloaded)
+	due := &s.giveUpTimes[i]
 	for len(*due) > 0 {
-		if a := (*due)[0]; a.t.held && a.at == a.t.dueAt[i] && !s.queues(a.t) {
+		if a := (*due)[0]; a.txn.queued && a.at == a.txn.giveUpAt[i] && !s.giveUpDependsOnQueues(a.txn) {
 			break
 		}
 		due.pop()
 	}
-	return min(at, due.next())
+	return min(at, due.earliest())
 }
 
-// tie orders those of equal load: the draw that belongs to this ranking and the place in the list.
-func (s *Scheduler) tie(w *worker) uint32 { return s.draw(s.salt + w.place) }
+// tieBreak orders workers of equal load by the random number that belongs to this ranking and the worker's place
+// in the list.
+func (s *Scheduler) tieBreak(w *worker) uint32 { return s.randomAt(s.tieSeed + w.listIndex) }
 
-// doubted goes through the listed workers that a probe may be for: those that failed lately, and those where
-// a posting has not begun.
-func (s *Scheduler) doubted(now float64, f func(w *worker)) {
-	s.sick = slices.DeleteFunc(s.sick, func(w *worker) bool {
-		w.sick = w.here && (w.fails > 0 || w.bad > 0 || len(w.ill) > 0 || now < max(w.aside, w.badTill))
-		return !w.sick
+// eachProbeCandidate calls f for each listed worker that may need a probe: those that failed lately, and those
+// with a posting that has not started. It may call f for a worker more than once.
+func (s *Scheduler) eachProbeCandidate(now float64, f func(w *worker)) {
+	s.unhealthy = slices.DeleteFunc(s.unhealthy, func(w *worker) bool {
+		w.unhealthy = w.inList && (w.connectionFailures > 0 || w.badOutcomes > 0 || len(w.failuresByScheme) > 0 ||
+			now < max(w.ejectedUntil, w.badOutcomeEjectedUntil))
+		return !w.unhealthy
 	})
 	if !s.terms.Probes {
 		return
 	}
-	for _, w := range s.sick {
+	for _, w := range s.unhealthy {
 		f(w)
 	}
-	for _, p := range s.waits {
-		if p.w.here {
-			f(p.w)
+	for _, p := range s.unstarted {
+		if p.worker.inList {
+			f(p.worker)
 		}
 	}
 }
 
-// pick finds the worker for a txn: that of its band's rank, else the next rank with room.
-func (s *Scheduler) pick(now float64, t *txn) *worker {
-	ranks := s.rankingOf(t.row())
-	among := func(w *worker) bool { return w != nil && w.placed && w.slots[ranks.no] >= 0 }
-	// Among many a quota at a cold worker meets few txns, and left to the ranks most of it would pass unused.
-	for _, w := range s.starting {
-		inTime := t.run() < s.limits().Share(warmEarly*(now-w.Start))*(t.due-now)
-		if s.thin() && inTime && among(w) && s.fits(now, t, w) {
+// pickWorker returns the worker for a txn: the one at its band's rank, else one at the next ranks that has a
+// free slot; nil if there is none.
+func (s *Scheduler) pickWorker(now float64, t *txn) *worker {
+	ranking := s.rankingFor(t.schemeRow())
+	eligible := func(w *worker) bool { return w != nil && w.ranked && w.groupIndexes[ranking.index] >= 0 }
+	// With many schedulers, few of this scheduler's txns fit its quota for a worker in slow start, and by rank
+	// alone most of the quota would go unused.
+	for _, w := range s.quotaWorkers {
+		inTime := t.expectedRunMs() < s.slowStartLimits().Share(earlyWarmFactor*(now-w.Start))*(t.slaAt-now)
+		if s.manySchedulers() && inTime && eligible(w) && s.mayPost(now, t, w) {
 			return w
 		}
 	}
 	if t.Key != "" {
-		return s.pickHome(now, t, ranks)
+		return s.pickByKey(now, t, ranking)
 	}
-	// Among many, the slot that an own job has just left is the one that is surely free.
-	if w := s.left; s.thin() && now-s.leftAt <= s.terms.Tick && among(w) && s.fits(now, t, w) {
+	// With many schedulers the only slot that is surely free is the one that an own posting has just left.
+	if w := s.lastFreed; s.manySchedulers() && now-s.lastFreedAt <= s.terms.Tick && eligible(w) && s.mayPost(now, t, w) {
 		return w
 	}
-	if len(s.costs) < costsNeeded && (!s.thin() || len(s.costs) < costsNeeded/3) {
+	// Until enough costs are known to divide them into bands, take the worker with the fewest own postings.
+	if len(s.recentCosts) < minCostsForBands && (!s.manySchedulers() || len(s.recentCosts) < minCostsForBands/3) {
 		var best *worker
-		for i := range ranks.len() {
-			w := ranks.at(i)
-			if (best == nil || len(w.own) < len(best.own)) && s.fits(now, t, w) {
+		for i := range ranking.len() {
+			w := ranking.workerAt(i)
+			if (best == nil || len(w.inFlight) < len(best.inFlight)) && s.mayPost(now, t, w) {
 				best = w
 			}
 		}
 		return best
 	}
-	n := ranks.len()
+	n := ranking.len()
 	band := s.band(n, t.cost)
-	// Own zone first where each crossing costs: a txn tried here and there each time, others much of their time.
-	anywhere := !s.thin() || len(t.posts) == 0 && (s.listed() || s.near == 0 ||
-		s.far-s.near < s.median()/farPart)
+	// Prefer the own zone where crossing zones is expensive: a txn that is retried crosses each time, and for
+	// others the crossing takes much of their time.
+	anyZone := !s.manySchedulers() || len(t.postings) == 0 && (s.usesListedLoads() || s.sameZoneRoundTripMs == 0 ||
+		s.crossZoneRoundTripMs-s.sameZoneRoundTripMs < s.medianCost()/crossZoneDivisor)
 	var best *worker
-	most := -1
-	for i := 0; i < n && (best == nil || i < ranksSeen) && most < 2; i++ {
-		w, value := ranks.at((band+i)%n), 0
-		if s.sure(w) && (anywhere || w.Zone == s.terms.Zone) {
-			value = 1 // and a connection to one used lately is still there
-			if !s.listed() || s.terms.NewFee == 0 || now-w.usedAt < s.terms.Idle/2 {
-				value = 2
+	bestPreference := -1
+	for i := 0; i < n && (best == nil || i < maxRanksSearched) && bestPreference < 2; i++ {
+		w, preference := ranking.workerAt((band+i)%n), 0
+		if s.belowFairShare(w) && (anyZone || w.Zone == s.terms.Zone) {
+			preference = 1
+			// a connection to a worker that was used lately is still open and costs nothing
+			if !s.usesListedLoads() || s.terms.NewFee == 0 || now-w.lastEndedAt < s.terms.Idle/2 {
+				preference = 2
 			}
 		}
-		if value > most && s.fits(now, t, w) {
-			best, most = w, value
+		if preference > bestPreference && s.mayPost(now, t, w) {
+			best, bestPreference = w, preference
 		}
 	}
 	return best
 }
 
-// ---- the exceptions ----
+// ---- exceptions to the ordinary path ----
 
-// pickHome bands a txn that needs a key among its homes, as a bound one is banded among those it may use: a
-// worker that lacks the key holds a slot idle while it fetches, and any that serves it drops another key. All
-// schedulers name the same homes, by hash; where none has room, the next by hash soon keeps the key too.
-func (s *Scheduler) pickHome(now float64, t *txn, ranks *ranking) *worker {
-	var order []entry
-	ranks.each(func(w *worker) bool {
-		// A home that is cold, dead or away would keep its txns waiting for what it can't give.
-		if !s.suspect(now, w) && s.warm(now, t, w) {
-			order = append(order, entry{uint64(mixed(w.hash, t.hash))<<32 | uint64(w.place), w})
+// pickByKey bands a txn that needs a key among the few workers that cache the key (its affinity workers), as a
+// txn of a bound scheme is banded among the workers open to it. A worker without the key holds a slot idle while
+// it fetches the key, and then evicts another key to store it. All schedulers pick the same affinity workers by
+// rendezvous hashing; where none of these has a free slot the next one by hash is used, which then soon caches
+// the key too.
+func (s *Scheduler) pickByKey(now float64, t *txn, ranking *ranking) *worker {
+	var candidates []rankEntry
+	ranking.any(func(w *worker) bool {
+		// An ejected worker, or one in slow start without quota left, would only keep the txns waiting.
+		if !s.ejected(now, w) && s.slowStartAllows(now, t, w) {
+			candidates = append(candidates, rankEntry{uint64(mixHashes(w.idHash, t.keyHash))<<32 | uint64(w.listIndex), w})
 		}
 		return false
 	})
-	// A key that many ask for has as many more homes as its part of the work fills.
-	asked := s.asked[t.hash]
-	if s.thin() {
-		asked--
+	// A popular key has additional affinity workers in proportion to its share of the work.
+	keyCount := s.keyCounts[t.keyHash]
+	if s.manySchedulers() {
+		keyCount--
 	}
-	n := homes - 1 + int(math.Ceil(float64(asked*len(order))/float64(max(len(s.keys), 1))))
-	if len(order) == 0 {
+	n := affinityWorkers - 1 + int(math.Ceil(float64(keyCount*len(candidates))/float64(max(len(s.recentKeys), 1))))
+	if len(candidates) == 0 {
 		return nil
 	}
-	n = min(n, len(order))
-	least(order, n)
-	slices.SortFunc(order[:n], func(x, y entry) int {
-		a, b := x.w, y.w
-		return cmp.Or(cmp.Compare(a.rankLoad, b.rankLoad), cmp.Compare(s.tie(a), s.tie(b)),
-			cmp.Compare(a.place, b.place))
+	n = min(n, len(candidates))
+	selectLeast(candidates, n)
+	slices.SortFunc(candidates[:n], func(x, y rankEntry) int {
+		a, b := x.worker, y.worker
+		return cmp.Or(cmp.Compare(a.rankLoad, b.rankLoad), cmp.Compare(s.tieBreak(a), s.tieBreak(b)),
+			cmp.Compare(a.listIndex, b.listIndex))
 	})
 	band := s.band(n, t.cost)
-	near := append(slices.Clone(order[band:n]), order[:band]...)
-	rest := func() []entry { // asked for rarely
-		slices.SortFunc(order[n:], func(a, b entry) int { return cmp.Compare(a.key, b.key) })
-		return order[n:]
-	}
-	if s.listed() && t.row().Effect == OnceOnly && !s.crowded(now) {
-		// It can't leave a queue, and a fetch costs less than being called off late.
-		for _, e := range append(near, rest()...) {
-			if s.holds(e.w) < 1 && s.fits(now, t, e.w) {
-				return e.w
+	affinityOrder := append(slices.Clone(candidates[band:n]), candidates[:band]...)
+	otherWorkers := func() []rankEntry { // a function, as the sort is rarely needed
+		slices.SortFunc(candidates[n:], func(a, b rankEntry) int { return cmp.Compare(a.key, b.key) })
+		return candidates[n:]
+	}
+	if s.usesListedLoads() && t.schemeRow().Effect == OnceOnly && !s.overloaded(now) {
+		// A once-only txn can't leave a worker's queue, and fetching the key costs less than being cancelled
+		// late.
+		for _, e := range append(affinityOrder, otherWorkers()...) {
+			if s.listedLoad(e.worker) < 1 && s.mayPost(now, t, e.worker) {
+				return e.worker
 			}
 		}
 	}
-	for _, e := range near {
-		if s.fits(now, t, e.w) {
-			return e.w
+	for _, e := range affinityOrder {
+		if s.mayPost(now, t, e.worker) {
+			return e.worker
 		}
 	}
-	if spare := s.spare(now, t); spare > (spare+now-t.came)/8 {
-		return nil // not yet: left sooner, homes lose their keys to others' txns and fetches eat the fleet
+	if slackMs := s.slackMs(now, t); slackMs > (slackMs+now-t.arrivedAt)/8 {
+		// wait longer: leaving the affinity workers sooner makes other workers evict keys, and the fetches use
+		// up the fleet's capacity
+		return nil
 	}
-	for _, e := range rest() {
-		if s.fits(now, t, e.w) {
-			return e.w
+	for _, e := range otherWorkers() {
+		if s.mayPost(now, t, e.worker) {
+			return e.worker
 		}
 	}
 	return nil
 }
 
-// takes works out once a decision whether a worker takes any txn now: it is asked for each of those held.
-func (s *Scheduler) takes(now float64, w *worker) bool {
-	if w.pull != s.pulls {
-		w.pull = s.pulls
-		w.open = w.State == Running && w.here && !s.suspect(now, w) && s.room(now, w)
+// accepts reports whether a worker accepts any txn now. The result is kept for the current decision, as it is
+// asked for each queued txn.
+func (s *Scheduler) accepts(now float64, w *worker) bool {
+	if w.acceptingDecision != s.postingDecisions {
+		w.acceptingDecision = s.postingDecisions
+		w.accepting = w.State == Running && w.inList && !s.ejected(now, w) && s.hasRoom(now, w)
 	}
-	return w.open
+	return w.accepting
 }
 
-// suspect tells of a worker that failed and has not had its trial: a probe where there are any, as a txn
-// waits in vain for a connection; else the next txn, later. One that ends postings badly answers probes too.
-func (s *Scheduler) suspect(now float64, w *worker) bool {
-	return w.fails > 0 && (s.terms.Probes || now < w.aside) || w.bad > 0 && now < w.badTill
+// ejected reports whether a worker that failed is still to be avoided. After a connection failure it is until a
+// probe succeeds, since a txn would wait in vain for a connection; without probes, until ejectedUntil, when the
+// next txn serves as the trial. A worker whose postings ended badly is avoided for a time only, as it answers
+// probes too.
+func (s *Scheduler) ejected(now float64, w *worker) bool {
+	return w.connectionFailures > 0 && (s.terms.Probes || now < w.ejectedUntil) ||
+		w.badOutcomes > 0 && now < w.badOutcomeEjectedUntil
 }
 
-// silent tells of a posting that has not started for long, while its worker went on with others or answered a
-// probe: it is taken for lost on its connection, and keeps others from the worker no more.
-func (s *Scheduler) silent(now float64, p *posting) bool {
-	return now > p.at+s.patience() && p.w.heardAt > p.at
+// presumedLost reports whether a posting has not started within the start timeout although its worker has since
+// started or settled others or answered a probe. It is then taken to be lost on its connection and no longer
+// keeps other txns from the worker.
+func (s *Scheduler) presumedLost(now float64, p *posting) bool {
+	return now > p.postedAt+s.startTimeoutMs() && p.worker.lastHeardAt > p.postedAt
 }
 
-// patience is how long a posting may take to start, far longer than others lately took, until its worker is
-// probed: it may be lost, as on a cut link.
-func (s *Scheduler) patience() float64 { return 3*s.delays.at(0.5, 100) + 2*s.runs.at(0.5, 300) }
+// startTimeoutMs returns how long, in ms, a posting may take to start before its worker is probed, as the
+// posting may be lost on a cut link. It is far longer than recent postings took.
+func (s *Scheduler) startTimeoutMs() float64 {
+	return 3*s.startDelays.quantile(0.5, 100) + 2*s.runTimes.quantile(0.5, 300)
+}
 
-// thin tells of so many schedulers that own postings say next to nothing of a worker's queue: a job is then
-// best sent to try for a slot, and tried elsewhere where it does not start.
-func (s *Scheduler) thin() bool { return s.terms.Peers >= manyPeers }
+// manySchedulers reports whether there are so many schedulers that the own postings say next to nothing about a
+// worker's queue. It is then best to try a worker for a slot, and another one if the posting does not start.
+func (s *Scheduler) manySchedulers() bool { return s.terms.Peers >= manySchedulersFrom }
 
-// tryAt is when a posting that has not begun is taken to wait in a queue, or on a connection that fell
-// silent: its txn may try elsewhere. One with a key may not: its copies fetched it, at the cost of others'
-// keys, and some ran though called off. A few schedulers know where there is room: a wait is mostly short.
-func (s *Scheduler) tryAt(p *posting) float64 {
-	if !s.terms.TellsStart || !p.t.terms.Copies || !s.terms.Cancels || p.off || p.t.Key != "" ||
-		p.t.row().Effect == OnceOnly || len(p.t.posts) >= p.t.terms.MaxPosts {
+// hedgeAt returns when an unstarted posting is taken to wait in a queue, or on a silent connection, so that its
+// txn may be posted to another worker too. Txns with a key are not hedged: the second worker fetched the key,
+// evicting other keys, and some copies ran although cancelled. With few schedulers it is known where slots are
+// free and waits are mostly short, so the delay is longer.
+func (s *Scheduler) hedgeAt(p *posting) float64 {
+	if !s.terms.TellsStart || !p.txn.terms.Copies || !s.terms.Cancels || p.cancelled || p.txn.Key != "" ||
+		p.txn.schemeRow().Effect == OnceOnly || len(p.txn.postings) >= p.txn.terms.MaxPosts {
 		return math.Inf(1)
 	}
-	if !s.thin() {
-		return p.at + 4*s.prompt(p.w)
+	if !s.manySchedulers() {
+		return p.postedAt + 4*s.promptStartMs(p.worker)
 	}
-	return p.at + s.prompt(p.w)
+	return p.postedAt + s.promptStartMs(p.worker)
 }
 
-// knows tells that peers tell of all postings that are not own.
-func (s *Scheduler) knows() bool { return s.terms.Peers <= 1 || s.terms.Messages && !s.thin() }
+// knowsAllInFlight reports whether the postings of all peers are known.
+func (s *Scheduler) knowsAllInFlight() bool {
+	return s.terms.Peers <= 1 || s.terms.Messages && !s.manySchedulers()
+}
 
-func (s *Scheduler) fits(now float64, t *txn, w *worker) bool {
-	// A queue that outlasts all that a txn can spare is of work that was called off and not dropped.
-	if s.listed() && (t.out > 0 || t.row().Effect == OnceOnly) &&
-		s.queue(s.holds(w)) > s.spare(now, t) {
+// mayPost reports whether a txn may be posted to a worker now.
+func (s *Scheduler) mayPost(now float64, t *txn, w *worker) bool {
+	// A queue that takes longer than the txn's slack consists of work that was cancelled and not dropped.
+	if s.usesListedLoads() && (t.inFlight > 0 || t.schemeRow().Effect == OnceOnly) &&
+		s.queueDelayMs(s.listedLoad(w)) > s.slackMs(now, t) {
 		return false
 	}
-	v := w.ill[t.row().Name]
-	if t.row().Effect == OnceOnly && max(v.bad, w.bad) > 1 {
-		v.till = max(v.till, w.badTill) + 16*asideFirst // trials with one that can't go again are rare
+	v := w.failuresByScheme[t.schemeRow().Name]
+	if t.schemeRow().Effect == OnceOnly && max(v.count, w.badOutcomes) > 1 {
+		// a once-only txn can't be retried, so it is seldom used as the trial
+		v.ejectedUntil = max(v.ejectedUntil, w.badOutcomeEjectedUntil) + 16*ejectionBaseMs
 	}
-	return now >= v.till && s.takes(now, w) && s.mayGo(now, t, w) && s.warm(now, t, w)
+	return now >= v.ejectedUntil && s.accepts(now, w) && s.repeatAllowed(now, t, w) && s.slowStartAllows(now, t, w)
 }
 
-// mayGo keeps rule 2.
-func (s *Scheduler) mayGo(now float64, t *txn, w *worker) bool {
-	row := t.row()
-	for _, p := range t.posts {
-		if p.w == w && (!p.done || p.unfit) {
-			return false // a second copy where the first is gains nothing
+// repeatAllowed enforces rule 2: a txn that may have run is repeated only as its scheme allows (anywhere if
+// repeatable, within the group and window if referenced, never if once-only).
+func (s *Scheduler) repeatAllowed(now float64, t *txn, w *worker) bool {
+	row := t.schemeRow()
+	for _, p := range t.postings {
+		if p.worker == w && (!p.ended || p.calledInvalid) {
+			return false // a second copy at the same worker gains nothing
 		}
-		if p.done && !p.ran || row.Effect == Repeatable {
+		if p.ended && !p.mayHaveRun || row.Effect == Repeatable {
 			continue
 		}
-		if row.Effect == OnceOnly || now-p.at >= row.Window ||
-			row.Group == GroupZone && w.Zone != p.w.Zone || row.Group == GroupCell && w.Cell != p.w.Cell {
+		if row.Effect == OnceOnly || now-p.postedAt >= row.Window ||
+			row.Group == GroupZone && w.Zone != p.worker.Zone || row.Group == GroupCell && w.Cell != p.worker.Cell {
 			return false
 		}
 	}
 	return true
 }
 
-// windowEnd is until when a txn that may have run may go again.
-func (s *Scheduler) windowEnd(t *txn) float64 {
-	row, end := t.row(), math.Inf(1)
-	for _, p := range t.posts {
-		if (p.ran || !p.done) && row.Effect == Referenced {
-			end = min(end, p.at+row.Window)
+// dedupWindowEnd returns until when a referenced txn that may have run may be posted again: the group forgets
+// its mark after that. +Inf if there is no limit.
+func (s *Scheduler) dedupWindowEnd(t *txn) float64 {
+	row, end := t.schemeRow(), math.Inf(1)
+	for _, p := range t.postings {
+		if (p.mayHaveRun || !p.ended) && row.Effect == Referenced {
+			end = min(end, p.postedAt+row.Window)
 		}
 	}
 	return end
 }
 
-func (s *Scheduler) prompt(w *worker) float64 {
-	return 4*w.delay.at(0, 20) + 4*s.terms.Tick
+// promptStartMs returns the time, in ms, within which a posting starts at a worker with a free slot.
+func (s *Scheduler) promptStartMs(w *worker) float64 {
+	return 4*w.startDelays.quantile(0, 20) + 4*s.terms.Tick
 }
 
-// room tells whether a worker is believed to have a free slot. Where starts are told, a posting that has not
-// started promptly shows that it has none.
-func (s *Scheduler) room(now float64, w *worker) bool {
-	if w.known() >= w.limit {
+// hasRoom reports whether a worker is believed to have a free slot. Where workers report starts, a posting that
+// has not started promptly shows that it has none.
+func (s *Scheduler) hasRoom(now float64, w *worker) bool {
+	if w.knownInFlight() >= w.concurrencyLimit {
 		return false
 	}
-	waits := func(p *posting) bool { return !p.begun && !s.silent(now, p) }
-	if w.unbegun > 0 && slices.ContainsFunc(w.own, waits) {
+	waitsToStart := func(p *posting) bool { return !p.started && !s.presumedLost(now, p) }
+	if w.unstarted > 0 && slices.ContainsFunc(w.inFlight, waitsToStart) {
 		return false
 	}
-	return w.known() < w.fullWith || now >= w.fullAt+s.fullFor()
+	return w.knownInFlight() < w.inFlightWhenFull || now >= w.lastFullAt+s.fullForMs()
 }
 
-// sure tells whether this scheduler holds less than its even part of the slots there: where the others hold
-// as much and tell nothing of it, room beyond that part is only a guess.
-func (s *Scheduler) sure(w *worker) bool {
-	part := w.most
+// belowFairShare reports whether this scheduler uses less than its even share of the worker's slots: where the
+// others use as many and send no messages about it, free slots beyond that share are only a guess.
+func (s *Scheduler) belowFairShare(w *worker) bool {
+	share := w.maxRunning
 	if !s.terms.Messages {
-		part /= max(s.terms.Peers, 1)
+		share /= max(s.terms.Peers, 1)
 	}
-	return w.known() < max(part, 1)
+	return w.knownInFlight() < max(share, 1)
 }
 
-// limit is how many a worker is given at once, one above what ran there lately at the pace of the hints: with
-// more slots than cores, or a neighbour on them, the free ones only make all that runs there late.
-func limit(bears float64) int { return 1 + int(math.Ceil(bears)) }
+// concurrencyLimitFor returns how many txns a worker is given at once: one more than ran there lately at the
+// pace of their hints. Where a worker has more slots than cores, or another program uses its cores, using all
+// free slots only makes everything that runs there late.
+func concurrencyLimitFor(concurrency float64) int { return 1 + int(math.Ceil(concurrency)) }
 
-// fullFor is how long a worker that showed itself full is believed to be so: a trial sooner mostly waits
-// there, late, and a slot that an own posting leaves is known at once.
-func (s *Scheduler) fullFor() float64 {
-	if s.thin() {
-		return 0.25 * s.runs.at(0.5, 100)
+// fullForMs returns how long, in ms, a worker observed to be full is believed to be so. A posting tried sooner
+// mostly waits there and is late; a slot freed by an own posting is known at once.
+func (s *Scheduler) fullForMs() float64 {
+	if s.manySchedulers() {
+		return 0.25 * s.runTimes.quantile(0.5, 100)
 	}
-	return 16 * s.runs.at(0.5, 100)
+	return 16 * s.runTimes.quantile(0.5, 100)
 }
 
-func (s *Scheduler) cold(now float64, w *worker) bool {
+// inSlowStart reports whether a worker started less than ColdFor ago.
+func (s *Scheduler) inSlowStart(now float64, w *worker) bool {
 	return w.Start > 0 && now-w.Start < s.terms.ColdFor
 }
 
-// limits is what the settings allow workers in slow start.
-func (s *Scheduler) limits() slowstart.Limits {
+// slowStartLimits returns what the settings allow for workers in slow start.
+func (s *Scheduler) slowStartLimits() slowstart.Limits {
 	t := s.terms
 	return slowstart.Limits{InitialShare: t.ColdFrom, WarmUp: t.ColdFor, Window: t.Fall, Multiple: t.FallTimes}
 }
 
-// quota is what this scheduler may send to a worker in slow start in any window.
-func (s *Scheduler) quota(now float64, w *worker) slowstart.Quota {
+// slowStartQuota returns what this scheduler may send to a worker in slow start in any window of length Fall.
+func (s *Scheduler) slowStartQuota(now float64, w *worker) slowstart.Quota {
 	fleet := slowstart.Fleet{Number: s.terms.Me, Size: s.terms.Peers}
-	return s.limits().Quota(fleet, w.hash, now-w.Start, s.carries(w), s.requests())
+	return s.slowStartLimits().Quota(fleet, w.idHash, now-w.Start, s.capacityOf(w), s.requestStats())
 }
 
-// requests is what is known of the requests that come.
-func (s *Scheduler) requests() slowstart.Requests {
-	return slowstart.Requests{MeanWork: s.meanWork(), Heaviest: s.heaviest, Unhinted: s.work.Unhinted()}
+// requestStats returns what is known about incoming requests.
+func (s *Scheduler) requestStats() slowstart.Requests {
+	return slowstart.Requests{MeanWork: s.meanWork(), Heaviest: s.heaviestSettled, Unhinted: s.workStats.Unhinted()}
 }
 
-// carries estimates what a warm worker of the same size carries at the least, in jobs at the pace of their
-// hints: as many own ones as run together there at the pace that they have then, or what all schedulers settle at
-// one in the mean. (The most own ones ever seen together were all the slots of a worker with half as many cores, or
-// more where some had ended and nobody said so.) It is worked out once a ranking.
-func (s *Scheduler) carries(w *worker) float64 {
-	like := size{w.Kind, w.Weight}
-	if _, ok := s.carried[like]; !ok {
-		slots := 1.0
+// capacityOf estimates a lower bound of what a warm worker of the same size runs at once, in txns at the pace of
+// their hints: the greater of what own postings there amounted to together, and of what one worker settles in
+// the mean if all schedulers settle as much as this one. (The highest number of own postings ever seen in flight
+// would be wrong: it counted all slots of a worker with half as many cores, or more where some had ended without
+// notice.) It is computed once per ranking.
+func (s *Scheduler) capacityOf(w *worker) float64 {
+	size := workerSize{w.Kind, w.Weight}
+	if _, ok := s.capacityEstimates[size]; !ok {
+		capacity := 1.0
 		for _, o := range s.list {
 			if o.Kind == w.Kind && o.Weight <= w.Weight*1.01 {
-				slots = max(slots, o.carried())
+				capacity = max(capacity, o.observedCapacity())
 			}
 		}
-		slots = max(slots, s.capacity.Of(s.rankAt, w.Kind, s.sizeOf(w), s.terms.Peers))
-		s.carried[like] = slots
+		capacity = max(capacity, s.capacity.Of(s.rankedAt, w.Kind, s.relativeSize(w), s.terms.Peers))
+		s.capacityEstimates[size] = capacity
 	}
-	return s.carried[like]
+	return s.capacityEstimates[size]
 }
 
-// warm keeps rule 4: until a worker counts as warm, this scheduler sends it no more than its quota.
-func (s *Scheduler) warm(now float64, t *txn, w *worker) bool {
-	if !s.cold(now, w) {
+// slowStartAllows enforces rule 4: this scheduler sends a worker in slow start no more than its quota.
+func (s *Scheduler) slowStartAllows(now float64, t *txn, w *worker) bool {
+	if !s.inSlowStart(now, w) {
 		return true
 	}
-	if now < s.coldAt {
+	if now < s.slowStartFrom {
 		return false
 	}
-	quota, sent := s.quota(now, w), w.sent.Within(now, s.terms.Fall)
+	quota, sent := s.slowStartQuota(now, w), w.slowStartLog.Within(now, s.terms.Fall)
 	if t.Hint > 0 {
 		return quota.Admits(sent, t.cost)
 	}
-	return quota.AdmitsUnhinted(sent, s.coldCost(t))
+	return quota.AdmitsUnhinted(sent, s.slowStartCost(t))
 }
 
-// coldCost is what a txn counts for at a cold worker. One without a hint counts as the heaviest of the last
-// settled: at the median, a few heavy ones pushed workers over.
-func (s *Scheduler) coldCost(t *txn) float64 {
+// slowStartCost returns the cost that a txn counts for at a worker in slow start. One without a hint counts as
+// the heaviest of the recently settled txns: counted at the median, a few heavy ones overloaded workers.
+func (s *Scheduler) slowStartCost(t *txn) float64 {
 	if t.Hint > 0 {
 		return t.cost
 	}
-	return max(t.cost, s.heaviest)
+	return max(t.cost, s.heaviestSettled)
 }
 
-// spare is how long a txn can still wait and be in time by its hint. How long hinted work took lately does
-// not come in: with rough hints that says as much of the hints as of the workers.
-func (s *Scheduler) spare(now float64, t *txn) float64 {
-	return t.due - now - t.run()
+// slackMs returns how long, in ms, a txn can still wait and be in time by its hint. Recent run times of hinted
+// txns are not used: where hints are rough, these say as much about the hints as about the workers.
+func (s *Scheduler) slackMs(now float64, t *txn) float64 {
+	return t.slaAt - now - t.expectedRunMs()
 }
 
-// crowded tells overload: the oldest held txn has waited beyond the tightest SLA time.
-func (s *Scheduler) crowded(now float64) bool {
-	for len(s.oldest) > 0 && !(s.oldest[0].t.held && s.oldest[0].t.out == 0) {
-		s.oldest.pop()
+// overloaded reports overload: the oldest queued txn has waited longer than the shortest SLA time.
+func (s *Scheduler) overloaded(now float64) bool {
+	for len(s.queuedByArrival) > 0 && !(s.queuedByArrival[0].txn.queued && s.queuedByArrival[0].txn.inFlight == 0) {
+		s.queuedByArrival.pop()
 	}
-	if now-s.oldest.next() > s.tightest {
+	if now-s.queuedByArrival.earliest() > s.shortestSLAMs {
 		return true
 	}
-	// Among many, work is held by workers' queues too, as own postings do not tell where there is room.
-	for len(s.oldestOut) > 0 && s.oldestOut[0].t.waits == 0 {
-		s.oldestOut.pop()
+	// With many schedulers txns also wait in workers' queues, as the own postings do not show where slots are
+	// free.
+	for len(s.unstartedByArrival) > 0 && s.unstartedByArrival[0].txn.unstarted == 0 {
+		s.unstartedByArrival.pop()
 	}
-	return s.thin() && now-s.oldestOut.next() > s.tightest
+	return s.manySchedulers() && now-s.unstartedByArrival.earliest() > s.shortestSLAMs
 }
 
-// order tells which held txn goes first: the sooner due, unless it is crowded, when going by due times makes
-// every txn a late one: then the most gain that is still likely to be had.
-func (s *Scheduler) order(now float64, t *txn, crowded bool) float64 {
-	row := t.row()
-	gain, spare := row.Gain, s.spare(now, t)
-	if t.surplus {
+// priority returns a queued txn's priority, highest first. Normally the txn with the least slack relative to its
+// gain goes first. Under overload that order would make every txn late, so the highest gain that can still be
+// earned in time goes first.
+func (s *Scheduler) priority(now float64, t *txn, overloaded bool) float64 {
+	row := t.schemeRow()
+	gain, slackMs := row.Gain, s.slackMs(now, t)
+	if t.overQuota {
 		gain *= s.terms.OverGain
 	}
-	if spare < 0 {
-		return gain * row.LateGain / (1 + t.row().Expiry)
+	if slackMs < 0 {
+		return gain * row.LateGain / (1 + t.schemeRow().Expiry)
 	}
-	if crowded {
-		return gain * min(spare/(t.run()/2), 1)
+	if overloaded {
+		return gain * min(slackMs/(t.expectedRunMs()/2), 1)
 	}
-	return gain / (s.runs.at(0.5, 100) + spare)
+	return gain / (s.runTimes.quantile(0.5, 100) + slackMs)
 }
 
 // NextPosting decides the next posting to make.
 func (s *Scheduler) NextPosting(now float64) (Post, bool) {
-	for _, p := range s.waits {
-		s.unheard(now, p)
-		if p.t.out == 1 && !p.t.over && !p.t.held && now >= s.tryAt(p) && s.affords(now, p.t) {
-			s.hold(p.t)
+	for _, p := range s.unstarted {
+		s.checkUnanswered(now, p)
+		if p.txn.inFlight == 1 && !p.txn.closed && !p.txn.queued && now >= s.hedgeAt(p) && s.budgetAllows(now, p.txn) {
+			s.enqueue(p.txn)
 		}
 	}
-	if s.held.n == 0 || now >= s.listTill {
+	if s.queue.count == 0 || now >= s.listValidUntil {
 		return Post{}, false
 	}
-	if s.stale || s.since >= max(rankAfter, len(s.list)/rankPart) || now >= s.rankAt+rankEvery {
+	if s.rankingStale || s.completions >= max(rerankMinCompletions, len(s.list)/rerankFleetDivisor) ||
+		now >= s.rankedAt+rerankIntervalMs {
 		s.rerank(now)
 	}
-	s.pulls++
-	if !s.ranks[0].each(func(w *worker) bool { return s.takes(now, w) }) {
+	s.postingDecisions++
+	if !s.rankings[0].any(func(w *worker) bool { return s.accepts(now, w) }) {
 		return Post{}, false
 	}
-	var best *txn
-	var to *worker
-	most, crowded := 0.0, s.crowded(now)
-	clear(s.none)
-	for _, t := range s.held.all {
-		if t == nil || len(t.posts) >= t.terms.MaxPosts || !s.affords(now, t) {
+	var bestTxn *txn
+	var bestWorker *worker
+	bestPriority, overloaded := 0.0, s.overloaded(now)
+	clear(s.unplaceableCosts)
+	for _, t := range s.queue.slots {
+		if t == nil || len(t.postings) >= t.terms.MaxPosts || !s.budgetAllows(now, t) {
 			continue
 		}
-		if o := s.order(now, t, crowded); (best == nil || o > most) && !s.nowhere(t) {
-			if w := s.pick(now, t); w != nil {
-				best, to, most = t, w, o
+		if priority := s.priority(now, t, overloaded); (bestTxn == nil || priority > bestPriority) && !s.unplaceable(t) {
+			if w := s.pickWorker(now, t); w != nil {
+				bestTxn, bestWorker, bestPriority = t, w, priority
 			} else {
-				s.seek(now, t)
+				s.recordUnplaceable(now, t)
 			}
 		}
-		if best != nil && crowded && most >= s.richest {
-			break // no other can go before it
+		if bestTxn != nil && overloaded && bestPriority >= s.maxGain {
+			break // no other txn can have a higher priority
 		}
 	}
-	if best == nil {
+	if bestTxn == nil {
 		return Post{}, false
 	}
-	if s.cold(now, to) {
-		to.sent.Add(now, s.terms.Fall, s.coldCost(best))
-	}
-	p := &posting{t: best, w: to, no: len(best.posts), at: now}
-	if best.posts = append(best.posts, p); p.no > 0 {
-		s.further = append(s.further, now)
-	}
-	best.out++
-	s.moves++
-	to.own = append(to.own, p)
-	s.touch(to)
-	if s.terms.TellsStart { // elsewhere it says nothing that one has not begun
-		s.waits = append(s.waits, p)
-		to.unbegun++
-		best.waits++
-		s.oldestOut.add(best.came, best)
-	}
-	s.held.drop(best)
-	return Post{Ref: best.Ref, Worker: to.ID, By: s.windowEnd(best)}, true
-}
-
-// affords keeps the budget of further postings, in the window that ends now: at its edge a txn counts no
-// more, and a posting still does. A copy is only a guess, so that it may use half; what has nothing out may
-// use all. What another process of this scheduler may use beside it is left to that one.
-func (s *Scheduler) affords(now float64, t *txn) bool {
-	allowed := s.allowance(now)
-	if t.out > 0 {
+	if s.inSlowStart(now, bestWorker) {
+		bestWorker.slowStartLog.Add(now, s.terms.Fall, s.slowStartCost(bestTxn))
+	}
+	p := &posting{txn: bestTxn, worker: bestWorker, number: len(bestTxn.postings), postedAt: now}
+	if bestTxn.postings = append(bestTxn.postings, p); p.number > 0 {
+		s.extraPostings = append(s.extraPostings, now)
+	}
+	bestTxn.inFlight++
+	s.inFlightChanges++
+	bestWorker.inFlight = append(bestWorker.inFlight, p)
+	s.markDirty(bestWorker)
+	if s.terms.TellsStart { // without start reports, not having started says nothing
+		s.unstarted = append(s.unstarted, p)
+		bestWorker.unstarted++
+		bestTxn.unstarted++
+		s.unstartedByArrival.add(bestTxn.arrivedAt, bestTxn)
+	}
+	s.queue.remove(bestTxn)
+	return Post{Ref: bestTxn.Ref, Worker: bestWorker.ID, By: s.dedupWindowEnd(bestTxn)}, true
+}
+
+// budgetAllows enforces the retry budget: extra postings (retries and hedges) in the window that ends now. At
+// the window's far edge an arrival no longer counts and an extra posting still does. A hedge is only a guess and
+// may use half of the budget; a txn with nothing in flight may use all. A process that does not lead leaves
+// BudgetFree to the scheduler's leading process.
+func (s *Scheduler) budgetAllows(now float64, t *txn) bool {
+	allowed := s.extraPostingsAllowed(now)
+	if t.inFlight > 0 {
 		allowed /= 2
 	}
-	return s.terms.BudgetFor <= 0 || len(t.posts) == 0 || float64(len(s.further)+1) <= allowed+1e-9
+	return s.terms.BudgetFor <= 0 || len(t.postings) == 0 || float64(len(s.extraPostings)+1) <= allowed+1e-9
 }
 
-func (s *Scheduler) allowance(now float64) float64 {
+// extraPostingsAllowed returns how many extra postings the retry budget allows in the window that ends now.
+func (s *Scheduler) extraPostingsAllowed(now float64) float64 {
 	terms := s.terms
 	from := now - terms.BudgetFor
-	for len(s.took) > 0 && s.took[0] <= from {
-		s.took = s.took[1:]
+	for len(s.arrivals) > 0 && s.arrivals[0] <= from {
+		s.arrivals = s.arrivals[1:]
 	}
-	for len(s.further) > 0 && s.further[0] < from {
-		s.further = s.further[1:]
+	for len(s.extraPostings) > 0 && s.extraPostings[0] < from {
+		s.extraPostings = s.extraPostings[1:]
 	}
-	allowed := terms.BudgetRatio * float64(len(s.took))
-	if !s.yields && now >= s.ledAt+terms.BudgetFor {
+	allowed := terms.BudgetRatio * float64(len(s.arrivals))
+	if !s.yielded && now >= s.leadingSince+terms.BudgetFor {
 		allowed += terms.BudgetFree
 	}
 	return allowed
 }
 
-// seek notes, where no worker at all takes a txn of this cost now, that none takes a costlier one of those
-// bound alike either: with overload each of thousands held asked each worker in vain.
-func (s *Scheduler) seek(now float64, t *txn) {
-	ranks := s.rankingOf(t.row())
-	if t.Hint > 0 && !ranks.each(func(w *worker) bool { return s.takes(now, w) && s.warm(now, t, w) }) {
-		s.none[ranks] = t.cost
+// recordUnplaceable records, where no worker at all accepts a txn of this cost now, that none accepts a costlier
+// txn of the same ranking either: under overload each of thousands of queued txns was checked against each
+// worker in vain.
+func (s *Scheduler) recordUnplaceable(now float64, t *txn) {
+	ranking := s.rankingFor(t.schemeRow())
+	if t.Hint > 0 && !ranking.any(func(w *worker) bool { return s.accepts(now, w) && s.slowStartAllows(now, t, w) }) {
+		s.unplaceableCosts[ranking] = t.cost
 	}
 }
 
-func (s *Scheduler) nowhere(t *txn) bool {
-	least, ok := s.none[s.rankingOf(t.row())]
+// unplaceable reports whether a txn of at most this cost has already found no worker in the current decision.
+func (s *Scheduler) unplaceable(t *txn) bool {
+	least, ok := s.unplaceableCosts[s.rankingFor(t.schemeRow())]
 	return ok && t.Hint > 0 && t.cost >= least
 }
 
-// NextFinal decides the next final answer.
+// NextFinal decides the next final answer that is not a settled posting's.
 func (s *Scheduler) NextFinal(now float64) (Final, bool) {
-	crowded := s.crowded(now)
-	if now < s.giveUpAt(crowded) {
+	overloaded := s.overloaded(now)
+	if now < s.nextGiveUpAt(overloaded) {
 		return Final{}, false
 	}
-	for _, t := range s.held.all {
-		if t == nil || now < s.dueNow(t, crowded) {
+	for _, t := range s.queue.slots {
+		if t == nil || now < s.giveUpTime(t, overloaded) {
 			continue
 		}
 		f := Final{Ref: t.Ref, Declined: s.mayDecline(t)}
-		// One that can still be in time may find a slot at once on its next try; long advice made it late.
-		stop := s.stopAt // kept connections lead here again, unless they part
-		if s.yields {
-			stop = math.Inf(1)
+		// A txn that can still be in time may find a free slot on the client's immediate retry; told to stay
+		// away for long it came back late. Before a shutdown the client is told to stay away in any case, as its
+		// kept-alive connection would lead its retry back to this scheduler.
+		stopAt := s.stopAt
+		if s.yielded {
+			stopAt = math.Inf(1)
 		}
-		if f.Declined && (s.spare(now, t) <= 0 || stop < math.Inf(1)) {
-			f.Stay = min(s.terms.MaxStay, max(stop-now, 0))
+		if f.Declined && (s.slackMs(now, t) <= 0 || stopAt < math.Inf(1)) {
+			f.Stay = min(s.terms.MaxStay, max(stopAt-now, 0))
 		}
-		s.end(t)
+		s.closeTxn(t)
 		return f, true
 	}
 	return Final{}, false
 }
 
-// mayDecline keeps rule 2: a decline says that trying again is harmless.
+// mayDecline enforces rule 2 for answers: a decline tells the client that trying again is harmless.
 func (s *Scheduler) mayDecline(t *txn) bool {
-	row := t.row()
-	return !t.ran && t.out == 0 || row.Effect == Repeatable || row.Effect == Referenced && row.Group == GroupAll
+	row := t.schemeRow()
+	return !t.mayHaveRun && t.inFlight == 0 || row.Effect == Repeatable ||
+		row.Effect == Referenced && row.Group == GroupAll
 }
 
-// decideAt is when a held txn is given up: at once where nothing more can be done for it, else when an answer
-// can no longer earn enough.
-func (s *Scheduler) decideAt(t *txn, crowded bool) float64 {
-	row := t.row()
-	if t.out > 0 {
-		return math.Inf(1) // the posting that is out may still settle it, and ends by its expiry
+// computeGiveUpTime returns when a queued txn is given up: at once (0) where nothing more can be done for it,
+// else when an answer can no longer earn enough gain.
+func (s *Scheduler) computeGiveUpTime(t *txn, overloaded bool) float64 {
+	row := t.schemeRow()
+	if t.inFlight > 0 {
+		return math.Inf(1) // the posting in flight may still settle the txn, and ends by the txn's expiry
 	}
-	if len(t.posts) >= t.terms.MaxPosts || t.ran && row.Effect == OnceOnly || t.unfit > 1 {
+	if len(t.postings) >= t.terms.MaxPosts || t.mayHaveRun && row.Effect == OnceOnly || t.calledInvalid > 1 {
 		return 0
 	}
-	last, needs := t.until-2*s.terms.Tick, t.run()
+	lastUsefulAt, neededMs := t.expiresAt-2*s.terms.Tick, t.expectedRunMs()
 	if row.Effect != Repeatable {
-		needs *= 2 // cut at a stop it can't be declined
+		// a txn that is not repeatable can't be declined when the shutdown interrupts it, so leave a margin
+		neededMs *= 2
 	}
-	last = min(last, s.windowEnd(t), s.stopAt-needs) // what can't be done before a stop others may do
-	late := t.due - t.run()
-	if ranks := s.rankingOf(t.row()); s.queues(t) && ranks.len() > 0 {
-		late -= s.queue(ranks.groups[0].load) // held for queues that all outlast its time, it is declined anyway
+	// what can't be done before this scheduler's shutdown others may do
+	lastUsefulAt = min(lastUsefulAt, s.dedupWindowEnd(t), s.stopAt-neededMs)
+	latestStartInTime := t.slaAt - t.expectedRunMs()
+	if ranking := s.rankingFor(t.schemeRow()); s.giveUpDependsOnQueues(t) && ranking.len() > 0 {
+		// where every queue takes longer than the time left, waiting only leads to a decline anyway
+		latestStartInTime -= s.queueDelayMs(ranking.groups[0].load)
 	}
-	if row.LateGain == 0 || crowded {
-		return min(last, late)
+	if row.LateGain == 0 || overloaded {
+		return min(lastUsefulAt, latestStartInTime)
 	}
-	return min(last, max(late+(t.until-late)/4, t.came+s.terms.Tick)) // a late repeat may find a free slot
+	// a late repeat may find a free slot
+	return min(lastUsefulAt, max(latestStartInTime+(t.expiresAt-latestStartInTime)/4, t.arrivedAt+s.terms.Tick))
 }
 
-// lateAt is when a posting that has not begun is called off, as its txn can no longer earn enough.
-func (s *Scheduler) lateAt(p *posting, crowded bool) float64 {
-	runs := func(q *posting) bool { return q.begun && !q.done }
-	if !s.terms.TellsStart || !s.terms.Cancels || p.off || slices.ContainsFunc(p.t.posts, runs) ||
-		p.t.row().LateGain > 0 && !crowded {
+// cancelLateAt returns when an unstarted posting is cancelled because its txn can no longer earn enough gain.
+func (s *Scheduler) cancelLateAt(p *posting, overloaded bool) float64 {
+	running := func(q *posting) bool { return q.started && !q.ended }
+	if !s.terms.TellsStart || !s.terms.Cancels || p.cancelled || slices.ContainsFunc(p.txn.postings, running) ||
+		p.txn.schemeRow().LateGain > 0 && !overloaded {
 		return math.Inf(1)
 	}
-	return p.t.due - p.t.run()
+	return p.txn.slaAt - p.txn.expectedRunMs()
 }
 
-// callOff finds a posting of a txn to call off: any that is out once the txn is over, else one that waits.
-func (t *txn) callOff() (Cancel, bool) {
-	for _, p := range t.posts {
-		if !p.done && !p.off && (t.over || !p.begun) {
-			p.off = true
-			return Cancel{t.Ref, p.no}, true
+// nextCancel returns a posting of the txn to cancel: any in flight once the txn is closed, else one that has not
+// started.
+func (t *txn) nextCancel() (Cancel, bool) {
+	for _, p := range t.postings {
+		if !p.ended && !p.cancelled && (t.closed || !p.started) {
+			p.cancelled = true
+			return Cancel{t.Ref, p.number}, true
 		}
 	}
 	return Cancel{}, false
 }
 
-// NextCancel decides the next posting to call off.
+// NextCancel decides the next posting to cancel.
 func (s *Scheduler) NextCancel(now float64) (Cancel, bool) {
 	if !s.terms.Cancels {
-		s.excess = nil
+		s.cancelCandidates = nil
 	}
-	for len(s.excess) > 0 {
-		if c, ok := s.excess[0].callOff(); ok {
+	for len(s.cancelCandidates) > 0 {
+		if c, ok := s.cancelCandidates[0].nextCancel(); ok {
 			return c, true
 		}
-		s.excess = s.excess[1:]
-	}
-	crowded := s.crowded(now)
-	for _, p := range s.waits {
-		// Of two that wait the first stays in its queue and the copy moves on. Left there to run late, they
-		// would make all behind them late too.
-		moves := p.t.out > 1 && p.no == len(p.t.posts)-1 && now >= s.tryAt(p)
-		if moves || now >= s.lateAt(p, crowded) {
-			p.off = true
-			return Cancel{p.t.Ref, p.no}, true
+		s.cancelCandidates = s.cancelCandidates[1:]
+	}
+	overloaded := s.overloaded(now)
+	for _, p := range s.unstarted {
+		// Of two unstarted copies the first keeps its place in its queue and the newer one is cancelled so that
+		// it can be posted elsewhere. Left to run late, it would make everything behind it in its queue late
+		// too.
+		superseded := p.txn.inFlight > 1 && p.number == len(p.txn.postings)-1 && now >= s.hedgeAt(p)
+		if superseded || now >= s.cancelLateAt(p, overloaded) {
+			p.cancelled = true
+			return Cancel{p.txn.Ref, p.number}, true
 		}
 	}
 	return Cancel{}, false
 }
 
-// NextProbe decides the next probe: the trial of a worker that stands aside.
+// NextProbe decides the next probe: the trial of an ejected worker, or of one with an overdue posting.
 func (s *Scheduler) NextProbe(now float64) (string, bool) {
 	var first *worker
-	s.doubted(now, func(w *worker) {
-		if now >= s.probeAt(w) && (first == nil || w.place < first.place) {
+	s.eachProbeCandidate(now, func(w *worker) {
+		if now >= s.nextProbeAt(w) && (first == nil || w.listIndex < first.listIndex) {
 			first = w
 		}
 	})
 	if first == nil {
 		return "", false
 	}
-	first.probing, first.probedAt = true, now
+	first.probePending, first.probedAt = true, now
 	return first.ID, true
 }
 
-func (s *Scheduler) probeAt(w *worker) float64 {
+// nextProbeAt returns when a worker is to be probed; +Inf if there is no reason to.
+func (s *Scheduler) nextProbeAt(w *worker) float64 {
 	at := math.Inf(1)
-	if w.State != Running || w.probing {
+	if w.State != Running || w.probePending {
 		return at
-	} else if w.fails > 0 {
-		return w.aside
+	} else if w.connectionFailures > 0 {
+		return w.ejectedUntil
 	}
-	for _, p := range w.own {
-		if s.terms.TellsStart && !p.begun {
-			at = min(at, max(p.at, w.probedAt)+s.patience())
+	for _, p := range w.inFlight {
+		if s.terms.TellsStart && !p.started {
+			at = min(at, max(p.postedAt, w.probedAt)+s.startTimeoutMs())
 		}
 	}
 	return at
 }
 
-// NextMessage decides what to tell all peers: own postings in flight, where that has changed.
+// NextMessage decides what to send to all peers: own postings in flight after a change, or with many schedulers
+// the pending failure reports.
 func (s *Scheduler) NextMessage(now float64) ([]byte, bool) {
-	if now < s.tellAt() {
+	if now < s.nextMessageAt() {
 		return nil, false
 	}
-	s.told, s.toldAt = s.moves, now
+	s.inFlightChangesSent, s.lastMessageAt = s.inFlightChanges, now
 	var body []byte
-	if s.thin() {
-		for ; len(s.news) > 0 && len(body)+3 <= mostBytes; s.news = s.news[1:] {
-			n := s.news[0]
-			at := slices.IndexFunc(s.terms.Schemes, func(r SchemeRow) bool { return r.Name == n.scheme })
-			if n.ok {
-				at |= settledMark
+	if s.manySchedulers() {
+		for ; len(s.pendingReports) > 0 && len(body)+3 <= maxMessageBytes; s.pendingReports = s.pendingReports[1:] {
+			n := s.pendingReports[0]
+			schemeIndex := slices.IndexFunc(s.terms.Schemes, func(r SchemeRow) bool { return r.Name == n.scheme })
+			if n.settled {
+				schemeIndex |= settledFlag
 			}
-			body = append(binary.BigEndian.AppendUint16(body, uint16(n.w.hash)), byte(at))
+			body = append(binary.BigEndian.AppendUint16(body, uint16(n.worker.idHash)), byte(schemeIndex))
 		}
 		return body, true
 	}
-	return s.outs(), true
+	return s.inFlightMessage(), true
 }
 
-// tellAt is when the next message goes out: soon after a change; else now and then, since one may be lost.
-// The more peers there are the more pay for each, so the rarer it is.
-func (s *Scheduler) tellAt() float64 {
-	if !s.terms.Messages || s.terms.Peers <= 1 || s.yields {
+// nextMessageAt returns when the next message to peers is due: soon after a change, else at longer intervals,
+// since a message may be lost. Each peer pays for each message, so the more peers there are the rarer messages
+// are.
+func (s *Scheduler) nextMessageAt() float64 {
+	if !s.terms.Messages || s.terms.Peers <= 1 || s.yielded {
 		return math.Inf(1)
 	}
-	// Among many a job is over before the next message may go, and all would rank by the same old ones. What
-	// is told there is where a scheme fails: by itself each meets every such worker too seldom to know.
-	if s.thin() && len(s.news) == 0 {
+	// With many schedulers a txn is over before the next message may be sent, and all schedulers would rank by
+	// the same stale counts. Messages then carry scheme failures instead: each scheduler alone meets each
+	// failing worker too seldom to detect it.
+	if s.manySchedulers() && len(s.pendingReports) == 0 {
 		return math.Inf(1)
-	} else if s.thin() {
-		return s.toldAt + s.tellGap()/8 // rare, best fresh; each hears as many a second in a fleet of any size
+	} else if s.manySchedulers() {
+		// reports are rare and best sent fresh; each peer receives as many per second in a fleet of any size
+		return s.lastMessageAt + s.messageGapMs()/8
 	}
-	if s.told != s.moves {
-		return s.toldAt + s.tellGap()
+	if s.inFlightChangesSent != s.inFlightChanges {
+		return s.lastMessageAt + s.messageGapMs()
 	}
-	return s.toldAt + 10*s.tellGap()
+	return s.lastMessageAt + 10*s.messageGapMs()
 }
 
-func (s *Scheduler) tellGap() float64 { return tellEvery * float64(s.terms.Peers) }
+// messageGapMs returns the interval, in ms, between messages to peers.
+func (s *Scheduler) messageGapMs() float64 { return messageIntervalPerPeerMs * float64(s.terms.Peers) }
 
-// NextWatch decides whether to ask for the list's changes now.
+// NextWatch decides whether to ask discovery for changes of the list now.
 func (s *Scheduler) NextWatch(now float64) bool {
-	if !s.terms.MustAsk || s.watching || now < s.watchAt {
+	if !s.terms.MustAsk || s.watchPending || now < s.nextWatchAt {
 		return false
 	}
-	s.watchAt = now + s.terms.AskIn
+	s.nextWatchAt = now + s.terms.AskIn
 	return true
 }
 
-// Wake is when to pull again if nothing happens before.
+// Wake returns when to poll again if nothing happens before.
 func (s *Scheduler) Wake(now float64) float64 {
-	at := s.tellAt()
-	if s.terms.MustAsk && !s.watching {
-		at = min(at, s.watchAt)
+	at := s.nextMessageAt()
+	if s.terms.MustAsk && !s.watchPending {
+		at = min(at, s.nextWatchAt)
 	}
-	s.doubted(now, func(w *worker) { at = min(at, s.probeAt(w)) })
-	next := func(x float64) {
+	s.eachProbeCandidate(now, func(w *worker) { at = min(at, s.nextProbeAt(w)) })
+	consider := func(x float64) {
 		if x > now {
 			at = min(at, x)
 		}
 	}
-	for _, p := range s.waits {
-		next(s.tryAt(p))
-		next(s.lateAt(p, true))
-	}
-	patience := s.patience() // the first whose time is still to come
-	if i := sort.Search(len(s.waits), func(i int) bool { return s.waits[i].at+patience > now }); i < len(s.waits) {
-		next(s.waits[i].at + patience)
-	}
-	if s.held.n > 0 {
-		at = min(at, s.giveUpAt(s.crowded(now)))
-		for _, w := range s.sick {
-			next(max(w.aside, w.badTill))
-			for _, v := range w.ill {
-				next(v.till)
+	for _, p := range s.unstarted {
+		consider(s.hedgeAt(p))
+		consider(s.cancelLateAt(p, true))
+	}
+	startTimeoutMs := s.startTimeoutMs() // the next posting to reach its start timeout
+	notOverdue := func(i int) bool { return s.unstarted[i].postedAt+startTimeoutMs > now }
+	if i := sort.Search(len(s.unstarted), notOverdue); i < len(s.unstarted) {
+		consider(s.unstarted[i].postedAt + startTimeoutMs)
+	}
+	if s.queue.count > 0 {
+		at = min(at, s.nextGiveUpAt(s.overloaded(now)))
+		for _, w := range s.unhealthy {
+			consider(max(w.ejectedUntil, w.badOutcomeEjectedUntil))
+			for _, v := range w.failuresByScheme {
+				consider(v.ejectedUntil)
 			}
 		}
-		fullFor := s.fullFor()
-		i := sort.Search(len(s.fulls), func(i int) bool { return s.fulls[i].at+fullFor > now })
-		if i += slices.IndexFunc(s.fulls[i:], sighting.last); i >= 0 && i < len(s.fulls) && s.fulls[i].last() {
-			next(s.fulls[i].at + fullFor)
+		fullForMs := s.fullForMs()
+		i := sort.Search(len(s.fullEvents), func(i int) bool { return s.fullEvents[i].at+fullForMs > now })
+		i += slices.IndexFunc(s.fullEvents[i:], fullEvent.isLatest)
+		if i >= 0 && i < len(s.fullEvents) && s.fullEvents[i].isLatest() {
+			consider(s.fullEvents[i].at + fullForMs)
 		}
-		if len(s.further) > 0 && s.terms.BudgetFor > 0 {
-			next(s.further[0] + s.terms.BudgetFor + s.terms.Tick)
+		if len(s.extraPostings) > 0 && s.terms.BudgetFor > 0 {
+			consider(s.extraPostings[0] + s.terms.BudgetFor + s.terms.Tick)
 		}
-		if slices.ContainsFunc(s.young, func(w *worker) bool { return s.cold(now, w) }) {
-			next(now + s.terms.Fall/4)
+		if slices.ContainsFunc(s.slowStartCandidates, func(w *worker) bool { return s.inSlowStart(now, w) }) {
+			consider(now + s.terms.Fall/4)
 		}
 	}
 	return max(at, now+s.terms.Tick)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -62,7 +62,7 @@
 	s := started(plainTerms, 4)
 	r := rand.New(rand.NewSource(2))
 	var costs []float64
-	for i := range costsKept {
+	for i := range recentCostCount {
 		c := math.Exp(r.NormFloat64()) * 1000
 		costs = append(costs, c)
 		arrive(s, 0, fmt.Sprint(i), 0, c)
@@ -87,11 +87,11 @@
 func TestBandGoesToItsRank(t *testing.T) {
 	s := started(plainTerms, 3)
 	now := settle(t, s, 100, 1000, 10000)
-	now += 2 * rankEvery
+	now += 2 * rerankIntervalMs
 	s.rerank(now)
 	var ranked []*worker
-	for i := range s.ranks[0].len() {
-		ranked = append(ranked, s.ranks[0].at(i))
+	for i := range s.rankings[0].len() {
+		ranked = append(ranked, s.rankings[0].workerAt(i))
 	}
 	for i, c := range []float64{100, 1000, 10000} {
 		arrive(s, now, fmt.Sprint("x", i), 0, c)
@@ -109,31 +109,31 @@
 	now := settle(t, s, 100, 1000)
 	arrive(s, now, "a", 0, 100)
 	mustPost(t, s, now)
-	at := s.rankAt
+	at := s.rankedAt
 	now += 1
-	s.since = rankAfter
+	s.completions = rerankMinCompletions
 	arrive(s, now, "b", 0, 100)
 	mustPost(t, s, now)
-	if s.rankAt != now || s.since != 0 || at == now {
+	if s.rankedAt != now || s.completions != 0 || at == now {
 		t.Error("no new ranking after its completions")
 	}
-	now += rankEvery
+	now += rerankIntervalMs
 	arrive(s, now, "c", 0, 100)
 	s.NextPosting(now)
-	if s.rankAt != now {
+	if s.rankedAt != now {
 		t.Error("no new ranking on the timer")
 	}
 }
 
 func TestNextRankAfterFullOrNoConnection(t *testing.T) {
-	for _, how := range []Outcome{Full, NoConnect} {
+	for _, outcome := range []Outcome{Full, NoConnect} {
 		s := started(plainTerms, 3)
 		now := settle(t, s, 100, 1000, 10000)
 		arrive(s, now, "x", 1, 100)
 		first := mustPost(t, s, now).Worker
-		s.Ended(now, "x", 0, how, false, NoLoad)
+		s.Ended(now, "x", 0, outcome, false, NoLoad)
 		if next := mustPost(t, s, now).Worker; next == first {
-			t.Errorf("after outcome %d it went to the same worker", how)
+			t.Errorf("after outcome %d it went to the same worker", outcome)
 		}
 	}
 }
@@ -192,7 +192,7 @@
 		s := started(terms, 8)
 		now := settle(t, s, 100, 1000, 10000)
 		for i := range 200 {
-			s.keepKey(uint32(i)) // the others ask for other keys
+			s.recordKey(uint32(i)) // the others ask for other keys
 		}
 		for i := range 5 {
 			ref := fmt.Sprint("k", i)
@@ -201,7 +201,7 @@
 			s.Started(now, ref, 0)
 		}
 	}
-	if len(used) > homes {
+	if len(used) > affinityWorkers {
 		t.Errorf("one key went to %d workers", len(used))
 	}
 }
@@ -221,7 +221,7 @@
 			s.Ended(now, old, 0, Done, true, NoLoad)
 		}
 	}
-	if l := s.list[0].limit; l > 2 {
+	if l := s.list[0].concurrencyLimit; l > 2 {
 		t.Errorf("it is given %d at once", l)
 	}
 }
@@ -273,7 +273,7 @@
 	arrive(s, 0, "silent", 1, 1000)
 	mustPost(t, s, 0)
 	arrive(s, 1, "next", 0, 1000)
-	late := 1 + s.patience()
+	late := 1 + s.startTimeoutMs()
 	if p, ok := s.NextPosting(late); ok {
 		t.Fatal("posted where nothing was heard:", p)
 	}
@@ -299,7 +299,7 @@
 	mustPost(t, s, 10000)
 	s.Started(10001, "late", 0)
 	s.Arrived(10001, Txn{Ref: "later", Hint: 100, Slots: 1, Left: 8000, Repeat: true})
-	s.list[0].fullAt, s.list[0].fullWith = 10001, 1 // and where there is none it is declined at once
+	s.list[0].lastFullAt, s.list[0].inFlightWhenFull = 10001, 1 // and where there is none it is declined at once
 	if p, ok := s.NextPosting(10001); ok {
 		t.Fatal("posted", p)
 	}
@@ -325,8 +325,8 @@
 		now += 10000
 	}
 	for _, w := range s.list {
-		if w.bad, w.badTill = 0, 0; w.ID == first {
-			w.bad, w.badTill = 2, now
+		if w.badOutcomes, w.badOutcomeEjectedUntil = 0, 0; w.ID == first {
+			w.badOutcomes, w.badOutcomeEjectedUntil = 2, now
 		}
 	}
 	for i := range 3 {
@@ -350,18 +350,18 @@
 	first := mustPost(t, s, 0)
 	s.Started(1, first.Ref, 0)
 	// A reset, and a connection that was refused at once, came from the other end: no cut link.
-	s.failed(10, s.byID[first.Worker], 10)
+	s.recordConnectionFailure(10, s.workersByID[first.Worker], 10)
 	mustPost(t, s, 10) // the other txn
 	s.Started(11, "once", 0)
 	if p, ok := s.NextPosting(11); ok {
 		t.Fatalf("copied as %+v", p)
 	}
-	s.failed(300, s.byID[first.Worker], 0)
+	s.recordConnectionFailure(300, s.workersByID[first.Worker], 0)
 	if p := mustPost(t, s, 301); p.Ref != "out" || p.Worker == first.Worker {
 		t.Errorf("got %+v", p)
 	}
-	s.failed(600, s.list[0], 302)
-	s.failed(600, s.list[1], 302)
+	s.recordConnectionFailure(600, s.list[0], 302)
+	s.recordConnectionFailure(600, s.list[1], 302)
 	if p, ok := s.NextPosting(5000); ok {
 		t.Errorf("a third posting %+v", p)
 	}
@@ -376,18 +376,18 @@
 		all := coldFleet(peers, start)
 		terms := all[0].terms
 		for _, age := range []float64{1, 9000, 19000} {
-			budget := slowstart.Budget(all[0].limits().Allowed(age, 1, 100))
+			budget := slowstart.Budget(all[0].slowStartLimits().Allowed(age, 1, 100))
 			for _, cost := range []float64{10, 60, 180} {
 				now, senders, requests, work := start+age, 0, 0, 0.0
 				for _, s := range all {
-					w := s.byID["fresh"]
-					was := w.sent
+					w := s.workersByID["fresh"]
+					was := w.slowStartLog
 					x, before := &txn{Txn: Txn{Hint: cost}, cost: cost}, requests
-					for ; s.warm(now, x, w); requests++ {
-						w.sent.Add(now, terms.Fall, cost)
+					for ; s.slowStartAllows(now, x, w); requests++ {
+						w.slowStartLog.Add(now, terms.Fall, cost)
 						work += cost
 					}
-					if w.sent = was; requests > before {
+					if w.slowStartLog = was; requests > before {
 						senders++
 					}
 				}
@@ -408,11 +408,11 @@
 	for me := range peers {
 		terms.Me = me
 		s := started(terms, 20)
-		for i := range costsNeeded { // so that a job costs 100 in the mean, a few a good deal more
-			s.keepCost([]float64{40, 40, 70, 250}[i%4])
+		for i := range minCostsForBands { // so that a job costs 100 in the mean, a few a good deal more
+			s.recordCost([]float64{40, 40, 70, 250}[i%4])
 		}
 		s.ListChanged(start, false, []Listed{{ID: "fresh", Start: start, Weight: 1}})
-		s.coldAt = 0
+		s.slowStartFrom = 0
 		s.rerank(start)
 		all = append(all, s)
 	}
@@ -427,23 +427,23 @@
 	for _, peers := range []int{1, 3, 6, 20, 30, 300, 900} {
 		all := coldFleet(peers, start)
 		terms, mean := all[0].terms, 100.0
-		var sent []sending
+		var sent []timedWork
 		draw := rand.New(rand.NewSource(1))
 		for age := 1.0; age < terms.ColdFor; age += 50 {
 			now, work := start+age, 0.0
 			for _, i := range draw.Perm(peers) {
 				s := all[i]
-				w, cost := s.byID["fresh"], []float64{40, 40, 70, 250, 1000}[draw.Intn(5)]
-				for x := (&txn{Txn: Txn{Hint: cost}, cost: cost}); s.warm(now, x, w); {
-					w.sent.Add(now, terms.Fall, cost)
-					sent = append(sent, sending{now, cost})
+				w, cost := s.workersByID["fresh"], []float64{40, 40, 70, 250, 1000}[draw.Intn(5)]
+				for x := (&txn{Txn: Txn{Hint: cost}, cost: cost}); s.slowStartAllows(now, x, w); {
+					w.slowStartLog.Add(now, terms.Fall, cost)
+					sent = append(sent, timedWork{now, cost})
 				}
 			}
-			sent = slices.DeleteFunc(sent, func(x sending) bool { return now-x.at > terms.Fall })
+			sent = slices.DeleteFunc(sent, func(x timedWork) bool { return now-x.at > terms.Fall })
 			for _, x := range sent {
 				work += x.work
 			}
-			n := terms.FallTimes * all[0].limits().Share(age) * terms.Fall / mean // one job at a time is carried, as nothing is known
+			n := terms.FallTimes * all[0].slowStartLimits().Share(age) * terms.Fall / mean // one job at a time is carried, as nothing is known
 			most := n + 2*math.Sqrt(n) + 2
 			if n < 30 {
 				most = n + 3*math.Sqrt(n) + 3
@@ -474,12 +474,12 @@
 func TestAmongManyNoMessages(t *testing.T) {
 	terms := plainTerms
 	terms.Messages = true
-	for _, peers := range []int{2, manyPeers} {
+	for _, peers := range []int{2, manySchedulersFrom} {
 		terms.Peers = peers
 		s := started(terms, 3)
 		arrive(s, 1000, "a", 0, 100)
 		mustPost(t, s, 1000)
-		if _, ok := s.NextMessage(1000); ok != (peers < manyPeers) {
+		if _, ok := s.NextMessage(1000); ok != (peers < manySchedulersFrom) {
 			t.Errorf("with %d schedulers a message: %v", peers, ok)
 		}
 	}
@@ -523,10 +523,10 @@
 func TestAnAnswerWithoutNewsRanksNothing(t *testing.T) {
 	s := started(plainTerms, 8)
 	s.rerank(0)
-	if s.ListChanged(10, false, nil); s.stale {
+	if s.ListChanged(10, false, nil); s.rankingStale {
 		t.Error("to be ranked anew")
 	}
-	if s.ListChanged(20, false, []Listed{{ID: "w1", State: Draining}}); !s.stale {
+	if s.ListChanged(20, false, []Listed{{ID: "w1", State: Draining}}); !s.rankingStale {
 		t.Error("not to be ranked anew after news")
 	}
 }
@@ -544,11 +544,11 @@
 		s.Watched(0, true)
 		s.Relies(till)
 		s.Watched(2000, false)
-		now := s.watchAt
-		if now > till-watchAnswer || !s.NextWatch(now) {
+		now := s.nextWatchAt
+		if now > till-watchAnswerTimeoutMs || !s.NextWatch(now) {
 			t.Fatalf("scheduler %d calls at %.0f", me, now)
 		}
-		calls[int((now-2000)/(till-watchAnswer-2000)*slots)]++
+		calls[int((now-2000)/(till-watchAnswerTimeoutMs-2000)*slots)]++
 		arrive(s, till, "a", 0, 100)
 		if p, ok := s.NextPosting(till); ok {
 			t.Fatal("posted by a list that counts no more", p)
@@ -638,7 +638,7 @@
 	arrive(s, 0, "held", 0, 100)
 	s.Stops(3000)
 	arrive(s, 10, "late", 0, 500)
-	s.longest[0] = 20000
+	s.longestLeftMs[0] = 20000
 	// Jobs of rough hints take up to twice as long, and a once-only one that does is reversed. On connections
 	// that clients kept their next try came here too, and was declined again.
 	for scheme, hint := range []float64{4000, 2000} {
@@ -698,7 +698,7 @@
 	for i := range 3 {
 		arrive(s, 8000, fmt.Sprint("x", i), 0, -1)
 	}
-	if mustPost(t, s, 8000); s.held.n != 2 {
+	if mustPost(t, s, 8000); s.queue.count != 2 {
 		t.Fatal("none went")
 	}
 	if p, ok := s.NextPosting(8000); ok {
@@ -711,13 +711,13 @@
 	terms.Peers, terms.Messages = 2, true
 	s := started(terms, 1)
 	w := s.list[0]
-	s.Heard(0, 1, append(binary.BigEndian.AppendUint16(nil, uint16(w.hash)), 4))
-	if w.known() != 4 {
-		t.Fatalf("known %d", w.known())
+	s.Heard(0, 1, append(binary.BigEndian.AppendUint16(nil, uint16(w.idHash)), 4))
+	if w.knownInFlight() != 4 {
+		t.Fatalf("known %d", w.knownInFlight())
 	}
-	s.rerank(31 * s.tellGap())
-	if w.known() != 0 {
-		t.Errorf("still %d", w.known())
+	s.rerank(31 * s.messageGapMs())
+	if w.knownInFlight() != 0 {
+		t.Errorf("still %d", w.knownInFlight())
 	}
 }
 
@@ -734,7 +734,7 @@
 	}
 	differ := func(messages int) (n int) {
 		for range messages {
-			now += 20 * a.tellGap()
+			now += 20 * a.messageGapMs()
 			body, ok := a.NextMessage(now)
 			if !ok || len(body) > 255 {
 				t.Fatal(len(body), ok)
@@ -742,7 +742,7 @@
 			b.Heard(now, 1, body)
 		}
 		for i, w := range b.list {
-			if w.told != len(a.list[i].own) {
+			if w.peerInFlightSum != len(a.list[i].inFlight) {
 				n++
 			}
 		}
@@ -771,7 +771,7 @@
 	txns   []map[string]*owed
 	stopAt []float64 // when each scheduler ends, as it was told
 	ids    int
-	sent   map[string][]sending
+	sent   map[string][]timedWork
 	slots  float64
 	err    error
 }
@@ -817,9 +817,9 @@
 
 func newWorld(seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
-	n := 1 + r.Intn(manyPeers+3)
+	n := 1 + r.Intn(manySchedulersFrom+3)
 	w := &world{r: r, terms: plainTerms, scheds: make([]*Scheduler, n), seen: make([]map[string]Listed, n),
-		txns: make([]map[string]*owed, n), stopAt: make([]float64, n), sent: map[string][]sending{},
+		txns: make([]map[string]*owed, n), stopAt: make([]float64, n), sent: map[string][]timedWork{},
 		now: 1000, slots: 1}
 	w.terms.Peers, w.terms.TellsStart, w.terms.Messages = n, r.Intn(3) > 0, r.Intn(2) > 0
 	w.terms.Copies, w.terms.Probes = r.Intn(2) > 0, r.Intn(2) > 0
@@ -895,31 +895,31 @@
 	slices.Sort(refs)
 	for _, ref := range refs {
 		t := w.txns[i][ref]
-		for no, p := range t.posts {
+		for number, p := range t.posts {
 			if !p.out {
 				continue
 			}
-			how := Outcome(-1)
+			outcome := Outcome(-1)
 			if w.now >= t.until {
-				how = TimedOut
+				outcome = TimedOut
 			} else if w.r.Intn(40) == 0 {
-				how = Outcome(w.r.Intn(8))
+				outcome = Outcome(w.r.Intn(8))
 			} else if !p.begun && w.r.Intn(3) == 0 {
 				p.begun = true
-				w.scheds[i].Started(w.now, ref, no)
+				w.scheds[i].Started(w.now, ref, number)
 			}
-			if how < 0 {
+			if outcome < 0 {
 				continue
 			}
-			p.out, p.ran = false, !how.NeverRan()
-			if how == Done {
+			p.out, p.ran = false, !outcome.NeverRan()
+			if outcome == Done {
 				t.final = true
 			}
 			load := NoLoad
 			if w.r.Intn(2) == 0 {
 				load.Free = float64(w.r.Intn(4))
 			}
-			w.scheds[i].Ended(w.now, ref, no, how, t.final, load)
+			w.scheds[i].Ended(w.now, ref, number, outcome, t.final, load)
 		}
 		if !t.final && w.r.Intn(3000) == 0 {
 			t.final = true
@@ -1015,8 +1015,8 @@
 		return
 	}
 	key, s := fmt.Sprint(p.Worker, row.Start), w.scheds[i]
-	w.slots = max(w.slots, s.carries(s.byID[p.Worker]))
-	w.sent[key] = append(w.sent[key], sending{w.now, s.txns[p.Ref].cost})
+	w.slots = max(w.slots, s.capacityOf(s.workersByID[p.Worker]))
+	w.sent[key] = append(w.sent[key], timedWork{w.now, s.txns[p.Ref].cost})
 	requests, work := 0.0, 0.0
 	for _, x := range w.sent[key] {
 		if w.now-x.at <= w.terms.Fall {
@@ -1070,7 +1070,7 @@
 			ref := fmt.Sprint(i)
 			arrive(s, now, ref, 0, 200)
 			p := mustPost(t, s, now)
-			zone := s.byID[p.Worker].Zone
+			zone := s.workersByID[p.Worker].Zone
 			if took := 1.0; i%2 == 0 { // turned away, after its way there and back
 				if zone != 0 {
 					took = far
--- a/balance/carry_test.go
+++ b/balance/carry_test.go
@@ -5,12 +5,12 @@
 // A txn that passes to another process keeps the rules it came under, and what was posted for it still
 // counts.
 func TestCarry(t *testing.T) {
-	pass := func(scheme int, how Outcome, end bool) (*Scheduler, Carried) {
+	pass := func(scheme int, outcome Outcome, end bool) (*Scheduler, Carried) {
 		a := started(plainTerms, 6)
 		arrive(a, 100, "x", scheme, 100)
 		mustPost(t, a, 100)
 		if a.Started(110, "x", 0); end {
-			a.Ended(120, "x", 0, how, false, NoLoad)
+			a.Ended(120, "x", 0, outcome, false, NoLoad)
 		}
 		c, ok := a.Open("x")
 		if !ok {
@@ -24,7 +24,7 @@
 	}
 	// Out and begun: its end settles it, and meanwhile its worker is taken to hold it.
 	b, c := pass(1, 0, false)
-	if w := b.byID[c.Posts[0].Worker]; len(w.own) != 1 || w.unbegun != 0 || b.txns["x"].out != 1 {
+	if w := b.workersByID[c.Posts[0].Worker]; len(w.inFlight) != 1 || w.unstarted != 0 || b.txns["x"].inFlight != 1 {
 		t.Error("its posting is not known as running")
 	}
 	b.Ended(200, "x", 0, Done, true, NoLoad)
@@ -40,7 +40,7 @@
 	// Held after a posting that may have run: it goes again within its group and window alone.
 	b, c = pass(2, Erred, true)
 	again := mustPost(t, b, 200)
-	if b.byID[again.Worker].Cell != b.byID[c.Posts[0].Worker].Cell || again.By != 100+5000 {
+	if b.workersByID[again.Worker].Cell != b.workersByID[c.Posts[0].Worker].Cell || again.By != 100+5000 {
 		t.Errorf("it went again to %+v after %s", again, c.Posts[0].Worker)
 	}
 	// Not begun: it is known to wait.
@@ -50,12 +50,12 @@
 	c, _ = a.Open("y")
 	b = started(plainTerms, 0) // nor does the other process's list have the worker
 	b.Carry(c)
-	if len(b.waits) != 1 || b.byID[c.Posts[0].Worker].unbegun != 1 {
+	if len(b.unstarted) != 1 || b.workersByID[c.Posts[0].Worker].unstarted != 1 {
 		t.Error("its posting is not known to wait")
 	}
 	b.Started(130, "y", 0)
 	b.Ended(140, "y", 0, Done, true, NoLoad)
-	if len(b.waits) != 0 || len(b.txns) != 0 || len(b.byID) != 0 {
+	if len(b.unstarted) != 0 || len(b.txns) != 0 || len(b.workersByID) != 0 {
 		t.Error("something of it is left")
 	}
 	if _, ok := a.Open("none"); ok {
--- a/balance/index.go
+++ b/balance/index.go
@@ -8,89 +8,92 @@
 	"sort"
 )
 
-// The structures in which the module keeps in order what it knows. They decide nothing: balance.go says what
-// is asked of them. What they answer is what sorting and scanning all workers and txns would, at the cost of
+// The data structures that keep workers and txns in order. They make no decisions; balance.go uses them. Their
+// answers are the same as those of sorting and scanning all workers and txns, at a cost that grows only with
 // what has changed.
 
-// ranking keeps workers by load, as it was at the last ranking, those of equal load by tie. Loads are few or
-// change rarely, so workers stand in groups of equal load; a group is put in order, by this ranking's ties,
-// only as far as it is looked at.
+// ranking keeps workers ordered by their load at the last ranking, and those of equal load by tie break. There
+// are few different loads, or they change rarely, so workers are kept in groups of equal load. A group is
+// sorted, by this ranking's tie breaks, only as far as it is read.
 type ranking struct {
-	no     int       // its place among the rankings
-	open   SchemeRow // those workers are in it that this row is open to
-	groups []*group  // by load
-	ends   []int     // of each group, the place behind its last one
-	draw   func(w *worker) uint32
-	keys   []uint64 // for deal
+	index    int                    // its index in Scheduler.rankings
+	filter   SchemeRow              // it holds the workers that this row is open to
+	groups   []*loadGroup           // by ascending load
+	ends     []int                  // by group, the rank behind its last worker
+	tieBreak func(w *worker) uint32 // orders workers of equal load
+	keys     []uint64               // reused by fillBuckets
 }
 
-type group struct {
-	load  float64
-	all   []*worker
-	order []entry // the same by key, as far as it was looked at; empty until then
-	rows  []row   // of order: in each its keys begin alike
+// loadGroup holds the workers of one load.
+type loadGroup struct {
+	load    float64
+	workers []*worker
+	entries []rankEntry // the same workers, sorted bucket by bucket as far as read; empty until then
+	buckets []bucket    // of entries: all keys of a bucket have the same leading bits
 }
 
-// row is a stretch of a group's order that is sorted once it is looked at.
-type row struct {
-	end    int
+// bucket is a section of a group's entries that is sorted when it is first read.
+type bucket struct {
+	end    int // index in entries behind its last one
 	sorted bool
 }
 
-// rowOf is how many workers are sorted together.
-const rowOf = 8
+// bucketSize is about how many workers are sorted together.
+const bucketSize = 8
 
-// entry is a worker with what orders it in its group: its tie, and where ties are equal its place in the
-// list.
-type entry struct {
-	key uint64
-	w   *worker
+// rankEntry is a worker with the key that orders it in its group: the tie break in the high 32 bits, and for
+// equal tie breaks its place in the list in the low ones.
+type rankEntry struct {
+	key    uint64
+	worker *worker
 }
 
-func (r *ranking) find(load float64) (int, bool) {
-	return slices.BinarySearchFunc(r.groups, load, func(g *group, x float64) int { return cmp.Compare(g.load, x) })
+// findGroup returns the index of the group of this load, or where it would be inserted.
+func (r *ranking) findGroup(load float64) (int, bool) {
+	return slices.BinarySearchFunc(r.groups, load, func(g *loadGroup, x float64) int { return cmp.Compare(g.load, x) })
 }
 
-// put adds a worker by its rankLoad. The worker keeps its place in the group.
-func (r *ranking) put(w *worker) {
-	i, ok := r.find(w.rankLoad)
+// add inserts a worker by its rankLoad and records its place in the group.
+func (r *ranking) add(w *worker) {
+	i, ok := r.findGroup(w.rankLoad)
 	if !ok {
-		r.groups = slices.Insert(r.groups, i, &group{load: w.rankLoad})
+		r.groups = slices.Insert(r.groups, i, &loadGroup{load: w.rankLoad})
 	}
 	g := r.groups[i]
-	w.slots[r.no] = len(g.all)
-	g.all = append(g.all, w)
+	w.groupIndexes[r.index] = len(g.workers)
+	g.workers = append(g.workers, w)
 }
 
-// take removes it.
-func (r *ranking) take(w *worker) {
-	i, ok := r.find(w.rankLoad)
+// remove removes a worker.
+func (r *ranking) remove(w *worker) {
+	i, ok := r.findGroup(w.rankLoad)
 	if !ok {
 		return
 	}
 	g := r.groups[i]
-	at, end := w.slots[r.no], len(g.all)-1
-	g.all[at] = g.all[end]
-	g.all[at].slots[r.no] = at
-	w.slots[r.no] = -1
-	g.all[end] = nil
-	g.all = g.all[:end]
+	at, end := w.groupIndexes[r.index], len(g.workers)-1
+	g.workers[at] = g.workers[end]
+	g.workers[at].groupIndexes[r.index] = at
+	w.groupIndexes[r.index] = -1
+	g.workers[end] = nil
+	g.workers = g.workers[:end]
 	if end == 0 {
 		r.groups = slices.Delete(r.groups, i, i+1)
 	}
 }
 
-// begin starts a new ranking: ties are drawn anew.
-func (r *ranking) begin() {
+// reset starts a new ranking, with new tie breaks.
+func (r *ranking) reset() {
 	r.ends = r.ends[:0]
 	n := 0
 	for _, g := range r.groups {
-		g.order = g.order[:0]
-		n += len(g.all)
+		g.entries = g.entries[:0]
+		n += len(g.workers)
 		r.ends = append(r.ends, n)
 	}
 }
 
+// len returns the number of ranked workers, as of the last reset.
 func (r *ranking) len() int {
 	if len(r.ends) == 0 {
 		return 0
@@ -98,67 +101,69 @@
 	return r.ends[len(r.ends)-1]
 }
 
-// at is the worker at a rank.
-func (r *ranking) at(rank int) *worker {
+// workerAt returns the worker at a rank, from 0.
+func (r *ranking) workerAt(rank int) *worker {
 	i := sort.SearchInts(r.ends, rank+1)
 	g := r.groups[i]
-	k := rank - (r.ends[i] - len(g.all))
-	if len(g.all) == 1 {
-		return g.all[0]
+	k := rank - (r.ends[i] - len(g.workers))
+	if len(g.workers) == 1 {
+		return g.workers[0]
 	}
-	if len(g.order) == 0 {
-		r.deal(g)
+	if len(g.entries) == 0 {
+		r.fillBuckets(g)
 	}
-	x := sort.Search(len(g.rows), func(x int) bool { return g.rows[x].end > k })
-	if row := &g.rows[x]; !row.sorted {
+	x := sort.Search(len(g.buckets), func(x int) bool { return g.buckets[x].end > k })
+	if row := &g.buckets[x]; !row.sorted {
 		from := 0
 		if x > 0 {
-			from = g.rows[x-1].end
+			from = g.buckets[x-1].end
 		}
-		slices.SortFunc(g.order[from:row.end], func(a, b entry) int { return cmp.Compare(a.key, b.key) })
+		slices.SortFunc(g.entries[from:row.end], func(a, b rankEntry) int { return cmp.Compare(a.key, b.key) })
 		row.sorted = true
 	}
-	return g.order[k].w
+	return g.entries[k].worker
 }
 
-// deal draws a group's ties and deals its workers to rows by the first bits of their keys, which are even. It
-// is all that a large group costs, as few of its rows are looked at before the next ranking.
-func (r *ranking) deal(g *group) {
-	n := len(g.all)
-	rows := 1 + n/rowOf
-	g.rows = slices.Grow(g.rows[:0], rows)[:rows]
-	clear(g.rows)
+// fillBuckets draws a group's tie breaks and distributes its workers to buckets by the leading bits of their
+// keys, which are evenly distributed. A large group costs no more than that, as few of its buckets are read
+// before the next ranking.
+func (r *ranking) fillBuckets(g *loadGroup) {
+	n := len(g.workers)
+	rows := 1 + n/bucketSize
+	g.buckets = slices.Grow(g.buckets[:0], rows)[:rows]
+	clear(g.buckets)
 	r.keys = slices.Grow(r.keys[:0], n)[:n]
-	for i, w := range g.all {
-		key := uint64(r.draw(w))<<32 | uint64(w.place)
+	for i, w := range g.workers {
+		key := uint64(r.tieBreak(w))<<32 | uint64(w.listIndex)
 		r.keys[i] = key
-		g.rows[key>>32*uint64(rows)>>32].end++
+		g.buckets[key>>32*uint64(rows)>>32].end++
 	}
 	sum := 0
-	for x := range g.rows {
-		sum, g.rows[x].end = sum+g.rows[x].end, sum // its beginning for now, moved on to its end below
+	for x := range g.buckets {
+		sum, g.buckets[x].end = sum+g.buckets[x].end, sum // its start for now; moved on to its end below
 	}
-	g.order = slices.Grow(g.order, n)[:n]
-	for i, w := range g.all {
+	g.entries = slices.Grow(g.entries, n)[:n]
+	for i, w := range g.workers {
 		key := r.keys[i]
-		row := &g.rows[key>>32*uint64(rows)>>32]
-		g.order[row.end] = entry{key, w}
+		row := &g.buckets[key>>32*uint64(rows)>>32]
+		g.entries[row.end] = rankEntry{key, w}
 		row.end++
 	}
 }
 
-// each goes through all in no order that means anything, until f says stop.
-func (r *ranking) each(f func(w *worker) bool) bool {
+// any calls f for all workers, in an order that has no meaning, until f returns true, and reports whether it
+// did.
+func (r *ranking) any(f func(w *worker) bool) bool {
 	for _, g := range r.groups {
-		if slices.ContainsFunc(g.all, f) {
+		if slices.ContainsFunc(g.workers, f) {
 			return true
 		}
 	}
 	return false
 }
 
-// least brings the n entries with the least keys to the front, in no order.
-func least(all []entry, n int) {
+// selectLeast moves the n entries with the least keys to the front, unsorted.
+func selectLeast(all []rankEntry, n int) {
 	for lo, hi := 0, len(all)-1; lo < hi; {
 		mid := all[(lo+hi)/2].key
 		i, j := lo, hi
@@ -185,57 +190,57 @@
 	}
 }
 
-// queue keeps txns in the order in which they came to it. One that leaves leaves a gap, and gaps are closed
-// when there are as many as txns.
-type queue struct {
-	all []*txn
-	n   int
+// txnQueue keeps txns in the order in which they were added. Removing one leaves a nil slot; the slots are
+// compacted when more than half of them are nil.
+type txnQueue struct { // count is the number of slots that are not nil
+	slots []*txn
+	count int
 }
 
-func (q *queue) add(t *txn) {
-	if t.held {
+func (q *txnQueue) add(t *txn) {
+	if t.queued {
 		return
 	}
-	t.held, t.slot = true, len(q.all)
-	q.all = append(q.all, t)
-	q.n++
+	t.queued, t.queueIndex = true, len(q.slots)
+	q.slots = append(q.slots, t)
+	q.count++
 }
 
-func (q *queue) drop(t *txn) {
-	if !t.held {
+func (q *txnQueue) remove(t *txn) {
+	if !t.queued {
 		return
 	}
-	t.held = false
-	q.all[t.slot] = nil
-	if q.n--; len(q.all) > 32 && len(q.all) > 2*q.n {
-		q.all = slices.DeleteFunc(q.all, func(t *txn) bool { return t == nil })
-		for i, t := range q.all {
-			t.slot = i
+	t.queued = false
+	q.slots[t.queueIndex] = nil
+	if q.count--; len(q.slots) > 32 && len(q.slots) > 2*q.count {
+		q.slots = slices.DeleteFunc(q.slots, func(t *txn) bool { return t == nil })
+		for i, t := range q.slots {
+			t.queueIndex = i
 		}
 	}
 }
 
-// alarms is a heap of txns by a time. A txn may stand in it more than once, and after it is of no interest:
-// whoever takes it out looks.
-type alarms []alarm
+// txnHeap is a heap of txns by a time. A txn may be in it more than once, and may stay in it after its entry has
+// become obsolete: the caller checks when it takes out an entry.
+type txnHeap []heapEntry
 
-type alarm struct {
-	at float64
-	t  *txn
+type heapEntry struct {
+	at  float64
+	txn *txn
 }
 
-func (h *alarms) add(at float64, t *txn) {
-	*h = append(*h, alarm{at, t})
+func (h *txnHeap) add(at float64, t *txn) {
+	*h = append(*h, heapEntry{at, t})
 	a := *h
 	for i := len(a) - 1; i > 0 && a[i].at < a[(i-1)/2].at; i = (i - 1) / 2 {
 		a[i], a[(i-1)/2] = a[(i-1)/2], a[i]
 	}
 }
 
-func (h *alarms) pop() *txn {
+func (h *txnHeap) pop() *txn {
 	a := *h
-	t, end := a[0].t, len(a)-1
-	a[0], a[end] = a[end], alarm{}
+	t, end := a[0].txn, len(a)-1
+	a[0], a[end] = a[end], heapEntry{}
 	a = a[:end]
 	*h = a
 	for i := 0; ; {
@@ -253,22 +258,24 @@
 	}
 }
 
-// next is the earliest time.
-func (h alarms) next() float64 {
+// earliest returns the earliest time, +Inf if the heap is empty.
+func (h txnHeap) earliest() float64 {
 	if len(h) == 0 {
 		return math.Inf(1)
 	}
 	return h[0].at
 }
 
-func (s *Scheduler) chance() uint32 {
-	s.draws++
-	return s.draw(s.draws - 1)
+// nextRandom returns the next random number.
+func (s *Scheduler) nextRandom() uint32 {
+	s.randomDraws++
+	return s.randomAt(s.randomDraws - 1)
 }
 
-// draw is the chance that belongs to a counter: the checksum of seed and counter, the seed's part made once.
-func (s *Scheduler) draw(count uint32) uint32 {
-	c := s.seeded
+// randomAt returns the random number that belongs to a counter value: the CRC-32 of seed and counter, where the
+// seed's part is computed once.
+func (s *Scheduler) randomAt(count uint32) uint32 {
+	c := s.seedChecksum
 	for range 4 {
 		c = crc32.IEEETable[byte(c)^byte(count)] ^ c>>8
 		count >>= 8
@@ -276,39 +283,40 @@
 	return ^c
 }
 
-// mixed spreads two checksums: that of both texts in one would rank all workers alike for most keys.
-func mixed(a, b uint32) uint32 {
+// mixHashes combines two checksums into a hash. The checksum of both texts in sequence would rank all workers in
+// the same order for most keys.
+func mixHashes(a, b uint32) uint32 {
 	x := (uint64(a)<<32 | uint64(b)) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>32) * 0xd6e8feb86659fd93
 	return uint32(x >> 32)
 }
 
-// rankingOf is the ranking of the workers that a row is open to. It is made once for all rows that are open
-// alike.
-func (s *Scheduler) rankingOf(row *SchemeRow) *ranking {
-	for _, r := range s.ranks {
-		if r.open.Zones == row.Zones && r.open.Kinds == row.Kinds {
+// rankingFor returns the ranking of the workers that a scheme is open to. Schemes that are open to the same
+// workers share a ranking.
+func (s *Scheduler) rankingFor(row *SchemeRow) *ranking {
+	for _, r := range s.rankings {
+		if r.filter.Zones == row.Zones && r.filter.Kinds == row.Kinds {
 			return r
 		}
 	}
-	r := &ranking{no: len(s.ranks), open: SchemeRow{Zones: row.Zones, Kinds: row.Kinds}, draw: s.tie}
-	s.ranks = append(s.ranks, r)
-	if r.no > 0 {
-		s.ranks[0].each(func(w *worker) bool {
-			s.place(r, w)
+	r := &ranking{index: len(s.rankings), filter: SchemeRow{Zones: row.Zones, Kinds: row.Kinds}, tieBreak: s.tieBreak}
+	s.rankings = append(s.rankings, r)
+	if r.index > 0 {
+		s.rankings[0].any(func(w *worker) bool {
+			s.addIfEligible(r, w)
 			return false
 		})
 	}
-	r.begin()
+	r.reset()
 	return r
 }
 
-// place puts a worker in a ranking, where it belongs there.
-func (s *Scheduler) place(r *ranking, w *worker) {
-	for len(w.slots) < len(s.ranks) {
-		w.slots = append(w.slots, -1)
+// addIfEligible adds a worker to a ranking if the ranking's schemes are open to it.
+func (s *Scheduler) addIfEligible(r *ranking, w *worker) {
+	for len(w.groupIndexes) < len(s.rankings) {
+		w.groupIndexes = append(w.groupIndexes, -1)
 	}
-	if r.open.Open(w.rankZone, w.rankKind) {
-		r.put(w)
+	if r.filter.Open(w.rankZone, w.rankKind) {
+		r.add(w)
 	}
 }
--- a/balance/known.go
+++ b/balance/known.go
@@ -8,419 +8,443 @@
 	"slices"
 )
 
-// What the module knows: the inputs that only update it, and how it is kept so that a decision need not go
-// through all of it. Nothing is decided here.
+// The inputs that only update state, and the helpers that keep the state in a form in which a decision need not
+// scan all of it. No decisions are made here.
 
-// touch marks a worker whose load may have changed, or whether it is ranked.
-func (s *Scheduler) touch(w *worker) {
-	if !w.touched {
-		w.touched = true
-		s.touched = append(s.touched, w)
+// markDirty marks a worker whose load, or whether it is ranked, may have changed.
+func (s *Scheduler) markDirty(w *worker) {
+	if !w.dirty {
+		w.dirty = true
+		s.dirty = append(s.dirty, w)
 	}
 }
 
-// full takes that a worker showed itself full.
-func (s *Scheduler) full(now float64, w *worker) {
-	w.fullAt, w.fullWith = now, w.known()
-	if s.fulls = append(s.fulls, sighting{w, now}); len(s.fulls) > 64+2*len(s.list) {
-		s.fulls = slices.DeleteFunc(s.fulls, func(f sighting) bool { return !f.last() })
+// recordFull records that a worker was observed to be full.
+func (s *Scheduler) recordFull(now float64, w *worker) {
+	w.lastFullAt, w.inFlightWhenFull = now, w.knownInFlight()
+	if s.fullEvents = append(s.fullEvents, fullEvent{w, now}); len(s.fullEvents) > 64+2*len(s.list) {
+		s.fullEvents = slices.DeleteFunc(s.fullEvents, func(f fullEvent) bool { return !f.isLatest() })
 	}
 }
 
-func (s *Scheduler) unwait(p *posting) {
-	i, _ := slices.BinarySearchFunc(s.waits, p.at,
-		func(q *posting, at float64) int { return cmp.Compare(q.at, at) })
-	for ; i < len(s.waits) && s.waits[i].at == p.at; i++ {
-		if s.waits[i] == p {
-			s.waits = slices.Delete(s.waits, i, i+1)
-			p.w.unbegun--
-			p.t.waits--
+// removeUnstarted removes a posting from the unstarted ones, if it is among them.
+func (s *Scheduler) removeUnstarted(p *posting) {
+	i, _ := slices.BinarySearchFunc(s.unstarted, p.postedAt,
+		func(q *posting, at float64) int { return cmp.Compare(q.postedAt, at) })
+	for ; i < len(s.unstarted) && s.unstarted[i].postedAt == p.postedAt; i++ {
+		if s.unstarted[i] == p {
+			s.unstarted = slices.Delete(s.unstarted, i, i+1)
+			p.worker.unstarted--
+			p.txn.unstarted--
 			return
 		}
 	}
 }
 
-func (s *Scheduler) ails(w *worker) {
-	if !w.sick {
-		w.sick = true
-		s.sick = append(s.sick, w)
+// markUnhealthy adds a worker to the unhealthy ones.
+func (s *Scheduler) markUnhealthy(w *worker) {
+	if !w.unhealthy {
+		w.unhealthy = true
+		s.unhealthy = append(s.unhealthy, w)
 	}
 }
 
-// hold puts a txn in the queue, and reckons anew until when it stays: that changes only with what is out.
-func (s *Scheduler) hold(t *txn) {
-	s.held.add(t)
-	for i, crowded := range []bool{false, true} {
-		if t.dueAt[i] = s.decideAt(t, crowded); t.dueAt[i] < math.Inf(1) {
-			s.due[i].add(t.dueAt[i], t)
+// enqueue puts a txn in the queue, if it isn't there yet, and computes its give-up times anew: they change only
+// with its postings in flight.
+func (s *Scheduler) enqueue(t *txn) {
+	s.queue.add(t)
+	for i, overloaded := range []bool{false, true} {
+		if t.giveUpAt[i] = s.computeGiveUpTime(t, overloaded); t.giveUpAt[i] < math.Inf(1) {
+			s.giveUpTimes[i].add(t.giveUpAt[i], t)
 		}
 	}
-	if t.out == 0 {
-		s.oldest.add(t.came, t)
+	if t.inFlight == 0 {
+		s.queuedByArrival.add(t.arrivedAt, t)
 	}
 }
 
-func place(crowded bool) int {
-	if crowded {
+// overloadIndex returns the index for overload in giveUpTimes and txn.giveUpAt.
+func overloadIndex(overloaded bool) int {
+	if overloaded {
 		return 1
 	}
 	return 0
 }
 
-func (s *Scheduler) keepCost(c float64) {
-	b := uint8(min(max(int(math.Log2(max(c, 1e-3))*binsPerDouble)+40, 0), numBins-1))
-	if len(s.costs) < costsKept {
-		s.costs = append(s.costs, b)
+// recordCost adds a hinted cost to the histogram, in place of the oldest one when it is full. Bin 40 begins at a
+// cost of 1.
+func (s *Scheduler) recordCost(c float64) {
+	bin := uint8(min(max(int(math.Log2(max(c, 1e-3))*binsPerDoubling)+40, 0), numBins-1))
+	if len(s.recentCosts) < recentCostCount {
+		s.recentCosts = append(s.recentCosts, bin)
 	} else {
-		s.allCosts -= costs[s.costs[s.costAt]]
-		s.bins[s.costs[s.costAt]]--
-		s.costs[s.costAt] = b
-		s.costAt = (s.costAt + 1) % costsKept
+		s.costSum -= binCosts[s.recentCosts[s.oldestCost]]
+		s.binCounts[s.recentCosts[s.oldestCost]]--
+		s.recentCosts[s.oldestCost] = bin
+		s.oldestCost = (s.oldestCost + 1) % recentCostCount
 	}
-	s.allCosts += costs[b]
-	s.bins[b]++
+	s.costSum += binCosts[bin]
+	s.binCounts[bin]++
 }
 
-// meanWork is what a request costs in the mean.
+// meanWork returns what a request costs in the mean.
 func (s *Scheduler) meanWork() float64 {
 	hinted := 0.0
-	if n := len(s.costs); n > 0 {
-		hinted = s.allCosts / float64(n)
+	if n := len(s.recentCosts); n > 0 {
+		hinted = s.costSum / float64(n)
 	}
-	if mean := s.work.Mean(hinted); mean > 0 {
+	if mean := s.workStats.Mean(hinted); mean > 0 {
 		return mean
 	}
-	return workUnknown
+	return defaultWorkMs
 }
 
-// costs holds each bin's cost.
-var costs = func() (c [numBins]float64) {
+// binCosts holds the cost in the middle of each histogram bin.
+var binCosts = func() (c [numBins]float64) {
 	for b := range c {
-		c[b] = math.Exp2((float64(b-40) + 0.5) / binsPerDouble)
+		c[b] = math.Exp2((float64(b-40) + 0.5) / binsPerDoubling)
 	}
 	return c
 }()
 
-func (s *Scheduler) median() float64 {
+// medianCost returns the median of the recent costs, 1 if there are none.
+func (s *Scheduler) medianCost() float64 {
 	n := 0
-	for b, k := range s.bins {
-		n += k
-		if k > 0 && 2*n >= len(s.costs) {
-			return costs[b]
+	for bin, count := range s.binCounts {
+		n += count
+		if count > 0 && 2*n >= len(s.recentCosts) {
+			return binCosts[bin]
 		}
 	}
 	return 1
 }
 
-// ListChanged takes the list, whole or only its changes.
+// ListChanged applies the worker list: the whole list, or only the rows that changed.
 func (s *Scheduler) ListChanged(now float64, whole bool, rows []Listed) {
 	if !whole && len(rows) == 0 {
-		return // no news: ranked anew each time that a watch goes on, ties were drawn again between two txns
+		// no change: if each renewal of a watch led to a new ranking, tie breaks would change between any two
+		// txns
+		return
 	}
-	old, all := s.list, whole
+	previous, markAll := s.list, whole
 	if whole {
-		for _, w := range old {
-			w.here = false
+		for _, w := range previous {
+			w.inList = false
 		}
 		s.list = nil
 	}
 	for _, row := range rows {
-		r := s.staffing(row)
-		w := s.byID[r.ID]
+		effective := s.applyWithdrawal(row)
+		w := s.workersByID[effective.ID]
 		if w == nil {
-			w = &worker{free: -1, fullAt: math.Inf(-1), limit: math.MaxInt}
-			s.byID[r.ID] = w
+			w = &worker{reportedFree: -1, lastFullAt: math.Inf(-1), concurrencyLimit: math.MaxInt}
+			s.workersByID[effective.ID] = w
 		}
-		if w.Start != r.Start {
-			// What was learned of the process before its restart says nothing of this one.
-			*w = worker{here: w.here, own: w.own, unbegun: w.unbegun, sent: w.sent, free: -1, fullAt: math.Inf(-1),
-				limit: math.MaxInt, most: w.most, placed: w.placed, slots: w.slots, rankLoad: w.rankLoad,
-				rankZone: w.rankZone, rankKind: w.rankKind, touched: w.touched, sick: w.sick}
+		if w.Start != effective.Start {
+			// What was learned about the process before its restart does not apply to the new process.
+			*w = worker{inList: w.inList, inFlight: w.inFlight, unstarted: w.unstarted, slowStartLog: w.slowStartLog,
+				reportedFree: -1, lastFullAt: math.Inf(-1), concurrencyLimit: math.MaxInt, maxRunning: w.maxRunning,
+				ranked: w.ranked, groupIndexes: w.groupIndexes, rankLoad: w.rankLoad,
+				rankZone: w.rankZone, rankKind: w.rankKind, dirty: w.dirty, unhealthy: w.unhealthy}
 		}
-		if s.terms.LiveWeight && r.Weight > s.sizes[r.Kind] {
-			s.sizes[r.Kind], all = r.Weight, true
+		if s.terms.LiveWeight && effective.Weight > s.maxWeights[effective.Kind] {
+			s.maxWeights[effective.Kind], markAll = effective.Weight, true
 		}
-		s.touch(w)
-		w.Listed, w.row, w.hash = r, row, crc32.ChecksumIEEE([]byte(r.ID))
-		if r.State != Removed && !w.here {
+		s.markDirty(w)
+		w.Listed, w.asListed, w.idHash = effective, row, crc32.ChecksumIEEE([]byte(effective.ID))
+		if effective.State != Removed && !w.inList {
 			s.list = append(s.list, w)
 		}
-		w.here = r.State != Removed
+		w.inList = effective.State != Removed
 	}
-	for _, w := range old {
-		if !w.here {
-			s.touch(w)
-			if len(w.own) == 0 {
-				delete(s.byID, w.ID)
+	for _, w := range previous {
+		if !w.inList {
+			s.markDirty(w)
+			if len(w.inFlight) == 0 {
+				delete(s.workersByID, w.ID)
 			}
 		}
 	}
-	s.list = slices.DeleteFunc(s.list, func(w *worker) bool { return !w.here })
-	for _, w := range s.young {
-		s.touch(w) // it may be warm by now
+	s.list = slices.DeleteFunc(s.list, func(w *worker) bool { return !w.inList })
+	for _, w := range s.slowStartCandidates {
+		s.markDirty(w) // it may be out of slow start by now
 	}
-	s.live, s.young = 0, s.young[:0]
+	s.runningWorkers, s.slowStartCandidates = 0, s.slowStartCandidates[:0]
 	for i, w := range s.list {
-		if w.place = uint32(i); all {
-			s.touch(w)
+		if w.listIndex = uint32(i); markAll {
+			s.markDirty(w)
 		}
 		if w.State == Running {
-			s.live++
+			s.runningWorkers++
 		}
-		if s.cold(now, w) {
-			s.young = append(s.young, w)
+		if s.inSlowStart(now, w) {
+			s.slowStartCandidates = append(s.slowStartCandidates, w)
 		}
 	}
-	s.stale = true
-	if s.born < 0 {
-		s.born = now
-		// What this scheduler sent before its own restart is forgotten, and still counts.
-		s.coldAt = max(s.coldAt, now+s.terms.Fall)
-		if s.listTill > now {
-			// There is a list to begin with that counts: the watch can wait for this scheduler's turn.
-			s.watchAt = now + s.watchRound()*s.myPart()
+	s.rankingStale = true
+	if s.firstListAt < 0 {
+		s.firstListAt = now
+		// What this scheduler sent before its own restart is unknown to it, and still counts in the slow-start
+		// window.
+		s.slowStartFrom = max(s.slowStartFrom, now+s.terms.Fall)
+		if s.listValidUntil > now {
+			// There is a valid list to begin with, so the watch can wait for this scheduler's turn.
+			s.nextWatchAt = now + s.watchSpreadMs()*s.turnFraction()
 		}
 	}
 }
 
-// Relies tells until when the list may be taken for whole. Later a worker may drain that it still shows in
-// service, so that nothing is posted until Relies tells of a later time. A host that does not say so vouches
-// for its list at all times.
-func (s *Scheduler) Relies(till float64) { s.listTill = till }
+// Relies sets until when the list may be relied on. After that a worker that the list shows as running may be
+// draining, so nothing is posted until Relies sets a later time. A caller that never calls it guarantees that
+// its list is always valid.
+func (s *Scheduler) Relies(till float64) { s.listValidUntil = till }
 
-// Withdrawn tells that staff took a worker out: it counts as draining, whatever the list says, until
+// Withdrawn reports that operators withdrew a worker: it counts as draining, whatever the list says, until
 // Returned.
 func (s *Scheduler) Withdrawn(now float64, id string) {
-	v := s.staffed[id]
+	v := s.withdrawals[id]
 	if v == nil {
-		v = &staffed{}
-		s.staffed[id] = v
+		v = &withdrawal{}
+		s.withdrawals[id] = v
 	}
-	v.out, v.since = true, now
-	s.relist(now, id)
+	v.withdrawn, v.withdrawnAt = true, now
+	s.reapplyListing(now, id)
 }
 
-// Returned tells that staff put a worker back.
+// Returned reports that operators put a worker back into service.
 func (s *Scheduler) Returned(now float64, id string) {
-	if v := s.staffed[id]; v != nil && v.out {
-		v.out, v.back = false, now
-		s.relist(now, id)
+	if v := s.withdrawals[id]; v != nil && v.withdrawn {
+		v.withdrawn, v.returnedAt = false, now
+		s.reapplyListing(now, id)
 	}
 }
 
-func (s *Scheduler) relist(now float64, id string) {
-	if w := s.byID[id]; w != nil && w.here {
-		s.ListChanged(now, false, []Listed{w.row})
+// reapplyListing applies a worker's row of the list again after a change of its withdrawal.
+func (s *Scheduler) reapplyListing(now float64, id string) {
+	if w := s.workersByID[id]; w != nil && w.inList {
+		s.ListChanged(now, false, []Listed{w.asListed})
 	}
 }
 
-// staffing is how a worker of the list stands after what staff did with it. One that was put back is cold
-// from then on, as the list may be late with its restart.
-func (s *Scheduler) staffing(r Listed) Listed {
-	v := s.staffed[r.ID]
+// applyWithdrawal returns a worker's row of the list as changed by the operators' withdrawal. A returned worker
+// is in slow start from then on, as the list may show its restart late.
+func (s *Scheduler) applyWithdrawal(r Listed) Listed {
+	v := s.withdrawals[r.ID]
 	if v == nil {
 		return r
 	}
-	if v.out && r.State == Running {
+	if v.withdrawn && r.State == Running {
 		r.State = Draining
 	}
-	if v.back > 0 && r.Start <= v.since {
-		r.Start = v.back
+	if v.returnedAt > 0 && r.Start <= v.withdrawnAt {
+		r.Start = v.returnedAt
 	}
 	return r
 }
 
-// keepKey counts the keys of the last txns, to know how much of the work asks for each.
-func (s *Scheduler) keepKey(hash uint32) {
-	s.keys = append(s.keys, hash)
-	s.asked[hash]++
-	if len(s.keys) > costsKept {
-		if s.asked[s.keys[0]]--; s.asked[s.keys[0]] == 0 {
-			delete(s.asked, s.keys[0])
+// recordKey counts the keys of the last txns, to know each key's share of the work.
+func (s *Scheduler) recordKey(hash uint32) {
+	s.recentKeys = append(s.recentKeys, hash)
+	s.keyCounts[hash]++
+	if len(s.recentKeys) > recentCostCount {
+		if s.keyCounts[s.recentKeys[0]]--; s.keyCounts[s.recentKeys[0]] == 0 {
+			delete(s.keyCounts, s.recentKeys[0])
 		}
-		s.keys = s.keys[1:]
+		s.recentKeys = s.recentKeys[1:]
 	}
 }
 
-func (s *Scheduler) posting(ref string, no int) *posting {
+// posting returns a posting of a txn by its number, or nil if it is not known.
+func (s *Scheduler) posting(ref string, number int) *posting {
 	t := s.txns[ref]
-	if t == nil || no < 0 || no >= len(t.posts) {
+	if t == nil || number < 0 || number >= len(t.postings) {
 		return nil
 	}
-	return t.posts[no]
+	return t.postings[number]
 }
 
-func (s *Scheduler) report(w *worker, load Load) {
+// recordLoad records a worker's load report, if there is one.
+func (s *Scheduler) recordLoad(w *worker, load Load) {
 	if load.Free >= 0 {
-		w.free, w.ownThen = load.Free, len(w.own)
-		s.touch(w)
+		w.reportedFree, w.inFlightAtReport = load.Free, len(w.inFlight)
+		s.markDirty(w)
 	}
 }
 
-// Heard takes a peer's message: its postings in flight by worker.
+// Heard takes a peer's message. It is a sequence of 3-byte entries, each of the low 16 bits of the worker's hash
+// and one byte: the peer's postings in flight there or, with many schedulers, the index of a scheme that failed
+// there, with settledFlag set if it has settled there again.
 func (s *Scheduler) Heard(now float64, from int, body []byte) {
-	if s.thin() {
+	if s.manySchedulers() {
 		for ; len(body) >= 3; body = body[3:] {
-			at := int(body[2] &^ settledMark)
+			schemeIndex := int(body[2] &^ settledFlag)
 			for _, w := range s.list {
-				if uint16(w.hash) != binary.BigEndian.Uint16(body) || at >= len(s.terms.Schemes) {
+				if uint16(w.idHash) != binary.BigEndian.Uint16(body) || schemeIndex >= len(s.terms.Schemes) {
 					continue
 				}
-				scheme := s.terms.Schemes[at].Name
-				if body[2]&settledMark == 0 {
-					s.failing(now, w, scheme, false, false)
+				scheme := s.terms.Schemes[schemeIndex].Name
+				if body[2]&settledFlag == 0 {
+					s.recordSchemeFailure(now, w, scheme, false, false)
 				} else {
-					delete(w.ill, scheme)
+					delete(w.failuresByScheme, scheme)
 				}
-				// What two others have told, or one that it settled, all know.
-				s.news = slices.DeleteFunc(s.news, func(n news) bool {
-					return n.w == w && n.scheme == scheme && (w.ill[scheme].bad > 2 || body[2]&settledMark != 0)
+				// No more need be sent about a failure that two peers have reported, or a recovery that one has.
+				s.pendingReports = slices.DeleteFunc(s.pendingReports, func(n schemeReport) bool {
+					return n.worker == w && n.scheme == scheme &&
+						(w.failuresByScheme[scheme].count > 2 || body[2]&settledFlag != 0)
 				})
 			}
 		}
 		return
 	}
-	said, part := map[uint16]int{}, len(body) >= mostBytes
+	counts, partial := map[uint16]int{}, len(body) >= maxMessageBytes
 	var first, last uint16
 	for ; len(body) >= 3; body = body[3:] {
-		if last = binary.BigEndian.Uint16(body); len(said) == 0 {
+		if last = binary.BigEndian.Uint16(body); len(counts) == 0 {
 			first = last
 		}
-		said[last] = int(body[2])
+		counts[last] = int(body[2])
 	}
 	for _, w := range s.list {
-		if part && uint16(w.hash)-first > last-first {
-			continue // this message says nothing of it
+		if partial && uint16(w.idHash)-first > last-first {
+			continue // the message does not cover this worker
 		}
-		if n := said[uint16(w.hash)]; n != w.peers[from] {
-			if w.peers == nil {
-				w.peers = map[int]int{}
+		if n := counts[uint16(w.idHash)]; n != w.peerInFlight[from] {
+			if w.peerInFlight == nil {
+				w.peerInFlight = map[int]int{}
 			}
-			w.told += n - w.peers[from]
-			w.peers[from] = n
-			s.touch(w)
+			w.peerInFlightSum += n - w.peerInFlight[from]
+			w.peerInFlight[from] = n
+			s.markDirty(w)
 		}
 	}
-	s.heardAt[from] = now
+	s.peerHeardAt[from] = now
 }
 
-// outs is what a message tells of own postings in flight, by worker in the order of their hashes. Where workers
-// are more than it holds it tells of a part of the circle of hashes, from its first entry to its last, and the
-// next message goes on from there: those at the list's end were never told of.
-func (s *Scheduler) outs() (body []byte) {
+// inFlightMessage returns a message with this scheduler's postings in flight by worker, in the order of the
+// workers' hashes. If more workers are busy than it can hold, it covers the section of the hash ring from its
+// first entry to its last, and the next message continues from there: otherwise peers never learned of the
+// workers at the end of the list.
+func (s *Scheduler) inFlightMessage() (body []byte) {
 	var busy []*worker
 	for _, w := range s.list {
-		if len(w.own) > 0 {
+		if len(w.inFlight) > 0 {
 			busy = append(busy, w)
 		}
 	}
-	put := func(hash uint16, n int) {
+	addEntry := func(hash uint16, n int) {
 		body = append(binary.BigEndian.AppendUint16(body, hash), byte(min(n, 255)))
 	}
-	const most = mostBytes / 3
+	const maxEntries = maxMessageBytes / 3
 	from, n := uint16(0), len(busy)
-	if part := n >= most; part {
-		from, n = s.toldTo+1, most-1
-		put(from, 0)
+	if partial := n >= maxEntries; partial {
+		from, n = s.lastHashSent+1, maxEntries-1
+		addEntry(from, 0)
 	}
 	slices.SortFunc(busy, func(a, b *worker) int {
-		return cmp.Or(cmp.Compare(uint16(a.hash)-from, uint16(b.hash)-from), cmp.Compare(a.place, b.place))
+		return cmp.Or(cmp.Compare(uint16(a.idHash)-from, uint16(b.idHash)-from), cmp.Compare(a.listIndex, b.listIndex))
 	})
 	for _, w := range busy[:n] {
-		put(uint16(w.hash), len(w.own))
-		s.toldTo = uint16(w.hash)
+		addEntry(uint16(w.idHash), len(w.inFlight))
+		s.lastHashSent = uint16(w.idHash)
 	}
 	return body
 }
 
-// forget drops what a peer said that has been silent for long: it was killed, and its postings end unseen.
-func (s *Scheduler) forget(now float64) {
-	for from, at := range s.heardAt {
-		if now > at+30*s.tellGap() {
-			delete(s.heardAt, from)
+// dropSilentPeers forgets the postings of peers that have not been heard for long: such a peer was killed, and
+// nothing reports the end of its postings.
+func (s *Scheduler) dropSilentPeers(now float64) {
+	for from, at := range s.peerHeardAt {
+		if now > at+30*s.messageGapMs() {
+			delete(s.peerHeardAt, from)
 			for _, w := range s.list {
-				if n := w.peers[from]; n > 0 {
-					w.told -= n
-					s.touch(w)
+				if n := w.peerInFlight[from]; n > 0 {
+					w.peerInFlightSum -= n
+					s.markDirty(w)
 				}
-				delete(w.peers, from)
+				delete(w.peerInFlight, from)
 			}
 		}
 	}
 }
 
-// known counts the postings in flight at a worker, own ones and those that peers have told of.
-func (w *worker) known() int {
-	return len(w.own) + w.told
+// knownInFlight returns the postings in flight at a worker: this scheduler's own, and those that peers reported.
+func (w *worker) knownInFlight() int {
+	return len(w.inFlight) + w.peerInFlightSum
 }
 
-// carried is how many own postings, at the pace of their hints, ran here together half of the time; 1 where few did. A
-// higher quantile picks the hints that are off: the 0.75 one overstates by 1.4 where these vary by a factor of e^0.5.
-func (w *worker) carried() float64 {
-	if w.runs.n < runsNeeded {
+// observedCapacity returns how many own postings ran here together, at the pace of their hints, in the median of
+// the samples; 1 if there are too few samples. A higher quantile selects the hints that are wrong: the 0.75
+// quantile overstates by a factor of 1.4 where hints vary by a factor of e^0.5.
+func (w *worker) observedCapacity() float64 {
+	if w.ownConcurrency.count < minRunSamples {
 		return 1
 	}
-	return min(w.runs.at(0.5, 1), float64(w.most))
+	return min(w.ownConcurrency.quantile(0.5, 1), float64(w.maxRunning))
 }
 
-// Gone tells that a client has left, or that its txn is over.
+// Gone reports that a client has left, or that its txn is closed.
 func (s *Scheduler) Gone(now float64, ref string) {
 	if t := s.txns[ref]; t != nil {
-		s.end(t)
+		s.closeTxn(t)
 	}
 }
 
-// Stops tells that this scheduler ends by a time: a txn that waited for its own expiry would be lost with it.
+// Stops sets when this scheduler ends: a txn that waited for a later expiry would be lost with it.
 func (s *Scheduler) Stops(by float64) {
 	s.stopAt = by
 	for _, t := range s.txns {
-		t.due, t.until = min(t.due, by), min(t.until, by)
+		t.slaAt, t.expiresAt = min(t.slaAt, by), min(t.expiresAt, by)
 	}
-	for _, t := range s.held.all {
+	for _, t := range s.queue.slots {
 		if t != nil {
-			s.hold(t)
+			s.enqueue(t)
 		}
 	}
 }
 
-// Yields tells that another process of this scheduler may send to cold workers, and speaks to peers, instead
-// of this one: both together have one scheduler's part.
-func (s *Scheduler) Yields() { s.coldAt, s.yields = math.Inf(1), true }
+// Yields reports that another process of this scheduler now leads: only that process sends to workers in slow
+// start and messages peers, so that both together use one scheduler's quota.
+func (s *Scheduler) Yields() { s.slowStartFrom, s.yielded = math.Inf(1), true }
 
-// Leads tells that this process may from now on.
-func (s *Scheduler) Leads(now float64) { s.coldAt, s.ledAt, s.yields = now+s.terms.Fall, now, false }
+// Leads reports that this process leads from now on. It waits for one slow-start window first, as postings of
+// the former leader still count.
+func (s *Scheduler) Leads(now float64) {
+	s.slowStartFrom, s.leadingSince, s.yielded = now+s.terms.Fall, now, false
+}
 
-func (s *Scheduler) end(t *txn) {
-	if t.over {
+// closeTxn closes a txn. Its postings in flight are to be cancelled.
+func (s *Scheduler) closeTxn(t *txn) {
+	if t.closed {
 		return
 	}
-	t.over = true
-	s.held.drop(t)
-	if t.out > 0 {
-		s.excess = append(s.excess, t)
+	t.closed = true
+	s.queue.remove(t)
+	if t.inFlight > 0 {
+		s.cancelCandidates = append(s.cancelCandidates, t)
 	} else {
 		delete(s.txns, t.Ref)
 	}
 }
 
-// trip measures how long the way to a worker and back is: the least that one took, and slowly more again where
-// all take more. Waits and pauses only add to it.
-func (s *Scheduler) trip(now float64, p *posting) {
-	way := &s.far
-	if p.w.Zone == s.terms.Zone {
-		way = &s.near
+// recordRoundTrip estimates the round trip to a worker from a posting that was turned away. Delays only add to
+// the round trip, so a lower measurement replaces the estimate at once and a higher one raises it slowly.
+func (s *Scheduler) recordRoundTrip(now float64, p *posting) {
+	roundTripMs := &s.crossZoneRoundTripMs
+	if p.worker.Zone == s.terms.Zone {
+		roundTripMs = &s.sameZoneRoundTripMs
 	}
-	if took := now - p.at; *way == 0 || took < *way {
-		*way = took
+	if elapsedMs := now - p.postedAt; *roundTripMs == 0 || elapsedMs < *roundTripMs {
+		*roundTripMs = elapsedMs
 	} else {
-		*way += (took - *way) / 100
+		*roundTripMs += (elapsedMs - *roundTripMs) / 100
 	}
 }
 
-// learn keeps what is to be told among many. Where nothing is told it is dropped, and of more than a message holds
-// the oldest: it would only grow.
-func (s *Scheduler) learn(now float64, n news) {
-	if s.thin() && s.terms.Messages && !s.yields && s.pays(now) {
-		s.news = append(s.news, n)[max(0, len(s.news)+1-mostBytes/3):]
+// queueReport queues a report for the peers (many schedulers only). Where it won't be sent it is dropped, and of
+// more reports than a message holds the oldest is: otherwise the queue would only grow.
+func (s *Scheduler) queueReport(now float64, n schemeReport) {
+	if s.manySchedulers() && s.terms.Messages && !s.yielded && s.reportPaysOff(now) {
+		s.pendingReports = append(s.pendingReports, n)[max(0, len(s.pendingReports)+1-maxMessageBytes/3):]
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -44,7 +44,7 @@
 	if p := mustPost(t, s, 90000); p.Worker != "a" {
 		t.Errorf("posted to %s, and only a is in its zone now", p.Worker)
 	}
-	if n := len(s.ranks); n != 3 {
+	if n := len(s.rankings); n != 3 {
 		t.Errorf("%d rankings for all workers and two sets", n)
 	}
 }
@@ -62,8 +62,8 @@
 		arrive(s, now, ref, 0, 100)
 		took = append(took, now)
 		for p, ok := s.NextPosting(now); ok; p, ok = s.NextPosting(now) {
-			no := len(s.txns[p.Ref].posts) - 1
-			if no > 0 {
+			number := len(s.txns[p.Ref].postings) - 1
+			if number > 0 {
 				further = append(further, now)
 			}
 			n, m := 0, 0
@@ -77,10 +77,10 @@
 					m++
 				}
 			}
-			if no > 0 && float64(n) > 1+0.05*float64(m) {
+			if number > 0 && float64(n) > 1+0.05*float64(m) {
 				t.Fatalf("at %g: %d further postings, with %d txns taken", now, n, m)
 			}
-			s.Ended(now, p.Ref, no, TimedOut, false, NoLoad)
+			s.Ended(now, p.Ref, number, TimedOut, false, NoLoad)
 		}
 		for ok := true; ok; {
 			_, ok = s.NextFinal(now)
@@ -90,26 +90,26 @@
 		t.Errorf("%g further postings, of about 150 that the budget has", n)
 	}
 	// One that was never sent does not count.
-	before := len(s.further)
-	s.further = append(s.further, 21000)
-	s.txns["x"] = &txn{Txn: Txn{Ref: "x"}, terms: s.terms, posts: []*posting{{done: true}, nil}, out: 1}
-	p := &posting{t: s.txns["x"], w: s.list[0], no: 1, at: 21000}
-	s.txns["x"].posts[1] = p
+	before := len(s.extraPostings)
+	s.extraPostings = append(s.extraPostings, 21000)
+	s.txns["x"] = &txn{Txn: Txn{Ref: "x"}, terms: s.terms, postings: []*posting{{ended: true}, nil}, inFlight: 1}
+	p := &posting{txn: s.txns["x"], worker: s.list[0], number: 1, postedAt: 21000}
+	s.txns["x"].postings[1] = p
 	s.Ended(21001, "x", 1, NeverSent, false, NoLoad)
-	if len(s.further) != before {
+	if len(s.extraPostings) != before {
 		t.Error("a posting that was never sent counts")
 	}
 	// While another process of this scheduler leads, what is free is that one's.
-	s.took, s.further = nil, nil
-	held := &txn{Txn: Txn{Ref: "y"}, terms: s.terms, posts: []*posting{{done: true}}}
-	if !s.affords(30000, held) {
+	s.arrivals, s.extraPostings = nil, nil
+	held := &txn{Txn: Txn{Ref: "y"}, terms: s.terms, postings: []*posting{{ended: true}}}
+	if !s.budgetAllows(30000, held) {
 		t.Error("what is free can't be used")
 	}
 	s.Yields()
-	if s.affords(30000, held) {
+	if s.budgetAllows(30000, held) {
 		t.Error("two processes of one scheduler would both use what is free")
 	}
-	if s.Leads(30000); s.affords(31000, held) || !s.affords(32001, held) {
+	if s.Leads(30000); s.budgetAllows(31000, held) || !s.budgetAllows(32001, held) {
 		t.Error("a process that leads now has to wait for the window")
 	}
 }
@@ -130,11 +130,11 @@
 	for ref, scheme := range map[string]int{"full": 1, "ran": 2} {
 		arrive(s, 2, ref, scheme, 100)
 		mustPost(t, s, 2)
-		how := Full
+		outcome := Full
 		if ref == "ran" {
-			how = Erred
+			outcome = Erred
 		}
-		s.Ended(3, ref, 0, how, false, NoLoad)
+		s.Ended(3, ref, 0, outcome, false, NoLoad)
 	}
 	if f, ok := s.NextFinal(3); !ok || f.Ref != "full" || !f.Declined || f.Stay != 0 {
 		t.Errorf("got %+v %v", f, ok)
@@ -174,9 +174,9 @@
 		t.Error("there was nothing more to tell")
 	}
 	goes := func(scheme int, now float64) bool {
-		tx := &txn{Txn: Txn{Ref: "t", Scheme: scheme, Hint: 100, Slots: 1}, terms: b.terms, until: now + 9000, due: now + 9000}
-		b.pulls++
-		return b.fits(now, tx, b.byID[at])
+		tx := &txn{Txn: Txn{Ref: "t", Scheme: scheme, Hint: 100, Slots: 1}, terms: b.terms, expiresAt: now + 9000, slaAt: now + 9000}
+		b.postingDecisions++
+		return b.mayPost(now, tx, b.workersByID[at])
 	}
 	b.rerank(2000)
 	if b.Heard(2001, 3, body); !goes(1, 2002) {
@@ -185,7 +185,7 @@
 	if b.Heard(2003, 4, body); goes(1, 2004) || !goes(0, 2004) {
 		t.Error("after two that scheme alone should keep away")
 	}
-	body[2] |= settledMark
+	body[2] |= settledFlag
 	if b.Heard(2005, 4, body); !goes(1, 2006) {
 		t.Error("it settled there since")
 	}
@@ -195,8 +195,8 @@
 	for i := range 50 {
 		fail(c, float64(10000*i), fmt.Sprint(i))
 	}
-	if len(c.news) != 0 {
-		t.Errorf("%d failures kept that nobody is told of", len(c.news))
+	if len(c.pendingReports) != 0 {
+		t.Errorf("%d failures kept that nobody is told of", len(c.pendingReports))
 	}
 }
 
@@ -210,18 +210,18 @@
 		for terms.Me = range terms.Peers {
 			s := started(terms, 21)
 			for _, w := range s.list {
-				w.most = 8
-				for range runsNeeded {
-					w.runs.add(8)
+				w.maxRunning = 8
+				for range minRunSamples {
+					w.ownConcurrency.add(8)
 				}
 			}
 			s.rerank(1)
 			w := s.list[0]
-			if got := s.carries(w); got != 8 {
+			if got := s.capacityOf(w); got != 8 {
 				t.Fatalf("falling at %g times it is reckoned to carry %g, was seen to carry 8", times, got)
 			}
-			budget = slowstart.Budget(s.limits().Allowed(0, 8, s.meanWork()))
-			requests += s.limits().Quota(slowstart.Fleet{Number: terms.Me, Size: terms.Peers}, w.hash, 0, 8, s.requests()).Requests
+			budget = slowstart.Budget(s.slowStartLimits().Allowed(0, 8, s.meanWork()))
+			requests += s.slowStartLimits().Quota(slowstart.Fleet{Number: terms.Me, Size: terms.Peers}, w.idHash, 0, 8, s.requestStats()).Requests
 		}
 		if n := float64(requests); n > budget || n < budget/2 {
 			t.Errorf("falling at %g times: %.0f requests may go, %.1f are allowed", times, n, budget)
@@ -235,10 +235,10 @@
 	terms := plainTerms
 	terms.Peers, terms.Messages = 40, true
 	s := started(terms, 6)
-	posted := func(now float64, ref string, no int, how Outcome) *worker {
-		w := s.byID[mustPost(t, s, now).Worker]
-		s.Started(now, ref, no)
-		s.Ended(now+1, ref, no, how, how == Done, NoLoad)
+	posted := func(now float64, ref string, number int, outcome Outcome) *worker {
+		w := s.workersByID[mustPost(t, s, now).Worker]
+		s.Started(now, ref, number)
+		s.Ended(now+1, ref, number, outcome, outcome == Done, NoLoad)
 		return w
 	}
 	arrive(s, 1000, "bad", 0, 100)
@@ -247,13 +247,13 @@
 	if f, ok := s.NextFinal(1004); a == b || !ok || f.Ref != "bad" {
 		t.Errorf("posted to %s and %s, then %v", a.ID, b.ID, ok)
 	}
-	if len(s.news)+a.bad+b.bad+len(a.ill)+len(b.ill) > 0 {
+	if len(s.pendingReports)+a.badOutcomes+b.badOutcomes+len(a.failuresByScheme)+len(b.failuresByScheme) > 0 {
 		t.Error("workers are blamed for a client's request")
 	}
 	arrive(s, 2000, "good", 0, 100)
 	a = posted(2000, "good", 0, Unfit)
-	if b = posted(2002, "good", 1, Done); a == b || len(a.ill) != 1 || len(b.ill) != 0 || len(s.news) != 1 {
-		t.Errorf("blamed: %v %v, told %d", a.ill, b.ill, len(s.news))
+	if b = posted(2002, "good", 1, Done); a == b || len(a.failuresByScheme) != 1 || len(b.failuresByScheme) != 0 || len(s.pendingReports) != 1 {
+		t.Errorf("blamed: %v %v, told %d", a.failuresByScheme, b.failuresByScheme, len(s.pendingReports))
 	}
 	arrive(s, 3000, "once", 1, 100)
 	posted(3000, "once", 0, Unfit)
@@ -285,7 +285,7 @@
 		return float64(sent*(peers-1)) / 80
 	}
 	for _, peers := range []int{10, 100, 300, 3000} {
-		if n := heard(peers, 0); n < 1 || n > 8.1/tellEvery*1000 {
+		if n := heard(peers, 0); n < 1 || n > 8.1/messageIntervalPerPeerMs*1000 {
 			t.Errorf("%d schedulers: each hears %g messages a second", peers, n)
 		}
 	}
--- a/balance/shown.go
+++ b/balance/shown.go
@@ -1,12 +1,12 @@
 package balance
 
-// Shown tells of each worker that the list has running, in its order, how it stands: its zone, whether it is still cold by
-// rule 4's reckoning, and how many own postings are out there. It is for those who count what is in service, and for who
-// waits till nothing runs there any more; nothing is decided here.
-func (s *Scheduler) Shown(now float64, tell func(id string, zone int, cold bool, own int)) {
+// Shown calls visit for each worker that the list shows as running, in the list's order, with its zone, whether
+// it is in slow start (rule 4), and the number of this scheduler's postings in flight there. It serves those who
+// count the workers in service, or wait until nothing runs at a worker any more. No decisions are made here.
+func (s *Scheduler) Shown(now float64, visit func(id string, zone int, cold bool, own int)) {
 	for _, w := range s.list {
-		if w.row.State == Running {
-			tell(w.ID, w.Zone, s.cold(now, w), len(w.own))
+		if w.asListed.State == Running {
+			visit(w.ID, w.Zone, s.inSlowStart(now, w), len(w.inFlight))
 		}
 	}
 }
--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -99,9 +99,9 @@
 			terms.Schemes = []SchemeRow{{SLA: 1000, Stretch: 1e6, Expiry: 1e9, Gain: 1, LateGain: 0.2}}
 			c := newCrowd(b, terms, 100, 400)
 			for _, w := range c.s.list {
-				w.limit = 4
+				w.concurrencyLimit = 4
 			}
-			for c.s.held.n < n {
+			for c.s.queue.count < n {
 				c.n++
 				c.s.Arrived(c.now, Txn{Ref: fmt.Sprint(c.n), Hint: 100 + float64(c.n*7919%200), Slots: 1, Left: 1e9})
 			}
@@ -109,7 +109,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for _, w := range c.s.list {
-					w.limit = 4
+					w.concurrencyLimit = 4
 				}
 				c.n++
 				c.s.Arrived(c.now, Txn{Ref: fmt.Sprint(c.n), Hint: 100, Slots: 1, Left: 1e9})
--- a/balance/staff_test.go
+++ b/balance/staff_test.go
@@ -19,7 +19,7 @@
 		},
 		"a second call out": func() { s.Withdrawn(2, "w0") },
 	} {
-		if told(); s.live != 0 {
+		if told(); s.runningWorkers != 0 {
 			t.Errorf("after the list told %s the worker runs", name)
 		}
 		if p, ok := s.NextPosting(2); ok {
@@ -27,8 +27,8 @@
 		}
 	}
 	s.Returned(3000, "w0")
-	w := s.byID["w0"]
-	if mustPost(t, s, 3000).Worker != "w0" || w.Start != 3000 || !s.cold(3001, w) {
+	w := s.workersByID["w0"]
+	if mustPost(t, s, 3000).Worker != "w0" || w.Start != 3000 || !s.inSlowStart(3001, w) {
 		t.Errorf("back it is taken to have started at %g, not when it was put back", w.Start)
 	}
 	if s.ListChanged(3002, false, []Listed{row}); w.Start != 3000 {
@@ -51,7 +51,7 @@
 		t.Errorf("posted to %s, which drains", p.Worker)
 	}
 	s.Returned(5, "w1") // never out, and not known: nothing happens
-	if len(s.staffed) != 1 {
+	if len(s.withdrawals) != 1 {
 		t.Error("a worker that was never out is kept")
 	}
 }
@@ -70,8 +70,8 @@
 	a.Effect, a.Expiry = OnceOnly, 500
 	fresh.Schemes = []SchemeRow{b, a}
 	s.Retune(fresh)
-	if s.longest[1] != 500 || s.longest[0] != 0 {
-		t.Errorf("longest: %v", s.longest)
+	if s.longestLeftMs[1] != 500 || s.longestLeftMs[0] != 0 {
+		t.Errorf("longest: %v", s.longestLeftMs)
 	}
 	s.Ended(2, p.Ref, 0, Erred, false, NoLoad)
 	if again := mustPost(t, s, 600); again.Ref != "old" {
--- a/balance/terms.go
+++ b/balance/terms.go
@@ -1,5 +1,6 @@
-// Package balance decides where each txn goes. All choices are in balance.go; this file holds only types:
-// first those that cross its edge, then those in which it keeps what it knows. Times are milliseconds.
+// Package balance decides which worker each txn is posted to. All decisions are in balance.go. This file holds
+// only types: first those of the package's interface, then those of its internal state. All times and durations
+// are float64 milliseconds.
 package balance
 
 import (
@@ -8,12 +9,12 @@
 	"shalebeam/balance/slowstart"
 )
 
-// Effect says what a repeat of a txn does.
+// Effect says what running a txn again does.
 type Effect int
 
 const (
 	Repeatable Effect = iota // may run again
-	Referenced               // carries a mark by which its group drops a repeat
+	Referenced               // carries a mark (an idempotency key) by which the workers of its group drop a repeat
 	OnceOnly                 // must never run twice
 )
 
@@ -21,75 +22,79 @@
 type Group int
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	GroupAll  Group = iota // all workers
+	GroupZone              // those in the same zone
+	GroupCell              // those in the same cell
 )
 
-// SchemeRow is one scheme's row of the table that the module reads.
+// SchemeRow is one scheme's row of the settings, as far as this package needs it. It is part of Carried and so
+// written as JSON under its field names.
 type SchemeRow struct {
-	Name     string // by which it is the same one in other terms
-	Effect   Effect
-	Group    Group
-	Window   float64 // how long the group remembers a mark
-	SLA      float64
-	Stretch  float64 // the SLA time grows by this many times the txn's own work
-	Expiry   float64
-	Gain     float64
-	LateGain float64 // share of the gain after the SLA time
-	Zones    uint64  // the workers that may run it, a bit each, by their place in the settings; 0: all
-	Kinds    uint64
+	Name     string  // identifies the scheme in other Terms
+	Effect   Effect  // what running a txn of it again does
+	Group    Group   // workers that drop repeats; for referenced schemes
+	Window   float64 // how long the group remembers a mark, ms
+	SLA      float64 // SLA time, ms, before Stretch
+	Stretch  float64 // the SLA time is longer by this many times the txn's expected run time
+	Expiry   float64 // longest time a txn may stay open, ms
+	Gain     float64 // gain of an answer within the SLA time
+	LateGain float64 // part of the gain that an answer after the SLA time still earns
+	Zones    uint64  // bits of the zones that it may run in, by their place in the settings; 0: all
+	Kinds    uint64  // the same of kinds
 }
 
-// Open tells whether a worker of a zone and kind may run it.
-func (r *SchemeRow) Open(zone, kind int) bool { return has(r.Zones, zone) && has(r.Kinds, kind) }
+// Open reports whether a worker of this zone and kind may run txns of the scheme.
+func (r *SchemeRow) Open(zone, kind int) bool { return hasBit(r.Zones, zone) && hasBit(r.Kinds, kind) }
 
-func has(bits uint64, place int) bool { return bits == 0 || place >= 0 && bits>>min(place, 64)&1 > 0 }
+// hasBit reports whether bits has the bit of a place, or is 0, which stands for all places.
+func hasBit(bits uint64, place int) bool {
+	return bits == 0 || place >= 0 && bits>>min(place, 64)&1 > 0
+}
 
-// Terms are what a scheduler is told at its start.
+// Terms are a scheduler's settings: what it is told at its start or by Retune.
 type Terms struct {
-	Seed       uint64
-	Me, Peers  int
-	Zone       int
-	Tick       float64
-	Schemes    []SchemeRow
-	Quota      []float64 // txns a second within each tenant's share, by tenant
-	OverGain   float64   // worth of a txn past its tenant's share, as a part
-	MaxPosts   int
-	Copies     bool // a txn may have two postings out
-	Cancels    bool
-	Probes     bool
-	Messages   bool
-	MustAsk    bool // the list comes only when asked for
-	AskIn      float64
-	TellsStart bool
-	LiveWeight bool    // a worker's weight is its size, lowered by 1 + what it holds for each core
-	MaxStay    float64 // longest stay-away a client heeds, 0 where none may be given
-	ColdFrom   float64
-	ColdFor    float64
-	Fall       float64
-	FallTimes  float64
-	NewFee     float64 // what a new connection for each txn costs
-	TellFee    float64 // what a message of 256 bytes for each txn costs, as part of the worth of all
-	Idle       float64 // a worker closes connections that stood idle for so long
-	// In any time of BudgetFor, postings beyond each txn's first are at most BudgetFree and BudgetRatio a txn
-	// taken.
-	BudgetFor, BudgetFree, BudgetRatio float64 // BudgetFor 0: there is no such rule
+	Seed       uint64      // of the random numbers
+	Me, Peers  int         // this scheduler's number, from 0, and the number of schedulers including it
+	Zone       int         // this scheduler's own zone
+	Tick       float64     // shortest delay, ms, after which the caller can poll again
+	Schemes    []SchemeRow // the schemes, in the order in which Txn.Scheme numbers them
+	Quota      []float64   // txns per second within each tenant's quota, by tenant; 0: no quota
+	OverGain   float64     // part of the gain that a txn beyond its tenant's quota counts for
+	MaxPosts   int         // postings that one txn may have in all
+	Copies     bool        // a txn may have two postings in flight
+	Cancels    bool        // unstarted and superfluous postings can be cancelled
+	Probes     bool        // workers answer probes
+	Messages   bool        // schedulers can send messages to their peers
+	MustAsk    bool        // discovery sends the list only when asked
+	AskIn      float64     // discovery is to be asked for the list at least this often, ms
+	TellsStart bool        // workers report when a posting starts to run
+	LiveWeight bool        // a worker's listed weight is its size divided by (1 + txns held per core)
+	MaxStay    float64     // longest time, ms, for which a client can be told to stay away; 0 where it can't
+	ColdFrom   float64     // part of its capacity that a worker has at its start, see slowstart.Limits
+	ColdFor    float64     // length of slow start after a worker's start, ms
+	Fall       float64     // window of the slow-start budget, ms
+	FallTimes  float64     // how many times its capacity a worker in slow start may be sent in a window
+	NewFee     float64     // cost of a new connection for each txn; only whether it is 0 matters here
+	TellFee    float64     // cost of a message of 256 bytes for each txn, as a part of the gain of all txns
+	Idle       float64     // workers close connections that have been idle this long, ms
+	// The retry budget: in any window of BudgetFor ms, the postings beyond each txn's first are at most
+	// BudgetFree, plus BudgetRatio for each txn that arrived.
+	BudgetFor, BudgetFree, BudgetRatio float64 // BudgetFor 0: no budget
 }
 
-// Txn is a request as it arrived.
+// Txn is a request as it arrived. It is part of Carried and so written as JSON under its field names.
 type Txn struct {
-	Ref    string
-	Scheme int
-	Tenant int
-	Key    string
-	Hint   float64 // expected work, below 0 where there is none
-	Slots  float64
-	Left   float64 // until the client gives up
+	Ref    string  // unique name
+	Scheme int     // index in Terms.Schemes
+	Tenant int     // index in Terms.Quota
+	Key    string  // names data that workers fetch and cache; empty where none is needed
+	Hint   float64 // expected run time, ms; below 0 where there is none
+	Slots  float64 // worker slots that it takes
+	Left   float64 // time until the client gives up, ms
 	Repeat bool    // the client marked it as a repeat
 }
 
-// State of a worker in the list.
+// State is a worker's state in the list.
 type State int
 
 const (
@@ -101,195 +106,203 @@
 // Listed is one worker as the list shows it.
 type Listed struct {
 	ID     string
-	Cell   int
+	Cell   int // its group of workers, see GroupCell
 	Zone   int
 	Kind   int
 	State  State
-	Start  float64 // time of its last start, 0 for long ago
-	Weight float64
+	Start  float64 // when it last started; 0 for long ago
+	Weight float64 // size or, with Terms.LiveWeight, size lowered by load
 }
 
-// Outcome is how a posting or a probe ended.
+// Outcome says how a posting or a probe ended.
 type Outcome int
 
 const (
 	Done      Outcome = iota
-	Erred             // may have run
-	Full              // never ran
-	TimedOut          // may have run
-	NoConnect         // never ran
-	Reset             // may have run
-	Cancelled         // may have run
-	NeverSent         // never ran
-	Unfit             // may have run; the worker says that the request itself is wrong
+	Erred             // an error; may have run
+	Full              // turned away for lack of a slot; never ran
+	TimedOut          // no answer in time; may have run
+	NoConnect         // no connection to the worker; never ran
+	Reset             // connection reset; may have run
+	Cancelled         // cancelled by this scheduler; may have run
+	NeverSent         // the caller did not send it; never ran
+	Unfit             // may have run; the worker says that the request itself is invalid
 )
 
 // NeverRan reports whether the outcome proves that the posting had no effect.
 func (o Outcome) NeverRan() bool { return o == Full || o == NoConnect || o == NeverSent }
 
-// Load is what a worker reported of itself; below 0 it was not reported.
+// Load is what a worker reports of itself: its free slots, below 0 where it reported none.
 type Load struct{ Free float64 }
 
-// NoLoad is the report of a worker that said nothing.
+// NoLoad stands for a missing report.
 var NoLoad = Load{-1}
 
-// Final is a txn's final answer where no settled posting gave it.
+// Final is a txn's final answer where it is not that of a settled posting.
 type Final struct {
 	Ref      string
-	Declined bool // else reversed
-	Stay     float64
+	Declined bool    // declined if true, else reversed
+	Stay     float64 // how long the client is to stay away, ms
 }
 
 // Post is one posting to make.
 type Post struct {
 	Ref, Worker string
-	Timeout     float64 // 0 means until the client gives up
-	By          float64 // later than this it must not be sent; +Inf means at any time
+	Timeout     float64 // ms; 0 means until the client gives up
+	By          float64 // latest time at which it may be sent; +Inf means any time
 }
 
-// Cancel names one posting to call off.
+// Cancel names one posting to cancel.
 type Cancel struct {
 	Ref     string
-	Posting int
+	Posting int // its number among the txn's postings, from 0
 }
 
-const samplesKept = 9 // an odd few: the median stands against the odd heavy one
+const sampleCount = 9 // odd and small: the median withstands a single heavy one
 
-// samples holds the last few measurements; figures are worked out from them when asked for.
+// samples holds the last sampleCount measurements. Quantiles are computed when asked for.
 type samples struct {
-	v, sorted [samplesKept]float64
-	n, i      int
-	fresh     bool
+	values, sorted [sampleCount]float64
+	count, next    int
+	unsorted       bool
 }
 
 func (m *samples) add(x float64) {
-	m.v[m.i] = x
-	m.i = (m.i + 1) % samplesKept
-	m.n = min(m.n+1, samplesKept)
-	m.fresh = true
+	m.values[m.next] = x
+	m.next = (m.next + 1) % sampleCount
+	m.count = min(m.count+1, sampleCount)
+	m.unsorted = true
 }
 
-func (m *samples) at(q, none float64) float64 {
-	if m.n == 0 {
+// quantile returns the q-quantile of the samples, or none if there are no samples.
+func (m *samples) quantile(q, none float64) float64 {
+	if m.count == 0 {
 		return none
 	}
-	if m.fresh {
-		m.sorted, m.fresh = m.v, false
-		slices.Sort(m.sorted[:m.n])
+	if m.unsorted {
+		m.sorted, m.unsorted = m.values, false
+		slices.Sort(m.sorted[:m.count])
 	}
-	return m.sorted[int(q*float64(m.n-1)+0.5)]
+	return m.sorted[int(q*float64(m.count-1)+0.5)]
 }
 
+// worker is the state kept of one worker. "In flight" means postings of this scheduler, unless said otherwise.
 type worker struct {
-	Listed   // as it counts: the row, put right by what staff did
-	row      Listed
-	open     bool // see takes
-	pull     int  // the decision for which that was worked out
-	here     bool // named in the list this scheduler has
-	own      []*posting
-	most     int         // most own postings seen running here together
-	limit    int         // how many it is given at once
-	free     float64     // as last reported; below 0: not reported
-	ownThen  int         // own postings when that report came
-	peers    map[int]int // postings that each peer last said it has there
-	told     int         // the sum of these
-	fullAt   float64     // when it last showed itself full, and with how many postings known of
-	fullWith int
-	fails    int // in a row
-	aside    float64
-	bad      int // postings that ended badly, in a row, and until when it stands aside for that
-	badTill  float64
-	ill      map[string]ill // the same of single schemes, by name
-	probing  bool
-	probedAt float64
-	begunAt  float64       // when the last one of those that have begun there was posted
-	usedAt   float64       // when an own posting last ended there
-	heardAt  float64       // when it last began or settled a posting, or answered a probe
-	sent     slowstart.Log // while still cold
-	rankLoad float64       // at the last ranking
-	rankZone int
-	rankKind int
-	place    uint32 // in the list
-	slots    []int  // its places in the rankings, -1 where it is not in one
-	placed   bool   // it is in them
-	touched  bool   // its load may have changed since
-	mine     bool   // cold, and it was this scheduler's turn at the last ranking
-	unbegun  int    // own postings that have not begun
-	sick     bool   // it is among those that failed lately
-	hash     uint32
-	delay    samples
-	bears    samples // how many would have run here at the pace of their hints, of all that are known of
-	runs     samples // how many own ones ran together here, at the pace of their hints
+	Listed                                           // the listed row after the operators' withdrawals are applied
+	asListed               Listed                    // the row as the list shows it
+	accepting              bool                      // result of accepts
+	acceptingDecision      int                       // value of postingDecisions for which accepting was computed
+	inList                 bool                      // named in the current list
+	inFlight               []*posting                // this scheduler's postings here
+	maxRunning             int                       // most postings of this scheduler seen running here together
+	concurrencyLimit       int                       // txns given to it at once, see concurrencyLimitFor
+	reportedFree           float64                   // free slots as last reported; below 0: not reported
+	inFlightAtReport       int                       // len(inFlight) at that report
+	peerInFlight           map[int]int               // by peer, the postings that it last said it has here
+	peerInFlightSum        int                       // sum of peerInFlight
+	lastFullAt             float64                   // when it was last observed to be full
+	inFlightWhenFull       int                       // knownInFlight at lastFullAt
+	connectionFailures     int                       // in a row: no connection, or a reset
+	ejectedUntil           float64                   // earliest trial after connectionFailures
+	badOutcomes            int                       // postings that ended in an error or a reset, in a row
+	badOutcomeEjectedUntil float64                   // end of the ejection for badOutcomes
+	failuresByScheme       map[string]schemeFailures // failures in a row of single schemes, by scheme name
+	probePending           bool                      // a probe is in progress
+	probedAt               float64                   // when the last probe was sent, or answered if later
+	lastStartedPostedAt    float64                   // latest posting time of the postings that have started here
+	lastEndedAt            float64                   // when a posting last ended here
+	lastHeardAt            float64                   // when it last started or settled a posting, or answered a probe
+	slowStartLog           slowstart.Log             // what it was sent while in slow start
+	rankLoad               float64                   // its load at the last ranking
+	rankZone               int                       // its zone and kind at the last ranking
+	rankKind               int
+	listIndex              uint32  // its place in the list
+	groupIndexes           []int   // its places in its load groups, by ranking; -1 where it is not in a ranking
+	ranked                 bool    // it is in the rankings
+	dirty                  bool    // its load may have changed since the last ranking
+	hasQuota               bool    // in slow start, and this scheduler had a quota for it at the last ranking
+	unstarted              int     // postings in flight that have not started
+	unhealthy              bool    // it is in Scheduler.unhealthy
+	idHash                 uint32  // checksum of its ID
+	startDelays            samples // times from posting to start
+	// txns here at the pace of their hints, of all known in flight: count * hinted run time / actual run time
+	totalConcurrency samples
+	ownConcurrency   samples // the same of this scheduler's running postings alone
 }
 
-// staffed is a worker that staff took out: whether it still is, since when, and when it was put back (0:
+// withdrawal says whether operators have a worker withdrawn, since when, and when it was last returned (0:
 // never).
-type staffed struct {
-	out         bool
-	since, back float64
+type withdrawal struct {
+	withdrawn               bool
+	withdrawnAt, returnedAt float64
 }
 
-// ill is how many postings of one scheme ended badly at a worker, in a row, and until when it stands aside
-// for that.
-type ill struct {
-	bad  int
-	till float64
+// schemeFailures counts the postings of one scheme that ended badly at a worker in a row, with the end of the
+// ejection for it.
+type schemeFailures struct {
+	count        int
+	ejectedUntil float64
 }
 
-// news is that a scheme failed at a worker, or settled there again.
-type news struct {
-	w      *worker
-	scheme string
-	ok     bool
+// schemeReport is a message entry to peers: a scheme failed at a worker, or settled there again.
+type schemeReport struct {
+	worker  *worker
+	scheme  string
+	settled bool
 }
 
-// size is what workers that carry the same have in common.
-type size struct {
+// workerSize is what workers of equal capacity have in common.
+type workerSize struct {
 	kind   int
 	weight float64
 }
 
-// sending is when some work was sent, or settled.
-type sending struct{ at, work float64 }
+// timedWork is an amount of work (cost) and when it was sent or settled.
+type timedWork struct{ at, work float64 }
 
-// sighting is when a worker showed itself full.
-type sighting struct {
-	w  *worker
-	at float64
+// fullEvent is an observation that a worker was full.
+type fullEvent struct {
+	worker *worker
+	at     float64
 }
 
-// last tells whether it is that worker's last one, and the worker is in the list.
-func (f sighting) last() bool { return f.w.here && f.w.fullAt == f.at }
+// isLatest reports whether this is the worker's latest full event and the worker is in the list.
+func (f fullEvent) isLatest() bool { return f.worker.inList && f.worker.lastFullAt == f.at }
 
+// posting is one attempt to run a txn at a worker.
 type posting struct {
-	t                *txn
-	w                *worker
-	no               int
-	at, start        float64
-	begun, done, off bool
-	lost             bool // its worker was taken to have lost it
-	ran              bool // it ended, and may have run
-	unfit            bool // its worker says that the request is wrong
+	txn                       *txn
+	worker                    *worker
+	number                    int // place among its txn's postings, from 0
+	postedAt, startedAt       float64
+	started, ended, cancelled bool // cancelled: a cancel was issued, the outcome may still come
+	countedLost               bool // it was counted as a failure, as its worker seemed to have lost it
+	mayHaveRun                bool // it ended, and may have run
+	calledInvalid             bool // its worker said that the request is invalid
 }
 
+// txn is an open txn, or a closed one with postings in flight.
 type txn struct {
 	Txn
-	terms            *Terms // those it came under
-	cost             float64
-	came, due, until float64 // due: the SLA time; until: the expiry
-	posts            []*posting
-	out              int
-	over             bool // answered or gone
-	ran              bool // an ended posting may have run
-	unfit            int  // workers that say the request is wrong
-	surplus          bool
-	hash             uint32     // of its key
-	held             bool       // it stands in the queue of those that want a posting
-	slot             int        // where
-	waits            int        // its postings that have not begun
-	dueAt            [2]float64 // when it is given up, without and with overload, as reckoned when it was held
+	terms                       *Terms     // those it arrived under
+	cost                        float64    // expected work: hinted run time * slots, or the median cost
+	arrivedAt, slaAt, expiresAt float64    // slaAt is the end of its SLA time, expiresAt its expiry
+	postings                    []*posting // in the order in which they were made
+	inFlight                    int        // number of postings in flight
+	closed                      bool       // answered, or its client has left
+	mayHaveRun                  bool       // an ended posting may have run
+	calledInvalid               int        // number of postings whose worker said that the request is invalid
+	overQuota                   bool       // beyond its tenant's quota
+	keyHash                     uint32     // checksum of Key
+	queued                      bool       // it is in Scheduler.queue
+	queueIndex                  int        // its index in Scheduler.queue.slots
+	unstarted                   int        // postings in flight that have not started
+	// when it is given up, without overload [0] and with it [1], as of when it was queued
+	giveUpAt [2]float64
 }
 
-func (t *txn) row() *SchemeRow { return &t.terms.Schemes[t.Scheme] }
+// schemeRow returns the scheme's row in the terms that the txn arrived under.
+func (t *txn) schemeRow() *SchemeRow { return &t.terms.Schemes[t.Scheme] }
 
-type tenant struct{ came []float64 }
+// tenant holds the times of a tenant's recent arrivals within its quota.
+type tenant struct{ arrivals []float64 }
