--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -5,119 +5,122 @@
 	"testing"
 )
 
-// crowd is a scheduler with so many workers and so many txns that run there, for the benchmarks.
-type crowd struct {
-	s    *Scheduler
-	now  float64
-	n    int
-	runs []Post
-	gap  float64
+// benchFleet is a scheduler with a number of workers and a number of txns running there, for the benchmarks.
+type benchFleet struct {
+	scheduler    *Scheduler
+	now          float64
+	txnCount     int
+	running      []Post
+	arrivalGapMs float64
 }
 
-func newCrowd(b *testing.B, terms Terms, workers, open int) *crowd {
-	c := &crowd{s: New(terms)}
+func newBenchFleet(b *testing.B, terms Terms, workers, open int) *benchFleet {
+	c := &benchFleet{scheduler: New(terms)}
 	rows := make([]Listed, workers)
 	for i := range rows {
 		rows[i] = Listed{ID: fmt.Sprint("w", i), Cell: i / 4, Zone: i % 2, Weight: 4}
 	}
-	c.s.ListChanged(c.now, true, rows)
-	c.gap = 200 / float64(max(open, 1)) // each runs 200 ms
-	for len(c.runs) < open {
+	c.scheduler.ListChanged(c.now, true, rows)
+	c.arrivalGapMs = 200 / float64(max(open, 1)) // each txn runs for 200 ms
+	for len(c.running) < open {
 		c.arrive()
-		c.pull(b)
+		c.poll(b)
 	}
 	return c
 }
 
-func (c *crowd) arrive() {
-	c.now += c.gap
-	c.n++
-	c.s.Arrived(c.now, Txn{Ref: fmt.Sprint(c.n), Hint: 100 + float64(c.n*7919%200), Slots: 1, Left: 20000})
+func (c *benchFleet) arrive() {
+	c.now += c.arrivalGapMs
+	c.txnCount++
+	c.scheduler.Arrived(c.now, Txn{Ref: fmt.Sprint(c.txnCount), Hint: 100 + float64(c.txnCount*7919%200),
+		Slots: 1, Left: 20000})
 }
 
-// pull takes all decisions, and has each posting begin at once.
-func (c *crowd) pull(b *testing.B) {
+// poll takes all decisions, and has each posting start at once.
+func (c *benchFleet) poll(b *testing.B) {
 	for {
-		if f, ok := c.s.NextFinal(c.now); ok {
+		if f, ok := c.scheduler.NextFinal(c.now); ok {
 			b.Fatalf("given up: %+v", f)
-		} else if _, ok := c.s.NextCancel(c.now); ok {
-		} else if p, ok := c.s.NextPosting(c.now); ok {
-			c.s.Started(c.now, p.Ref, 0)
-			c.runs = append(c.runs, p)
-		} else if _, ok := c.s.NextProbe(c.now); !ok {
+		} else if _, ok := c.scheduler.NextCancel(c.now); ok {
+		} else if p, ok := c.scheduler.NextPosting(c.now); ok {
+			c.scheduler.Started(c.now, p.Ref, 0)
+			c.running = append(c.running, p)
+		} else if _, ok := c.scheduler.NextProbe(c.now); !ok {
 			break
 		}
 	}
-	c.s.Wake(c.now)
+	c.scheduler.Wake(c.now)
 }
 
-// turn is one txn from its arrival to its end, with all that is pulled in between.
-func (c *crowd) turn(b *testing.B) {
+// runOneTxn handles one txn arriving and the oldest one ending, with all decisions in between.
+func (c *benchFleet) runOneTxn(b *testing.B) {
 	c.arrive()
-	c.pull(b)
-	p := c.runs[0]
-	c.runs = c.runs[1:]
-	c.s.Ended(c.now, p.Ref, 0, Done, true, NoLoad)
-	c.pull(b)
+	c.poll(b)
+	p := c.running[0]
+	c.running = c.running[1:]
+	c.scheduler.Ended(c.now, p.Ref, 0, Done, true, NoLoad)
+	c.poll(b)
 }
 
-// Workers have 4 slots, 70% of them in use.
-func BenchmarkWorkers(b *testing.B) {
+// BenchmarkByWorkers varies the number of workers, which have 4 slots each, 70% of them in use.
+func BenchmarkByWorkers(b *testing.B) {
 	for _, n := range []int{100, 1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newCrowd(b, sizeTerms, n, n*28/10)
+			c := newBenchFleet(b, benchTerms, n, n*28/10)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.turn(b)
+				c.runOneTxn(b)
 			}
 		})
 	}
 }
 
-var sizeTerms = Terms{Seed: 1, Peers: 1, Tick: 2, MaxPosts: 6, Copies: true, Cancels: true, Probes: true,
+var benchTerms = Terms{Seed: 1, Peers: 1, Tick: 2, MaxPosts: 6, Copies: true, Cancels: true, Probes: true,
 	TellsStart: true, ColdFrom: 0.2, ColdFor: 20000, Fall: 2000, FallTimes: 3,
 	Schemes: []SchemeRow{{SLA: 1000, Stretch: 2, Expiry: 20000, Gain: 1, LateGain: 0.2}}}
 
-// Txns that run, on 7,000 workers with 4 slots.
-func BenchmarkOpen(b *testing.B) {
+// BenchmarkByRunningTxns varies the number of running txns on 7,000 workers with 4 slots.
+func BenchmarkByRunningTxns(b *testing.B) {
 	for _, n := range []int{200, 2000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newCrowd(b, sizeTerms, 7000, n)
+			c := newBenchFleet(b, benchTerms, 7000, n)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.turn(b)
+				c.runOneTxn(b)
 			}
 		})
 	}
 }
 
-// Txns that are held with overload, while 100 workers run 4 each and take no more.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkByQueuedTxns varies the number of txns queued under overload, while 100 workers run 4 txns each and
+// accept no more.
+func BenchmarkByQueuedTxns(b *testing.B) {
 	for _, n := range []int{200, 2000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			terms := sizeTerms
+			terms := benchTerms
 			terms.Schemes = []SchemeRow{{SLA: 1000, Stretch: 1e6, Expiry: 1e9, Gain: 1, LateGain: 0.2}}
-			c := newCrowd(b, terms, 100, 400)
-			for _, w := range c.s.list {
+			c := newBenchFleet(b, terms, 100, 400)
+			for _, w := range c.scheduler.list {
 				w.concurrencyLimit = 4
 			}
-			for c.s.queue.count < n {
-				c.n++
-				c.s.Arrived(c.now, Txn{Ref: fmt.Sprint(c.n), Hint: 100 + float64(c.n*7919%200), Slots: 1, Left: 1e9})
+			for c.scheduler.queue.count < n {
+				c.txnCount++
+				c.scheduler.Arrived(c.now, Txn{Ref: fmt.Sprint(c.txnCount), Hint: 100 + float64(c.txnCount*7919%200),
+					Slots: 1, Left: 1e9})
 			}
 			c.now += 1100
 			b.ReportAllocs()
 			for b.Loop() {
-				for _, w := range c.s.list {
+				for _, w := range c.scheduler.list {
 					w.concurrencyLimit = 4
 				}
-				c.n++
-				c.s.Arrived(c.now, Txn{Ref: fmt.Sprint(c.n), Hint: 100, Slots: 1, Left: 1e9})
-				c.pull(b)
-				p := c.runs[0]
-				c.runs = c.runs[1:]
-				c.s.Ended(c.now, p.Ref, 0, Done, true, NoLoad)
-				c.pull(b)
+				c.txnCount++
+				c.scheduler.Arrived(c.now, Txn{Ref: fmt.Sprint(c.txnCount), Hint: 100, Slots: 1, Left: 1e9})
+				c.poll(b)
+				p := c.running[0]
+				c.running = c.running[1:]
+				c.scheduler.Ended(c.now, p.Ref, 0, Done, true, NoLoad)
+				c.poll(b)
 			}
 		})
 	}
