--- a/balance/balance.go
+++ b/balance/balance.go
@@ -3,8 +3,8 @@
 // A Scheduler makes the decisions of one scheduler process; it has no I/O and no clock. Its caller reports
 // events (Arrived, Started, Ended, Gone, ListChanged, Watched, Relies, Probed, Heard, Stops), which only update
 // state. It then polls for decisions, one per call, until there are none (NextFinal, NextCancel, NextPosting,
-// NextProbe, NextMessage, NextWatch), and polls again at Wake. The types of this interface are in terms.go, the
-// code that only updates state is in known.go.
+// NextProbe, NextMessage, NextWatch), and polls again at Wake. The types of this interface are in types.go, the
+// code that only updates state is in state.go.
 //
 // The ordinary path is ADUS: rerank sorts the workers by load, band divides txns by cost into bands of equal
 // work, and pickWorker sends a txn to the worker at its band's rank. The worker list is applied as discovery
