--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1170,7 +1170,8 @@
 		f := Final{Ref: t.Ref, Declined: s.mayDecline(t)}
 		// A txn that can still be in time may find a free slot on the client's immediate retry; told to stay
 		// away for long it came back late. Before a shutdown the client is told to stay away in any case, as its
-		// kept-alive connection would lead its retry back to this scheduler.
+		// kept-alive connection would lead its retry back to this scheduler; once this process has yielded,
+		// connections no longer lead here.
 		stopAt := s.stopAt
 		if s.yielded {
 			stopAt = math.Inf(1)
@@ -1206,7 +1207,7 @@
 		// a txn that is not repeatable can't be declined when the shutdown interrupts it, so leave a margin
 		neededMs *= 2
 	}
-	// what can't be done before this scheduler's shutdown others may do
+	// other schedulers may do what can't be done before this one's shutdown
 	lastUsefulAt = min(lastUsefulAt, s.dedupWindowEnd(t), s.stopAt-neededMs)
 	latestStartInTime := t.slaAt - t.expectedRunMs()
 	if ranking := s.rankingFor(t.schemeRow()); s.giveUpDependsOnQueues(t) && ranking.len() > 0 {
@@ -1256,8 +1257,8 @@
 	overloaded := s.overloaded(now)
 	for _, p := range s.unstarted {
 		// Of two unstarted copies the first keeps its place in its queue and the newer one is cancelled so that
-		// it can be posted elsewhere. Left to run late, it would make everything behind it in its queue late
-		// too.
+		// it can be posted elsewhere. Postings left in a queue to run late would make everything behind them
+		// late too.
 		superseded := p.txn.inFlight > 1 && p.number == len(p.txn.postings)-1 && now >= s.hedgeAt(p)
 		if superseded || now >= s.cancelLateAt(p, overloaded) {
 			p.cancelled = true
