--- a/scheduler/drive.go
+++ b/scheduler/drive.go
@@ -10,48 +10,49 @@
 	"shalebeam/scheduler/eventloop"
 )
 
-// txn is a request that was taken, until it is answered and all its postings have ended.
+// txn is a request of a client, from its arrival until it is answered and all its postings have ended. Times are
+// milliseconds on the scheduler's clock.
 type txn struct {
-	ref   string
+	ref   string // its Request-Id
 	ask   ask
-	from  *client // nil once it is answered or the client has left
-	until float64
-	posts []*posting
-	out   int
-	over  bool
+	from  *client    // nil once the client has left, or another process has the txn
+	until float64    // when its time is over: the client's deadline, or this process's stop if sooner
+	posts []*posting // all its postings, by number
+	out   int        // postings that have not ended
+	over  bool       // answered, or its client has left
 }
 
-// posting is one that the module asked for.
+// posting is one attempt of a txn at a worker, as the module decided it.
 type posting struct {
 	t     *txn
-	no    int
+	no    int         // its index in the txn's posts
 	conn  *workerConn // nil once it has ended
-	until float64
-	by    float64 // later than this it is not sent
+	until float64     // its deadline: it is given up then
+	by    float64     // not sent after this time
 }
 
-// drive holds the module, tells it what happens, and carries out what it decides.
+// drive holds the module (package balance), reports events to it and carries out its decisions.
 type drive struct {
-	s       *Scheduler
-	mod     *balance.Scheduler
-	txns    map[string]*txn
-	ends    ends // when postings are given up
-	pulling bool
-	timer   *eventloop.Timer
-	ended   int // postings that have ended and may still stand there
-	stopAt  float64
-	sweepAt float64
-	finals  finals
+	s           *Scheduler
+	mod         *balance.Scheduler
+	txns        map[string]*txn  // by Request-Id
+	ends        deadlineHeap     // the postings' deadlines; some of the postings may have ended
+	pulling     bool             // pull is running
+	timer       *eventloop.Timer // calls pull; see armTimer
+	ended       int              // postings that have ended since ends was last rid of them all
+	stopAt      float64          // when this process stops; +Inf while that is not known
+	nextSweepAt float64          // when connections are next checked for their time limits
+	finals      finals           // counts of final answers
 }
 
-// sweepEvery is how often idle and slow connections are looked over: their limits are seconds.
-const sweepEvery = 100.0
+// sweepIntervalMs is how often idle and slow connections are looked for. Their time limits are seconds.
+const sweepIntervalMs = 100.0
 
 func (d *drive) init(s *Scheduler, mod *balance.Scheduler) {
 	*d = drive{s: s, mod: mod, txns: map[string]*txn{}, stopAt: math.Inf(1)}
 }
 
-// arrive takes a request that came whole.
+// arrive takes a request that has come whole, and returns its txn.
 func (d *drive) arrive(from *client, a ask) *txn {
 	now := d.s.now()
 	t := &txn{ref: a.txn.Ref, ask: a, from: from, until: min(now+a.txn.Left, d.stopAt)}
@@ -60,81 +61,83 @@
 	return t
 }
 
-// gone tells that a client closed its connection before its answer.
+// gone tells the module that a client closed its connection before its txn was answered.
 func (d *drive) gone(t *txn) {
 	t.from = nil
 	if !t.over {
 		t.over = true
 		d.mod.Gone(d.s.now(), t.ref)
-		d.recall(t)
+		d.dropUnsent(t)
 		d.forget(t)
 	}
 }
 
-// recall gives up what was not written whole of a txn that is over: finished later it would be an attempt for nobody. That it
-// never ran needs no leave to call it off.
-func (d *drive) recall(t *txn) {
+// dropUnsent gives up the postings of a finished txn whose requests are not written whole: if they were still
+// written, workers would run them for no client. They cannot have run, so this needs no permission to cancel
+// postings.
+func (d *drive) dropUnsent(t *txn) {
 	for _, p := range t.posts {
-		if p.conn != nil && p.conn.unsent() {
-			d.drop(p, balance.NeverSent)
+		if p.conn != nil && p.conn.hasUnsentBytes() {
+			d.endPosting(p, balance.NeverSent)
 		}
 	}
 }
 
+// forget deletes a txn that is over and has no postings out.
 func (d *drive) forget(t *txn) {
 	if t.over && t.out == 0 && d.txns[t.ref] == t {
 		delete(d.txns, t.ref)
 	}
 }
 
-// started tells that a worker has begun a posting.
+// started tells the module that a worker has begun a posting.
 func (d *drive) started(p *posting) { d.mod.Started(d.s.now(), p.t.ref, p.no) }
 
-// over tells how a posting ended, and settles its txn with the first result.
-func (d *drive) over(p *posting, how balance.Outcome, load balance.Load, result string) {
+// postingEnded tells the module how a posting ended. The first result settles the txn.
+func (d *drive) postingEnded(p *posting, outcome balance.Outcome, load balance.Load, result string) {
 	p.conn = nil
 	d.ended++
-	d.s.metrics.attempts[how]++
+	d.s.metrics.attempts[outcome]++
 	t := p.t
 	t.out--
-	if how == balance.Done && !t.over {
+	if outcome == balance.Done && !t.over {
 		t.over = true
 		d.finals.Settled++
 		t.from.answer(200, result, -1)
 	}
-	d.mod.Ended(d.s.now(), t.ref, p.no, how, t.over, load)
-	if how == balance.Done {
-		d.recall(t)
+	d.mod.Ended(d.s.now(), t.ref, p.no, outcome, t.over, load)
+	if outcome == balance.Done {
+		d.dropUnsent(t)
 	}
 	d.forget(t)
 }
 
-// shorten ends all txns by a time at which this scheduler stops.
-func (d *drive) shorten(by float64) {
-	d.stopAt = by
+// shorten moves all deadlines that are later than stopAt, when this process stops, to that time.
+func (d *drive) shorten(stopAt float64) {
+	d.stopAt = stopAt
 	for _, t := range d.txns {
-		t.until = min(t.until, by)
+		t.until = min(t.until, stopAt)
 	}
 	for i := range d.ends {
-		p := d.ends[i].p
-		p.until = min(p.until, by)
-		d.ends[i].at = p.until
+		p := d.ends[i].posting
+		p.until = min(p.until, stopAt)
+		d.ends[i].deadline = p.until
 	}
 	heap.Init(&d.ends)
-	d.mod.Stops(by)
+	d.mod.Stops(stopAt)
 }
 
-// pull carries out what the module decides until there is nothing left. What happens meanwhile, as when a
-// write fails, is told to the module in between.
+// pull carries out the module's decisions until there are none left. Events that come of that, such as a failed
+// write, are reported to the module in between. Calls from within return at once.
 func (d *drive) pull() {
 	if d.pulling {
 		return
 	}
 	d.pulling = true
 	now := d.s.now()
-	d.expire(now)
-	if now >= d.sweepAt {
-		d.sweepAt = now + sweepEvery
+	d.timeOutPostings(now)
+	if now >= d.nextSweepAt {
+		d.nextSweepAt = now + sweepIntervalMs
 		d.s.clients.sweep(now)
 		d.s.pool.sweep(now)
 		d.s.ops.sweep(now)
@@ -142,15 +145,17 @@
 		d.s.metrics.sweep(now)
 	}
 	d.s.roster.sweep(now)
-	for d.step(now) {
+	for d.executeNextDecision(now) {
 		now = d.s.now()
 	}
 	d.s.settle(now)
 	d.pulling = false
-	d.arm(now)
+	d.armTimer(now)
 }
 
-func (d *drive) step(now float64) bool {
+// executeNextDecision carries out one decision of the module, and tells whether there was one. Final answers come
+// first, then cancellations, postings, probes, messages to peers, and a new watch of discovery's list.
+func (d *drive) executeNextDecision(now float64) bool {
 	if f, ok := d.mod.NextFinal(now); ok {
 		if t := d.txns[f.Ref]; t != nil && !t.over {
 			t.over = true
@@ -161,14 +166,14 @@
 				d.finals.Reversed++
 				t.from.answer(502, "reversed\n", -1)
 			}
-			d.recall(t)
+			d.dropUnsent(t)
 			d.forget(t)
 		}
 		return true
 	}
 	if c, ok := d.mod.NextCancel(now); ok {
 		if t := d.txns[c.Ref]; t != nil && c.Posting < len(t.posts) {
-			d.drop(t.posts[c.Posting], balance.Cancelled)
+			d.endPosting(t.posts[c.Posting], balance.Cancelled)
 		}
 		return true
 	}
@@ -193,6 +198,7 @@
 	return false
 }
 
+// post begins a posting, and sends it to its worker.
 func (d *drive) post(now float64, t *txn, p balance.Post) {
 	x := &posting{t: t, no: len(t.posts), until: t.until, by: p.By}
 	if p.Timeout > 0 {
@@ -204,32 +210,32 @@
 	d.s.pool.post(x, p.Worker)
 }
 
-// drop gives up a posting. One whose request was not written whole cannot have run.
-func (d *drive) drop(p *posting, how balance.Outcome) {
+// endPosting gives up a posting, with the given outcome if its request was written whole. If not, it cannot have run.
+func (d *drive) endPosting(p *posting, outcome balance.Outcome) {
 	if p.conn == nil {
 		return
 	}
-	if !p.conn.abandon() {
-		how = balance.NeverSent
+	if !p.conn.abandonPosting() {
+		outcome = balance.NeverSent
 	}
-	d.over(p, how, balance.NoLoad, "")
+	d.postingEnded(p, outcome, balance.NoLoad, "")
 }
 
-// ending is when a posting is given up, unless it has ended by then.
+// ending is a posting's deadline, for the heap of deadlines.
 type ending struct {
-	at float64
-	p  *posting
+	deadline float64
+	posting  *posting
 }
 
-// ends has the next one first.
-type ends []ending
+// deadlineHeap is a heap (container/heap) with the earliest deadline first.
+type deadlineHeap []ending
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(ending)) }
+func (e deadlineHeap) Len() int           { return len(e) }
+func (e deadlineHeap) Less(i, j int) bool { return e[i].deadline < e[j].deadline }
+func (e deadlineHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *deadlineHeap) Push(x any)        { *e = append(*e, x.(ending)) }
 
-func (e *ends) Pop() any {
+func (e *deadlineHeap) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	(*e)[last] = ending{}
@@ -237,31 +243,33 @@
 	return x
 }
 
-// tidy takes out postings that have ended: at the top, and all of them where they are the most, as expiries may
-// be minutes away and a posting holds its txn's body.
-func (d *drive) tidy() {
-	for len(d.ends) > 0 && d.ends[0].p.conn == nil {
+// removeEndedPostings removes ended postings from the heap of deadlines: those at the top, and all of them where they
+// make up more than half of it. Otherwise each would stay, and hold its txn's body, until its deadline, which may be
+// minutes away.
+func (d *drive) removeEndedPostings() {
+	for len(d.ends) > 0 && d.ends[0].posting.conn == nil {
 		heap.Pop(&d.ends)
 	}
 	if d.ended > len(d.ends)/2 && d.ended > 64 {
-		d.ends = slices.DeleteFunc(d.ends, func(e ending) bool { return e.p.conn == nil })
+		d.ends = slices.DeleteFunc(d.ends, func(e ending) bool { return e.posting.conn == nil })
 		heap.Init(&d.ends)
 		d.ended = 0
 	}
 }
 
-// expire ends the postings whose time is over.
-func (d *drive) expire(now float64) {
-	for d.tidy(); len(d.ends) > 0 && now >= d.ends[0].at; d.tidy() {
-		d.drop(d.ends[0].p, balance.TimedOut)
+// timeOutPostings ends the postings whose deadlines have passed.
+func (d *drive) timeOutPostings(now float64) {
+	for d.removeEndedPostings(); len(d.ends) > 0 && now >= d.ends[0].deadline; d.removeEndedPostings() {
+		d.endPosting(d.ends[0].posting, balance.TimedOut)
 	}
 }
 
-// arm sets the one timer for the module's next wake-up, or for what has to end sooner.
-func (d *drive) arm(now float64) {
-	at := min(d.mod.Wake(now), d.sweepAt, d.s.roster.wake(), d.s.handover.wake())
-	if d.tidy(); len(d.ends) > 0 {
-		at = min(at, d.ends[0].at)
+// armTimer sets the one timer of the drive for whatever is due first: the module's next wake-up, the next sweep, the
+// roster, the handover or a posting's deadline.
+func (d *drive) armTimer(now float64) {
+	at := min(d.mod.Wake(now), d.nextSweepAt, d.s.roster.wake(), d.s.handover.wake())
+	if d.removeEndedPostings(); len(d.ends) > 0 {
+		at = min(at, d.ends[0].deadline)
 	}
 	d.timer.Stop()
 	d.timer = d.s.loop.After(time.Duration(math.Ceil(max(at-now, 0)*float64(time.Millisecond))), d.s.pull)
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -23,105 +23,114 @@
 )
 
 const (
-	ownSockets = 32     // standard streams, pollers, listeners, discovery, and some to spare
-	idlePart   = 0.5    // of the time after which workers close idle connections, and what comes then is lost
-	trustAgain = 5000.0 // see keptFor
-	tailFor    = 1000.0
-	sendFor    = 100 * time.Millisecond // for a request to be written: deadlines told to workers have 0.15 s of slack
-	streamMost = 256 << 10              // of notes and result of one posting
+	ownSockets           = 32                     // descriptors: standard streams, pollers, listeners, discovery, and a reserve
+	idleTimeoutShare     = 0.5                    // of the workers' idle timeout: a request written as the worker closes is lost
+	idleTrustDoublingMs  = 5000.0                 // see maxIdleMs
+	responseEndTimeoutMs = 1000.0                 // for the end of a response, once the outcome is known
+	requestWriteTimeout  = 100 * time.Millisecond // whole request; deadlines sent to workers have 150 ms of slack
+	maxResponseBodyBytes = 256 << 10              // progress lines and result of one posting
 )
 
-var responseLimits = http1.Limits{Head: headMost, Body: streamMost}
+// responseLimits bound the responses of workers.
+var responseLimits = http1.Limits{Head: headMost, Body: maxResponseBodyBytes}
 
-// workerConnsMost leaves two thirds of the descriptors to clients: at most workers a connection waits for
-// nothing.
+// workerConnsMost is the maximum number of connections to workers: a third of the descriptors, so that two thirds are
+// left to clients. A connection kept open to most of the workers would only sit idle.
 func (s *Scheduler) workerConnsMost() int { return (s.sockets() - ownSockets) / 3 }
 
-// dialsMost bounds the connections being made, as each holds two descriptors until it is on the loop.
+// dialsMost is the maximum number of connections being made at once. Each holds two descriptors until it is on the
+// event loop.
 func (s *Scheduler) dialsMost() int { return s.workerConnsMost() / 4 }
 
-// pool holds the connections to workers.
+// pool holds the connections to workers. All times are milliseconds on the scheduler's clock.
 type pool struct {
 	s         *Scheduler
-	targets   map[string]*target
-	conns     []*workerConn
-	idleConns list.List // the idle ones, the one that has been so for longest first
-	dials     int
-	most      int
-	bad       float64 // how long a connection that was closed early had been idle, and when that was seen
-	badAt     float64
-}
-
-// target is a worker as its connections know it.
+	targets   map[string]*target // by worker id
+	conns     []*workerConn      // all connections, in any state
+	idleConns list.List          // of *workerConn: the idle connections of all workers, the one idle longest first
+	dials     int                // connections being made
+	maxConns  int                // upper bound on len(conns)
+	// The last connection that a worker closed earlier than expected: how long it had been idle, and when it was
+	// closed. -Inf: there was none.
+	earlyCloseIdleMs float64
+	earlyCloseAt     float64
+}
+
+// target is one worker as the connection pool knows it.
 type target struct {
-	id, addr string
-	listed   bool          // the list has it in service
-	idle     []*workerConn // the one used last at the end
+	id, addr        string
+	listedInService bool          // discovery's list has it in service
+	idleConns       []*workerConn // most recently used last
 }
 
+// workerConnState says what a connection to a worker is being used for.
 type workerConnState int
 
 const (
-	dialling workerConnState = iota
-	idle
-	busy
-	tail // the result has come, the end of the response has not
+	dialling    workerConnState = iota // being made
+	idle                               // up, without a posting or probe
+	busy                               // a request was sent, and its outcome is not known
+	awaitingEnd                        // the outcome is known, the end of the response has not come yet
 )
 
-// workerConn is one connection to a worker. It carries one posting or probe at a time.
+// workerConn is one connection to a worker. It carries one posting or one probe at a time.
 type workerConn struct {
-	s        *Scheduler
-	to       *target
-	addr     string         // where it leads; the list may name another later
-	conn     eventloop.Conn // nil while it is made, and once it is closed
-	at       int            // its place among all
-	idleElem *list.Element  // its place among the idle ones, nil elsewhere
-	rested   float64        // how long it was idle before it was used again; below 0: it is in its first use
-	ours     bool           // closed from this side
-	state    workerConnState
-	p        *posting
-	probing  bool
-	resp     http1.Response
-	since    float64
-	writing  bool
-	until    float64 // of a probe
-	passed   bool    // another process of this scheduler passed it on, in use
+	s             *Scheduler
+	to            *target
+	addr          string         // address that it was dialled at; discovery's list may since name another
+	conn          eventloop.Conn // nil while it is being made, and after it has closed
+	at            int            // its index in pool.conns
+	idleElem      *list.Element  // its element of pool.idleConns; nil unless it is idle
+	rested        float64        // ms for which it was idle before its present use; below 0 in its first use
+	closedLocally bool           // this process closed it
+	state         workerConnState
+	p             *posting       // nil where it carries none
+	probing       bool           // it carries a probe
+	resp          http1.Response // to the present request
+	stateSince    float64        // when the states idle and awaitingEnd began
+	writing       bool           // the request is being written, so that closed may be called from within send
+	probeDeadline float64        // when an unanswered probe counts as timed out
+	passed        bool           // taken over, in use, from another process of this scheduler
 }
 
 func (o *pool) init(s *Scheduler) {
-	*o = pool{s: s, most: s.workerConnsMost(), badAt: math.Inf(-1), targets: map[string]*target{}}
+	*o = pool{s: s, maxConns: s.workerConnsMost(), earlyCloseAt: math.Inf(-1), targets: map[string]*target{}}
 }
 
-// bound takes a new bound on connections: idle ones beyond it are closed.
+// bound sets the maximum number of connections anew from the process's descriptor limit, and closes idle connections
+// beyond it.
 func (o *pool) bound() {
-	o.most = o.s.workerConnsMost()
-	for len(o.conns) > o.most && o.idleConns.Len() > 0 {
+	o.maxConns = o.s.workerConnsMost()
+	for len(o.conns) > o.maxConns && o.idleConns.Len() > 0 {
 		o.idleConns.Front().Value.(*workerConn).close()
 	}
 }
 
-// keptFor is how long an idle connection is taken to be good. Workers, and what stands before them, may close
-// one sooner than the settings say, and what is written meanwhile is lost: then half of what that one had is
-// believed, and twice as much again as time passes without.
-func (o *pool) keptFor(now float64) float64 {
-	most := idlePart * o.s.node.told.Idle
-	if math.IsInf(o.badAt, -1) {
-		return most
+// maxIdleMs is how long a connection may have been idle to be reused. Workers, and proxies in front of them, may
+// close idle connections sooner than the settings say, and a request that is written as they do is lost. After such
+// an early close the limit is half of the time for which that connection had been idle; it then doubles every
+// idleTrustDoublingMs without another early close, up to what the settings allow.
+func (o *pool) maxIdleMs(now float64) float64 {
+	configuredMaxMs := idleTimeoutShare * o.s.node.told.Idle
+	if math.IsInf(o.earlyCloseAt, -1) {
+		return configuredMaxMs
 	}
-	return min(most, max(o.bad/2, 1)*math.Exp2((now-o.badAt)/trustAgain))
+	return min(configuredMaxMs, max(o.earlyCloseIdleMs/2, 1)*math.Exp2((now-o.earlyCloseAt)/idleTrustDoublingMs))
 }
 
-// distrust takes that a worker's side closed a connection that had been idle for so long.
-func (o *pool) distrust(now, rested float64) {
-	if rested < o.keptFor(now) {
-		o.bad, o.badAt = rested, now
+// noteEarlyClose lowers maxIdleMs after a worker's side closed a connection that had been idle for idleMs.
+func (o *pool) noteEarlyClose(now, idleMs float64) {
+	if idleMs < o.maxIdleMs(now) {
+		o.earlyCloseIdleMs, o.earlyCloseAt = idleMs, now
 	}
 }
 
+// target returns the worker with this id, nil where discovery's list has none.
 func (o *pool) target(id string) *target { return o.targets[id] }
 
-// know takes a worker from the list. Where its address changed, idle connections lead to the old one.
-func (o *pool) know(id, addr string, listed bool) {
+// updateWorker adds a worker from discovery's list, or updates it. If its address changed, its idle connections lead
+// to the old one and are closed.
+func (o *pool) updateWorker(id, addr string, listed bool) {
 	t := o.target(id)
 	if t == nil {
 		t = &target{id: id, addr: addr}
@@ -130,39 +139,44 @@
 	if t.addr != addr {
 		t.leave()
 	}
-	t.addr, t.listed = addr, listed
+	t.addr, t.listedInService = addr, listed
 }
 
-// open tells whether a worker is in service, by the list as it was told and by what staff did.
-func (o *pool) open(t *target) bool { return t.listed && !o.s.ops.staffed[t.id].out() }
+// inService tells whether postings may be sent to a worker: discovery's list has it in service, and neither staff nor
+// the fleet took it out.
+func (o *pool) inService(t *target) bool { return t.listedInService && !o.s.ops.staffed[t.id].out() }
 
-// may tells whether what a connection is for may still be sent. The module decided it, and while the connection
-// was made the worker began to drain, left or moved, or the list ceased to count; or its time, or the window in
-// which the txn may go again, is over, which a loop that ran late has yet to see to; or it was answered or its
-// client left, which the module does not say where nothing may be called off. All that is sent passes here.
-func (l *workerConn) may(now float64) bool {
+// maySend is the last check before a request is written, and all requests pass it. The module (package balance) has
+// decided on the posting or probe earlier, and while the connection was made things may have changed: the worker
+// began to drain, left the list or moved to another address, or the list became too old to rely on. The posting's
+// deadline, or the window in which its txn may be attempted again, may have passed while the event loop ran late. And
+// the txn may have been answered or lost its client, which the module does not report where postings may not be
+// cancelled.
+func (l *workerConn) maySend(now float64) bool {
 	p := l.p
-	return l.s.pool.open(l.to) && l.addr == l.to.addr &&
+	return l.s.pool.inService(l.to) && l.addr == l.to.addr &&
 		(p == nil || !p.t.over && now <= p.by && now < p.until && now < l.s.roster.watch.Till())
 }
 
-// forget takes workers off the list: those named, or all that are not kept.
-func (o *pool) forget(gone []string, whole bool, kept map[string]bool) {
-	for _, id := range gone {
-		o.off(o.targets[id])
+// removeWorkers removes workers from the pool: those in removed and, where discovery sent the whole list, all that
+// are not in kept.
+func (o *pool) removeWorkers(removed []string, wholeList bool, kept map[string]bool) {
+	for _, id := range removed {
+		o.removeWorker(o.targets[id])
 	}
-	if whole && len(kept) < len(o.targets) {
+	if wholeList && len(kept) < len(o.targets) {
 		for id, t := range o.targets {
 			if !kept[id] {
-				o.off(t) // in any order: this only closes connections that are idle
+				o.removeWorker(t) // in any order: this only closes idle connections
 			}
 		}
 	}
 }
 
-func (o *pool) off(t *target) {
+// removeWorker removes one worker and closes its idle connections; those in use go on. t may be nil.
+func (o *pool) removeWorker(t *target) {
 	if t != nil {
-		t.listed = false
+		t.listedInService = false
 		t.leave()
 		delete(o.targets, t.id)
 	}
@@ -170,29 +184,30 @@
 
 // leave closes the idle connections to a worker.
 func (t *target) leave() {
-	for len(t.idle) > 0 {
-		t.idle[0].close()
+	for len(t.idleConns) > 0 {
+		t.idleConns[0].close()
 	}
 }
 
-// take finds an idle connection to a worker, or begins a new one. At a bound there is none. What must be sure
-// of its connection gets a new one.
-func (o *pool) take(id string, sure bool) *workerConn {
+// acquire returns an idle connection to a worker, or begins to dial a new one. It returns nil for an unknown worker,
+// and where the limit on connections or on dials in progress is reached. With needsNewConn no idle connection is
+// reused.
+func (o *pool) acquire(id string, needsNewConn bool) *workerConn {
 	t := o.target(id)
 	if t == nil {
 		return nil
 	}
 	now := o.s.now()
-	for n := len(t.idle); n > 0 && !sure; n = len(t.idle) {
-		l := t.idle[n-1]
-		if l.rested = now - l.since; l.rested <= o.keptFor(now) && l.quiet() {
-			t.idle = t.idle[:n-1]
-			l.leaveIdle()
+	for remaining := len(t.idleConns); remaining > 0 && !needsNewConn; remaining = len(t.idleConns) {
+		l := t.idleConns[remaining-1]
+		if l.rested = now - l.stateSince; l.rested <= o.maxIdleMs(now) && l.hasNoUnreadInput() {
+			t.idleConns = t.idleConns[:remaining-1]
+			l.removeFromIdle()
 			return l
 		}
 		l.close()
 	}
-	if len(o.conns) >= o.most {
+	if len(o.conns) >= o.maxConns {
 		oldest := o.idleConns.Front()
 		if oldest == nil {
 			return nil
@@ -217,6 +232,7 @@
 	return l
 }
 
+// drop removes a connection from the pool's records without closing it.
 func (o *pool) drop(l *workerConn) {
 	if end := len(o.conns) - 1; l.at <= end && o.conns[l.at] == l {
 		o.conns[l.at] = o.conns[end]
@@ -224,16 +240,16 @@
 		o.conns[end] = nil
 		o.conns = o.conns[:end]
 	}
-	l.leaveIdle()
-	l.to.idle = slices.DeleteFunc(l.to.idle, func(x *workerConn) bool { return x == l })
+	l.removeFromIdle()
+	l.to.idleConns = slices.DeleteFunc(l.to.idleConns, func(x *workerConn) bool { return x == l })
 }
 
-// dial makes a connection, and calls x.opened or failed. One that never comes up ends with the settings' time for that, and
-// holds up no other.
+// dial begins to make a connection, and calls x.opened once it is up, or else failed: at the latest after the connect
+// timeout of the settings. Dials do not wait for each other.
 func (s *Scheduler) dial(addr string, x connection, failed func(error)) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		s.loop.After(0, func() { failed(err) }) // addresses are checked where they come from
+		s.loop.After(0, func() { failed(err) }) // cannot happen: addresses are checked where they are read
 		return
 	}
 	s.loop.Dial(to, time.Duration(s.node.told.Dial*float64(time.Millisecond)), x, func(err error) {
@@ -242,14 +258,15 @@
 	})
 }
 
+// post sends a posting to a worker, on an idle connection or once a new one is up.
 func (o *pool) post(p *posting, id string) {
-	// A kept connection may be closing at the other end. A reset then says nothing of whether the posting
-	// ran, and for one that must not run twice that is the end.
-	l := o.take(id, p.t.ask.row.Effect == balance.OnceOnly)
+	// A reused connection may be closing at the worker's end. A reset then leaves open whether the posting ran, and a
+	// once-only txn could not be attempted again.
+	l := o.acquire(id, p.t.ask.row.Effect == balance.OnceOnly)
 	if l == nil {
-		// No connection can be had, so none was made: the module takes it for a worker to leave alone for a
-		// while.
-		o.s.drive.over(p, balance.NoConnect, balance.NoLoad, "")
+		// No connection was made as a limit is reached. The module takes this outcome as a reason to leave the worker
+		// alone for a while.
+		o.s.drive.postingEnded(p, balance.NoConnect, balance.NoLoad, "")
 		return
 	}
 	p.conn, l.p = l, p
@@ -258,24 +275,26 @@
 	}
 }
 
+// probe sends a health check to a worker.
 func (o *pool) probe(id string) {
-	l := o.take(id, true) // the end of a kept connection says little of its worker
+	l := o.acquire(id, true) // that a reused connection ends says little about its worker
 	if l == nil {
 		o.s.drive.mod.Probed(o.s.now(), id, balance.NoConnect, balance.NoLoad)
 		return
 	}
-	// A probe finds out whether a worker answers at all: twice the time for a connection tells that it does
-	// not.
-	l.probing, l.until = true, o.s.now()+2*o.s.node.told.Dial
+	// A probe finds out whether a worker answers at all. One that has not within twice the connect timeout counts as
+	// silent.
+	l.probing, l.probeDeadline = true, o.s.now()+2*o.s.node.told.Dial
 	if l.state == idle {
 		l.send()
 	}
 }
 
+// opened is called once the connection is up. It sends the posting or probe that waits for it.
 func (l *workerConn) opened(c eventloop.Conn) {
 	if l.passed {
 		if l.conn = c; l.p == nil {
-			l.close() // called off meanwhile
+			l.close() // its posting was cancelled meanwhile
 		}
 		return
 	}
@@ -284,37 +303,37 @@
 	if l.p != nil || l.probing {
 		l.send()
 	} else {
-		l.putIdle()
+		l.addToIdle()
 	}
 }
 
-// putIdle makes the connection an idle one.
-func (l *workerConn) putIdle() {
-	l.state, l.since = idle, l.s.now()
-	if !l.s.pool.open(l.to) || l.addr != l.to.addr {
+// addToIdle makes the connection idle, or closes it if its worker is out of service or has another address now.
+func (l *workerConn) addToIdle() {
+	l.state, l.stateSince = idle, l.s.now()
+	if !l.s.pool.inService(l.to) || l.addr != l.to.addr {
 		l.close()
 		return
 	}
-	l.to.idle = append(l.to.idle, l)
+	l.to.idleConns = append(l.to.idleConns, l)
 	l.idleElem = l.s.pool.idleConns.PushBack(l)
 }
 
-// leaveIdle takes it from among the idle ones.
-func (l *workerConn) leaveIdle() {
+// removeFromIdle takes the connection out of pool.idleConns. It may be in use or not there at all.
+func (l *workerConn) removeFromIdle() {
 	if l.idleElem != nil {
 		l.s.pool.idleConns.Remove(l.idleElem)
 		l.idleElem = nil
 	}
 }
 
-// send writes the request. Nothing is ever sent again without the module asking for it.
+// send writes the request. It never repeats one: each attempt is a decision of the module.
 func (l *workerConn) send() {
 	if p := l.p; p != nil && p.t.from != nil && p.t.from.left() {
-		p.t.from.leave() // with it its txn is over, and the module may call this posting off
+		p.t.from.leave() // the client's end ends its txn, and the module may cancel this posting
 	}
-	if l.p == nil && !l.probing || !l.may(l.s.now()) {
+	if l.p == nil && !l.probing || !l.maySend(l.s.now()) {
 		l.end(balance.NeverSent)
-		l.putIdle()
+		l.addToIdle()
 		return
 	}
 	l.state = busy
@@ -343,112 +362,121 @@
 		b = strconv.AppendInt(b, int64(len(a.body)), 10)
 		b = append(append(b, "\r\n\r\n"...), a.body...)
 	}
-	l.conn.SetWriteDeadline(time.Now().Add(sendFor))
+	l.conn.SetWriteDeadline(time.Now().Add(requestWriteTimeout))
 	l.writing = true
-	_ = l.conn.Write(b) // where it fails the connection is closed, and closed has told
+	_ = l.conn.Write(b) // a failed write closes the connection, and closed reports the outcome
 	l.writing = false
-	if p := l.p; l.unsent() {
-		l.s.loop.After(sendFor, func() { l.giveUpUnsent(p) })
+	if p := l.p; l.hasUnsentBytes() {
+		l.s.loop.After(requestWriteTimeout, func() { l.failIfUnsent(p) })
 	}
 }
 
-// unsent tells whether some of the request has yet to be written.
-func (l *workerConn) unsent() bool {
+// hasUnsentBytes tells whether part of the request has yet to be written to the socket.
+func (l *workerConn) hasUnsentBytes() bool {
 	return l.state == busy && l.conn != nil && l.conn.OutboundBuffered() > 0
 }
 
-// giveUpUnsent ends an attempt of which this machine still holds some: the time that it tells its worker is right no more.
-func (l *workerConn) giveUpUnsent(p *posting) {
-	if p != nil && l.p == p && l.unsent() {
+// failIfUnsent ends posting p as never sent if part of its request is still in this process's buffer: the
+// Request-Timeout that the request tells the worker is no longer right.
+func (l *workerConn) failIfUnsent(p *posting) {
+	if p != nil && l.p == p && l.hasUnsentBytes() {
 		l.end(balance.NeverSent)
 		l.close()
 	}
 }
 
-// abandon gives up the posting, and tells whether its request may have been written whole.
-func (l *workerConn) abandon() bool {
+// abandonPosting detaches the connection from its posting, which is being given up, and tells whether the request may
+// have been written whole. If so, the posting may run.
+func (l *workerConn) abandonPosting() bool {
 	l.p = nil
 	if l.state == dialling {
-		return false // the connection is of use to another posting
+		return false // the connection, once it is up, can serve another posting
 	}
 	if l.conn == nil {
-		return true // passed on, and not yet on the loop
+		return true // taken over from another process, which had sent the request, and not on the event loop yet
 	}
-	whole := l.conn.OutboundBuffered() == 0
+	writtenWhole := l.conn.OutboundBuffered() == 0
 	l.close()
-	return whole
+	return writtenWhole
 }
 
-// quiet tells whether nothing has come on an idle connection that the loop has not seen yet, such as its end.
-func (l *workerConn) quiet() bool {
+// hasNoUnreadInput tells whether an idle connection has no input, and has not been closed by the worker, that the
+// event loop has not read yet.
+func (l *workerConn) hasNoUnreadInput() bool {
 	_, _, err := unix.Recvfrom(l.conn.Fd(), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == unix.EAGAIN // after any other error a new connection is made
 }
 
+// close closes the connection from this side. closed is called from within.
 func (l *workerConn) close() {
-	l.ours = true
+	l.closedLocally = true
 	if l.conn != nil {
 		l.conn.Close()
 	}
 }
 
+// closed is called when the connection has ended, by either side, and reports the outcome of what it carried.
 func (l *workerConn) closed(c eventloop.Conn, err error) {
-	short := l.writing || c.OutboundBuffered() > 0
-	if short {
-		// What is left is tried once more after this call, and a posting that never went out whole must not be made
-		// whole by that.
+	truncated := l.writing || c.OutboundBuffered() > 0
+	if truncated {
+		// The event loop tries once more to write the remaining bytes after this callback. A request that is reported
+		// as not written whole must not be completed by that.
 		_ = unix.Shutdown(c.Fd(), unix.SHUT_RDWR)
 	}
 	l.conn = nil
 	l.s.pool.drop(l)
-	if now := l.s.now(); l.ours {
+	if now := l.s.now(); l.closedLocally {
+		// not an early close by the worker
 	} else if l.state == idle {
-		l.s.pool.distrust(now, now-l.since)
+		l.s.pool.noteEarlyClose(now, now-l.stateSince)
 	} else if l.state == busy && l.rested >= 0 && !l.resp.Begun() {
-		l.s.pool.distrust(now, l.rested)
+		l.s.pool.noteEarlyClose(now, l.rested)
 	}
 	switch {
-	case short && errors.Is(err, os.ErrDeadlineExceeded):
+	case truncated && errors.Is(err, os.ErrDeadlineExceeded):
 		l.end(balance.NeverSent) // this machine could not write it, which says nothing of the worker
-	case short:
+	case truncated:
 		l.end(balance.NoConnect)
 	case l.resp.End() && l.resp.Status != 0:
-		l.end(l.status())
+		l.end(l.responseOutcome())
 	default:
 		l.end(balance.Reset)
 	}
 }
 
-// end tells how the posting or probe ended, if one is on the connection.
-func (l *workerConn) end(how balance.Outcome) { l.finish(how, balance.NoLoad, "") }
+// end reports the outcome of the posting or probe on the connection, if there is one, without a load report.
+func (l *workerConn) end(outcome balance.Outcome) { l.reportOutcome(outcome, balance.NoLoad, "") }
 
-func (l *workerConn) finish(how balance.Outcome, load balance.Load, result string) {
+// reportOutcome tells the module how the posting or probe on the connection ended, if there is one.
+func (l *workerConn) reportOutcome(outcome balance.Outcome, load balance.Load, result string) {
 	if p := l.p; p != nil {
 		l.p = nil
-		l.s.drive.over(p, how, load, result)
+		l.s.drive.postingEnded(p, outcome, load, result)
 	}
 	if l.probing {
 		l.probing = false
-		l.s.drive.mod.Probed(l.s.now(), l.to.id, how, load)
+		l.s.drive.mod.Probed(l.s.now(), l.to.id, outcome, load)
 	}
 }
 
-// status is the outcome that a whole response without a last line tells.
-func (l *workerConn) status() balance.Outcome {
-	mark, _ := l.resp.Fields().Get("not-started")
+// responseOutcome is the outcome by the response's status, where no final progress line gave one. A 503 or 504 with
+// "not-started: 1" says that the worker did not begin the posting.
+func (l *workerConn) responseOutcome() balance.Outcome {
+	notStarted, _ := l.resp.Fields().Get("not-started")
 	switch s := l.resp.Status; {
 	case s == 200 && l.probing:
 		return balance.Done
 	case s == 200:
-		return balance.Reset // it ended before its last line
-	case l.probing && s == 503, (s == 503 || s == 504) && mark == "1":
+		return balance.Reset // the response ended before its final progress line
+	case l.probing && s == 503, (s == 503 || s == 504) && notStarted == "1":
 		return balance.Full
 	case s == 400:
-		return balance.Unfit // it says nothing of the worker, which else stood aside for one client's bad requests
+		return balance.Unfit // not the worker's fault: one client's bad requests must not make the module avoid it
 	}
 	return balance.Erred
 }
 
+// traffic is called when bytes have come from the worker.
 func (l *workerConn) traffic(eventloop.Conn) {
 	for l.conn != nil {
 		buf := l.conn.Peek()
@@ -456,7 +484,7 @@
 			return
 		}
 		if l.state == idle {
-			l.close() // nothing was asked for
+			l.close() // input without a request
 			return
 		}
 		n, err := l.resp.Feed(buf)
@@ -464,7 +492,7 @@
 			l.conn.Discard(n)
 		}
 		if err == nil && l.p != nil && l.resp.HeadDone() && l.resp.Status == 200 {
-			err = l.notes()
+			err = l.readProgressLines()
 		}
 		if err != nil {
 			l.s.log.Printf("msg=malformed from=worker id=%s err=%q", l.to.id, err)
@@ -472,15 +500,15 @@
 			return
 		}
 		if l.p != nil && l.resp.HeadDone() && l.resp.Status != 200 {
-			l.state, l.since = tail, l.s.now() // the head says it all, and the rest may never come
-			l.end(l.status())
+			l.state, l.stateSince = awaitingEnd, l.s.now() // the status decides the outcome, and the body may never come
+			l.end(l.responseOutcome())
 		}
 		if l.conn != nil && l.resp.Done() {
 			load := balance.NoLoad
 			if l.probing {
-				load = l.load(l.resp.Body())
+				load = l.parseLoad(l.resp.Body())
 			}
-			l.finish(l.status(), load, "")
+			l.reportOutcome(l.responseOutcome(), load, "")
 			if l.conn == nil {
 				return
 			}
@@ -488,16 +516,17 @@
 				l.close()
 				return
 			}
-			l.putIdle()
+			l.addToIdle()
 		} else if n == 0 {
 			return
 		}
 	}
 }
 
-// load reads a worker's report: an object, or after the mark of its format, as ORCA has it, that or pairs.
-// One that cannot be read is dropped, as what it came with is good all the same.
-func (l *workerConn) load(report []byte) balance.Load {
+// parseLoad reads a worker's load report: a JSON object, or a report in a format of ORCA (Open Request Cost
+// Aggregation), "JSON " before an object or "TEXT " before name=value pairs. A malformed report, or pair of one, is
+// logged and ignored: the response that it came with is still valid.
+func (l *workerConn) parseLoad(report []byte) balance.Load {
 	if !l.s.node.told.Reports || len(report) == 0 {
 		return balance.NoLoad
 	}
@@ -523,77 +552,81 @@
 	return l.s.node.told.Load(values)
 }
 
-// note is one line of a worker's answer.
-type note struct {
+// progressLine is one line of a worker's response body. Result comes with state done, Load with any final state.
+type progressLine struct {
 	ID     string          `json:"id"`
 	State  string          `json:"state"`
 	Result *string         `json:"result"`
 	Load   json.RawMessage `json:"load"`
 }
 
-// notes reads the lines that have come. They are dropped all at once: one by one a worker that sends nothing
-// but line ends would hold up the loop.
-func (l *workerConn) notes() error {
-	body, at := l.resp.Body(), 0
-	defer func() { l.resp.Take(at) }()
+// readProgressLines handles the whole lines that have come. They are removed from the body all at once: removing them
+// one by one costs time quadratic in their number, and a worker that sends nothing but newlines would block the event
+// loop.
+func (l *workerConn) readProgressLines() error {
+	body, consumed := l.resp.Body(), 0
+	defer func() { l.resp.Take(consumed) }()
 	for l.p != nil {
-		i := bytes.IndexByte(body[at:], '\n')
-		if i < 0 && l.resp.Done() {
-			i = len(body) - at
+		lineLen := bytes.IndexByte(body[consumed:], '\n')
+		if lineLen < 0 && l.resp.Done() {
+			lineLen = len(body) - consumed
 		}
-		if i < 0 || at == len(body) {
+		if lineLen < 0 || consumed == len(body) {
 			return nil
 		}
-		var n note
-		text := bytes.TrimSpace(body[at : at+i])
-		if at = min(at+i+1, len(body)); len(text) == 0 {
+		var line progressLine
+		text := bytes.TrimSpace(body[consumed : consumed+lineLen])
+		if consumed = min(consumed+lineLen+1, len(body)); len(text) == 0 {
 			continue
 		}
-		if err := json.Unmarshal(text, &n); err != nil {
+		if err := json.Unmarshal(text, &line); err != nil {
 			return err
 		}
-		if n.ID != l.p.t.ref {
-			return &http1.Error{Status: 502, Reason: "a note of another request"}
+		if line.ID != l.p.t.ref {
+			return &http1.Error{Status: 502, Reason: "progress line has the id of another request"}
 		}
-		// What no worker made is no result: none at all, or bytes that a reader of JSON would replace.
-		if n.State == "done" && (n.Result == nil || !utf8.Valid(text)) {
-			return &http1.Error{Status: 502, Reason: "done without a result that can be read"}
+		// A txn must not settle with a result that no worker produced: a missing one, or one with bytes that are not
+		// valid UTF-8, which json.Unmarshal replaces.
+		if line.State == "done" && (line.Result == nil || !utf8.Valid(text)) {
+			return &http1.Error{Status: 502, Reason: "progress line with state done has no result, or is not valid UTF-8"}
 		}
-		switch n.State {
+		switch line.State {
 		case "started":
 			l.s.drive.started(l.p)
 		case "done":
-			l.last(balance.Done, n)
+			l.handleFinalLine(balance.Done, line)
 		case "failed":
-			l.last(balance.Erred, n)
+			l.handleFinalLine(balance.Erred, line)
 		case "returned":
-			l.last(balance.Full, n)
+			l.handleFinalLine(balance.Full, line)
 		case "lost":
-			l.last(balance.Reset, n)
+			l.handleFinalLine(balance.Reset, line)
 		}
 	}
 	return nil
 }
 
-func (l *workerConn) last(how balance.Outcome, n note) {
-	l.state, l.since = tail, l.s.now()
+// handleFinalLine ends the posting with the outcome, result and load of its final progress line.
+func (l *workerConn) handleFinalLine(outcome balance.Outcome, line progressLine) {
+	l.state, l.stateSince = awaitingEnd, l.s.now()
 	result := ""
-	if n.Result != nil {
-		result = *n.Result
+	if line.Result != nil {
+		result = *line.Result
 	}
-	l.finish(how, l.load(n.Load), result)
+	l.reportOutcome(outcome, l.parseLoad(line.Load), result)
 }
 
-// sweep closes connections that have been idle for long, and ends probes that get no answer.
+// sweep closes connections that have been idle, or without the end of their response, for too long, and ends probes
+// that were not answered in time.
 func (o *pool) sweep(now float64) {
 	for _, l := range slices.Clone(o.conns) {
 		switch {
-		case l.probing && now >= l.until:
+		case l.probing && now >= l.probeDeadline:
 			l.end(balance.TimedOut)
 			l.close()
-			l.to.leave() // on a cut link the others are as dead, and only a new connection tells
-		case l.state == idle && now-l.since > o.keptFor(now),
-			l.state == tail && now-l.since > tailFor:
+			l.to.leave() // on a broken link its other idle connections are dead too, and only a new one shows whether it works
+		case l.state == idle && now-l.stateSince > o.maxIdleMs(now),
+			l.state == awaitingEnd && now-l.stateSince > responseEndTimeoutMs:
 			l.close()
 		}
 	}
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	s := New(n, log.New(io.Discard, "", 0))
-	s.pool.know("w1", "127.0.0.1:3", true)
+	s.pool.updateWorker("w1", "127.0.0.1:3", true)
 	s.drive.mod.ListChanged(s.now(), true, []balance.Listed{{ID: "w1", Weight: 1}})
 	x := s.drive.arrive(nil, ask{row: &n.told.Terms.Schemes[0], txn: balance.Txn{Ref: "r1", Hint: 100, Left: 20000}})
 	if _, ok := s.drive.mod.NextPosting(s.now()); !ok {
@@ -106,7 +106,7 @@
 	l.s.node.told.Reports, l.s.node.told.FreeSlots = true, true
 	for text, want := range map[string]float64{"": -1, "TEXT tps=1.5, depth=0, x0=4.25": 4.25, `{"x0":2}`: 2,
 		`JSON {"x0":3}`: 3, "TEXT x0=y, tps=1": -1, "TEXT": -1, "TEXT ": -1, `{"x0":"2"}`: -1, "null": -1} {
-		if got := l.load([]byte(text)); got.Free != want {
+		if got := l.parseLoad([]byte(text)); got.Free != want {
 			t.Errorf("%q: %v, want %v", text, got.Free, want)
 		}
 	}
@@ -115,9 +115,9 @@
 // What stands against a posting by the time that its connection is up keeps it from being sent, and it never ran.
 func TestTheLastCheckBeforeSending(t *testing.T) {
 	for name, happens := range map[string]func(s *Scheduler, l *workerConn){
-		"the worker began to drain":      func(s *Scheduler, l *workerConn) { s.pool.know("w1", "127.0.0.1:3", false) },
-		"the worker left":                func(s *Scheduler, l *workerConn) { s.pool.forget([]string{"w1"}, false, nil) },
-		"the worker is at another place": func(s *Scheduler, l *workerConn) { s.pool.know("w1", "127.0.0.1:4", true) },
+		"the worker began to drain":      func(s *Scheduler, l *workerConn) { s.pool.updateWorker("w1", "127.0.0.1:3", false) },
+		"the worker left":                func(s *Scheduler, l *workerConn) { s.pool.removeWorkers([]string{"w1"}, false, nil) },
+		"the worker is at another place": func(s *Scheduler, l *workerConn) { s.pool.updateWorker("w1", "127.0.0.1:4", true) },
 		"staff took it out":              func(s *Scheduler, l *workerConn) { s.ops.staffed["w1"] = record{Since: 1} },
 		"the txn's window is over":       func(s *Scheduler, l *workerConn) { l.p.by = s.now() - 1 },
 		"its client's time is over":      func(s *Scheduler, l *workerConn) { l.p.until = s.now() - 1 },
@@ -179,12 +179,12 @@
 	c := &fakeConn{of: l}
 	l.opened(c)
 	p := l.p
-	l.giveUpUnsent(p)
+	l.failIfUnsent(p)
 	if c.ended {
 		t.Fatal("one that was written whole was given up")
 	}
 	c.unsent = 1
-	l.giveUpUnsent(p)
+	l.failIfUnsent(p)
 	if !c.ended || p.conn != nil || s.reversed() {
 		t.Errorf("connection ended %t, posting %+v", c.ended, p)
 	}
@@ -195,24 +195,24 @@
 func TestKeptConnectionsAreDistrusted(t *testing.T) {
 	s, l := onceOnly(t)
 	o := &s.pool
-	before, now := o.keptFor(s.now()), s.now()
+	before, now := o.maxIdleMs(s.now()), s.now()
 	c := &fakeConn{of: l}
 	l.opened(c)
 	l.p = nil
-	l.putIdle()
-	l.since = now - 2000
+	l.addToIdle()
+	l.stateSince = now - 2000
 	l.closed(c, io.EOF)
-	if got := o.keptFor(now); got < 900 || got > 1100 || before <= got {
+	if got := o.maxIdleMs(now); got < 900 || got > 1100 || before <= got {
 		t.Errorf("after the end of one that was idle for 2 s, %v ms, and %v before", got, before)
 	}
 	for _, rested := range []float64{-1, 100} { // reset in its first use, and when it was used again
 		l := &workerConn{s: s, to: l.to, state: busy, rested: rested}
 		l.closed(&fakeConn{of: l}, io.EOF)
-		if got := o.keptFor(now); (got < 100) != (rested >= 0) {
+		if got := o.maxIdleMs(now); (got < 100) != (rested >= 0) {
 			t.Errorf("after a reset of one that had been idle for %v ms, %v ms", rested, got)
 		}
 	}
-	if got := o.keptFor(now + 60000); got != before {
+	if got := o.maxIdleMs(now + 60000); got != before {
 		t.Errorf("%v ms in the end, and %v at first", got, before)
 	}
 }
@@ -247,7 +247,7 @@
 		}
 		reused := !c.ended && l.state == idle
 		c.Close()
-		if p.t.out != 0 || p.conn != nil || len(s.pool.conns) != 0 || len(l.to.idle) != 0 {
+		if p.t.out != 0 || p.conn != nil || len(s.pool.conns) != 0 || len(l.to.idleConns) != 0 {
 			t.Errorf("%q: posting %+v, connection %+v", text, p, l)
 		}
 		if text == good && !(p.t.over && reused) {
@@ -274,7 +274,7 @@
 				t.Errorf("%s: %+v", text, w)
 			}
 		}
-		if text == good && (err != nil || len(s.pool.targets) != 2 || s.pool.open(s.pool.target("w2"))) {
+		if text == good && (err != nil || len(s.pool.targets) != 2 || s.pool.inService(s.pool.target("w2"))) {
 			t.Errorf("%v %v", err, s.pool.targets)
 		}
 		s.drive.mod.NextPosting(s.now())
--- a/scheduler/roster.go
+++ b/scheduler/roster.go
@@ -337,7 +337,7 @@
 			e.Dial = t.addr
 		}
 		if _, bad := netip.ParseAddrPort(e.Dial); bad == nil {
-			r.s.pool.know(e.Host, e.Dial, state == balance.Running)
+			r.s.pool.updateWorker(e.Host, e.Dial, state == balance.Running)
 		}
 		kept[e.Host] = true
 	}
@@ -348,7 +348,7 @@
 		r.starts.keep(kept)
 	}
 	r.s.drive.mod.ListChanged(now, in.Whole, rows)
-	r.s.pool.forget(gone, in.Whole, kept)
+	r.s.pool.removeWorkers(gone, in.Whole, kept)
 }
 
 // entry reads one entry. Of one that can't be read at least the host is, where there is one.
