--- a/scheduler/clock.go
+++ b/scheduler/clock.go
@@ -8,17 +8,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// clock gives times in milliseconds on the scale that the module and all limits use: the wall clock's at the start, moved on by
-// the monotonic clock. No span changes when the wall clock is set.
+// clock gives times in milliseconds on the scale that the module and all limits use: Unix time at the start of the
+// process, advanced by the monotonic clock. Setting the wall clock afterwards changes no duration.
 type clock struct {
-	origin time.Time
-	wall   float64 // at origin, Unix time in milliseconds
-	boot   float64 // what has to be added to the system's monotonic clock to get to this scale
+	origin      time.Time // when the process started, with its monotonic reading
+	startWallMs float64   // the wall clock at origin, as Unix time in ms
+	boot        float64   // ms to add to the system's monotonic clock to get to this scale; 0: not known
 }
 
+// newClock starts a clock whose scale is that of the wall clock now.
 func newClock() clock {
 	c := clock{origin: time.Now()}
-	c.wall = float64(c.origin.UnixNano()) / 1e6
+	c.startWallMs = float64(c.origin.UnixNano()) / 1e6
 	var monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err == nil {
 		c.boot = c.now() - float64(monotonic.Nano())/1e6
@@ -26,83 +27,93 @@
 	return c
 }
 
+// now is the present time in milliseconds.
 func (c *clock) now() float64 {
-	return c.wall + float64(time.Since(c.origin))/float64(time.Millisecond)
+	return c.startWallMs + float64(time.Since(c.origin))/float64(time.Millisecond)
 }
 
-// drift is by how much the wall clock was set since the start.
-func (c *clock) drift() float64 {
+// wallClockOffsetMs is by how many milliseconds the wall clock is ahead of this scale, since it was set after the
+// start.
+func (c *clock) wallClockOffsetMs() float64 {
 	return float64(time.Now().UnixNano())/1e6 - c.now()
 }
 
-// shiftFrom is what has to be added to times of another process of this machine, by its boot: 0 where that is not known.
+// shiftFrom is how many milliseconds to add to times of another process on this machine, given its boot: 0 where
+// either is not known.
 func (c *clock) shiftFrom(boot float64) float64 {
 	if boot == 0 || c.boot == 0 {
 		return 0
 	}
-	return math.Round(c.boot - boot) // so that what is written back and read again is the same
+	return math.Round(c.boot - boot) // so that times written back and read again stay the same
 }
 
 const (
-	leastStep = 100.0 // ms: a smaller difference of the clocks is no step
-	mostSteps = 8     // that are remembered
+	minClockStepMs = 100.0 // a smaller difference between the clocks is not taken for a step of the wall clock
+	maxClockSteps  = 8     // wall clock offsets that are remembered
 )
 
-// starts turns the start times that discovery tells, which are wall times, into this process's scale. The wall clock may be set
-// while it runs, and a start may have been stamped before that or after.
-type starts struct {
-	steps []float64            // of the wall clock against this scale, as seen so far, the newest last
-	known map[string]toldStart // by worker
+// workerStarts converts the start times in discovery's list, which are wall clock times, to this process's scale. The
+// wall clock may be set while the process runs, and a worker's start may have been stamped before or after that.
+type workerStarts struct {
+	// The milliseconds by which the wall clock was ahead of this scale: 0 first, then the values seen since, newest last.
+	offsets  []float64
+	byWorker map[string]listedStart // start times converted before
 }
 
-type toldStart struct {
-	told float64 // as it stands in the list
-	at   float64
+// listedStart is a worker's start time as listed, and as converted.
+type listedStart struct {
+	listed float64 // wall clock time in discovery's list, Unix time in ms
+	local  float64 // on this process's scale
 }
 
-func (s *starts) init() { *s = starts{steps: []float64{0}, known: map[string]toldStart{}} }
+func (s *workerStarts) init() {
+	*s = workerStarts{offsets: []float64{0}, byWorker: map[string]listedStart{}}
+}
 
-// looked takes how far the wall clock is off now.
-func (s *starts) looked(drift float64) {
-	same := func(step float64) bool { return math.Abs(step-drift) < leastStep }
-	if i := slices.IndexFunc(s.steps, same); i >= 0 {
+// noteOffset records the wall clock's present offset, if none like it is known.
+func (s *workerStarts) noteOffset(offsetMs float64) {
+	same := func(known float64) bool { return math.Abs(known-offsetMs) < minClockStepMs }
+	if i := slices.IndexFunc(s.offsets, same); i >= 0 {
 		return
 	}
-	if s.steps = append(s.steps, drift); len(s.steps) > mostSteps {
-		s.steps = slices.Delete(s.steps, 1, 2)
+	if s.offsets = append(s.offsets, offsetMs); len(s.offsets) > maxClockSteps {
+		s.offsets = slices.Delete(s.offsets, 1, 2)
 	}
 }
 
-// at is when a worker started, by what the list tells. Of the times that it may mean the latest counts that is not to come, as a
-// worker taken for warm too soon would be overloaded; where all are to come, it is now.
-func (s *starts) at(now float64, worker string, told float64) float64 {
-	if told <= 0 {
-		delete(s.known, worker)
-		return told
+// startTime is when a worker started, by its listed start time; 0 or less means long ago and is returned as it is.
+// Otherwise the start is the listed time minus one of the known wall clock offsets, and which of them applies is not
+// known. The latest result that is not in the future is taken, as a worker believed to be warm too soon would be
+// overloaded; where all are in the future, the start is now.
+func (s *workerStarts) startTime(now float64, worker string, listed float64) float64 {
+	if listed <= 0 {
+		delete(s.byWorker, worker)
+		return listed
 	}
-	if k, ok := s.known[worker]; ok && k.told == told {
-		return k.at
+	if prev, ok := s.byWorker[worker]; ok && prev.listed == listed {
+		return prev.local
 	}
-	at := math.Inf(-1)
-	for _, step := range s.steps {
-		if start := told - step; start <= now+leastStep {
-			at = max(at, start)
+	local := math.Inf(-1)
+	for _, offsetMs := range s.offsets {
+		if start := listed - offsetMs; start <= now+minClockStepMs {
+			local = max(local, start)
 		}
 	}
-	if math.IsInf(at, -1) {
-		at = now
+	if math.IsInf(local, -1) {
+		local = now
 	}
-	s.known[worker] = toldStart{told, at}
-	return at
+	s.byWorker[worker] = listedStart{listed, local}
+	return local
 }
 
-func (s *starts) forget(worker string) { delete(s.known, worker) }
+// forget deletes the start time of a worker that was removed.
+func (s *workerStarts) forget(worker string) { delete(s.byWorker, worker) }
 
-// keep forgets all workers but these.
-func (s *starts) keep(listed map[string]bool) {
-	for worker := range s.known {
+// retain deletes the start times of all workers that are not in listed.
+func (s *workerStarts) retain(listed map[string]bool) {
+	for worker := range s.byWorker {
 		if !listed[worker] {
-			delete(s.known, worker)
+			delete(s.byWorker, worker)
 		}
 	}
 }
--- a/scheduler/clock_test.go
+++ b/scheduler/clock_test.go
@@ -28,15 +28,15 @@
 		"a step before the process":  {nil, now + hour, now},
 		"by three seconds":           {[]float64{-3000}, now - 1000 - 3000, now - 1000},
 	} {
-		var s starts
+		var s workerStarts
 		s.init()
 		for _, step := range c.steps {
-			s.looked(step)
+			s.noteOffset(step)
 		}
-		if got := s.at(now, "w1", c.told); got != c.want {
+		if got := s.startTime(now, "w1", c.told); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got-now, c.want-now)
 		}
-		if got := s.at(now+7000, "w1", c.told); got != c.want {
+		if got := s.startTime(now+7000, "w1", c.told); got != c.want {
 			t.Errorf("%s: told again it is %v, want %v", name, got-now, c.want-now)
 		}
 	}
@@ -45,13 +45,13 @@
 // Spans do not change when the wall clock is set: only its reading at the start counts.
 func TestTheClockGoesByMonotonicTime(t *testing.T) {
 	c := newClock()
-	c.wall -= hour // as if the wall clock had been set forward since
+	c.startWallMs -= hour // as if the wall clock had been set forward since
 	a := c.now()
 	time.Sleep(20 * time.Millisecond)
 	if span := c.now() - a; span < 19 || span > 1000 {
 		t.Errorf("20 ms took %v", span)
 	}
-	if got := c.drift(); got < hour-1000 || got > hour+1000 {
+	if got := c.wallClockOffsetMs(); got < hour-1000 || got > hour+1000 {
 		t.Errorf("drift %v", got)
 	}
 }
@@ -61,7 +61,7 @@
 	for _, step := range []float64{hour, -hour, 3000, -3000} {
 		first, _ := onceOnly(t)
 		second, _ := onceOnly(t)
-		second.clock.wall += step
+		second.clock.startWallMs += step
 		second.clock.boot += step
 		path := filepath.Join(t.TempDir(), "x")
 		for _, s := range []*Scheduler{first, second} {
--- a/scheduler/drive.go
+++ b/scheduler/drive.go
@@ -188,11 +188,11 @@
 		return true
 	}
 	if body, ok := d.mod.NextMessage(now); ok {
-		d.s.peers.tell(body)
+		d.s.peers.broadcast(body)
 		return true
 	}
 	if d.mod.NextWatch(now) {
-		d.s.roster.ask()
+		d.s.roster.startWatch()
 		return true
 	}
 	return false
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -62,7 +62,8 @@
 			r.lastCount, r.lastFailureAt = count, now
 		} else if r.active && now > r.lastFailureAt+failureRunGapMs {
 			r.active = false
-			m.s.log.Printf("msg=system state=passed call=%s errno=%s count=%d", kind.Call, unix.ErrnoName(kind.Errno), r.lastCount-r.countBefore)
+			m.s.log.Printf("msg=system state=passed call=%s errno=%s count=%d", kind.Call, unix.ErrnoName(kind.Errno),
+				r.lastCount-r.countBefore)
 		}
 	}
 }
--- a/scheduler/peers.go
+++ b/scheduler/peers.go
@@ -6,39 +6,40 @@
 	"shalebeam/scheduler/eventloop"
 )
 
-const datagramMost = 256
+const maxDatagramBytes = 256
 
-// peers sends and takes the datagrams among schedulers. What they hold is the module's alone.
+// peers sends and receives the datagrams among schedulers. Their contents are the module's.
 type peers struct {
-	s    *Scheduler
-	at   *eventloop.Listener // also for what is sent, since a peer is known by its address; nil where there is none
-	from map[netip.AddrPort]int
-	all  netip.AddrPort // reaches all of them
-	bad  int
+	s              *Scheduler
+	at             *eventloop.Listener    // also sends, as a peer is known by its source address; nil: there is none
+	numberByAddr   map[netip.AddrPort]int // a peer's number, by its address
+	groupAddr      netip.AddrPort         // reaches all peers; not valid where there is none
+	malformedCount int                    // datagrams from unknown addresses or too long; the first is logged
 }
 
 func (p *peers) init(s *Scheduler) {
-	*p = peers{s: s, from: map[netip.AddrPort]int{}}
+	*p = peers{s: s, numberByAddr: map[netip.AddrPort]int{}}
 	for i, a := range s.node.Peers {
-		p.from[netip.MustParseAddrPort(a)] = i
+		p.numberByAddr[netip.MustParseAddrPort(a)] = i
 	}
 	if a, err := netip.ParseAddrPort(s.node.PeersAll); err == nil {
-		p.all = a
+		p.groupAddr = a
 	}
 }
 
-// tell sends a message to all.
-func (p *peers) tell(body []byte) {
-	if p.at != nil && p.all.IsValid() && len(body) <= datagramMost {
-		p.at.Send(body, p.all)
+// broadcast sends a message of the module to all peers.
+func (p *peers) broadcast(body []byte) {
+	if p.at != nil && p.groupAddr.IsValid() && len(body) <= maxDatagramBytes {
+		p.at.Send(body, p.groupAddr)
 	}
 }
 
+// hear passes a peer's message on to the module. Its own, which groupAddr also delivers here, it drops.
 func (p *peers) hear(addr netip.AddrPort, body []byte) {
 	p.s.handover.came()
-	from, known := p.from[addr]
-	if !known || len(body) > datagramMost {
-		if p.bad++; p.bad == 1 {
+	from, known := p.numberByAddr[addr]
+	if !known || len(body) > maxDatagramBytes {
+		if p.malformedCount++; p.malformedCount == 1 {
 			p.s.log.Printf("msg=malformed from=peer addr=%s bytes=%d", addr, len(body))
 		}
 		return
--- a/scheduler/plain.go
+++ b/scheduler/plain.go
@@ -2,5 +2,5 @@
 
 package scheduler
 
-// planted tells whether a bug was planted, in a build with the tag faults alone: the lab shows that it is found.
+// planted tells whether a fault is injected. In a build without the tag faults none is.
 func planted(string) bool { return false }
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -268,7 +268,7 @@
 	run := func(seed int64) bool {
 		s, _ := onceOnly(t)
 		text := garble(rand.New(rand.NewSource(seed)), good)
-		_, err := s.roster.read([]byte(text))
+		_, err := s.roster.readList([]byte(text))
 		for _, w := range s.pool.targets {
 			if _, bad := netip.ParseAddrPort(w.addr); bad != nil || w.id == "" {
 				t.Errorf("%s: %+v", text, w)
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -11,29 +11,34 @@
 	"shalebeam/scheduler/transient"
 )
 
-// Who is out is kept in a file that all processes of a scheduler share, under a lock while one writes it.
+// The workers that were taken out of service are recorded in a file that all processes of a scheduler share. A
+// process that writes it holds a lock.
 
-// record is one worker that staff took out, and when; and when it was put back, 0 while it is out.
+// record says when staff or the fleet took a worker out of service, and when it was put back. Times are milliseconds
+// on the clock of the process that has read the file.
 type record struct {
-	Since float64 `json:"since"`
-	Back  float64 `json:"back,omitempty"`
-	Fleet string  `json:"fleet,omitempty"` // the matter by which the fleet took it out, "" where staff did
-	// Change is the fleet's last one of this worker. An owner's own older call may arrive after a newer one, and the number
-	// of its matter is the same.
+	Since float64 `json:"since"`           // taken out
+	Back  float64 `json:"back,omitempty"`  // put back; 0 while it is out
+	Fleet string  `json:"fleet,omitempty"` // the matter for which the fleet took it out, "" where staff did
+	// Change is the number of the fleet's last change of this worker. A call that the same owner made earlier may
+	// arrive after a later one, and its fencing token, the number of its matter, is the same.
 	Change uint64 `json:"change,omitempty"`
 }
 
+// records is the content of the file.
 type records struct {
-	Shalebeam string            `json:"shalebeam"` // tells the file from others
-	Workers   map[string]record `json:"workers"`
-	Start     string            `json:"start,omitempty"`  // of the scheduler that wrote it last
-	Fences    map[string]uint64 `json:"fences,omitempty"` // see fleet
-	Boot      float64           `json:"boot,omitempty"`   // of the clock that its times are by; see clock
+	Shalebeam string            `json:"shalebeam"`        // recordsFormat: tells the file from others
+	Workers   map[string]record `json:"workers"`          // by worker id
+	Start     string            `json:"start,omitempty"`  // identifies the start of the scheduler that wrote the file last
+	Fences    map[string]uint64 `json:"fences,omitempty"` // highest fencing token seen of each matter; see fleet
+	Boot      float64           `json:"boot,omitempty"`   // of the clock that the times are on; see clock.boot
 }
 
-const recordsForm = "workers out, 1"
+// recordsFormat is the file's format and version.
+const recordsFormat = "workers out, 1"
 
-// look reads who is out where another process may have written that, before anything is carried out.
+// look reads the file where another process may have changed it. It comes before each event is handled, and reads at
+// most every lookEvery ms.
 func (h *handover) look() {
 	if h.others == 0 || h.lock == nil {
 		return
@@ -47,89 +52,97 @@
 	h.read()
 }
 
-// read follows the file. One that is torn or of another program is logged and left, and changes nothing.
+// read takes over what other processes have written to the file, if it has changed. A file that is torn or belongs to
+// another program is logged and ignored.
 func (h *handover) read() {
 	info, err := os.Stat(h.path)
 	if err != nil || h.seen != nil && os.SameFile(info, h.seen) && info.ModTime().Equal(h.seen.ModTime()) {
 		return
 	}
-	all, err := h.load()
+	file, err := h.loadFile()
 	if transient.FileError(err) {
-		return // it is read again with the next look
+		return // tried again with the next look
 	}
 	if h.seen = info; err != nil {
 		h.s.log.Printf("msg=malformed from=%s err=%q", h.path, err)
 		return
 	}
-	for id, r := range all.Workers {
-		h.s.ops.set(id, r) // each is apart from the others, so any order does
+	for id, r := range file.Workers {
+		h.s.ops.set(id, r) // in any order: each worker is independent of the others
 	}
-	f := &h.s.ops.fleet
-	for m, n := range all.Fences {
-		f.numbers[m] = max(f.numbers[m], n)
+	fleetState := &h.s.ops.fleet
+	for matter, number := range file.Fences {
+		fleetState.numbers[matter] = max(fleetState.numbers[matter], number)
 	}
-	if h.others > 0 && all.Start != "" {
-		f.start = all.Start // both are one start; alone, what a former one left says only what it knew
+	if h.others > 0 && file.Start != "" {
+		// Processes that run side by side are one start of the scheduler. A process that is alone keeps its own start:
+		// the file's is of one that has ended, and the file has only the fencing tokens that it knew.
+		fleetState.start = file.Start
 	}
 }
 
-func (h *handover) load() (*records, error) {
-	in := &records{Shalebeam: recordsForm, Workers: map[string]record{}}
+// loadFile reads the file, with its times converted to this process's clock. Without a file there are no records.
+func (h *handover) loadFile() (*records, error) {
+	file := &records{Shalebeam: recordsFormat, Workers: map[string]record{}}
 	raw, err := os.ReadFile(h.path)
 	if os.IsNotExist(err) {
-		return in, nil
+		return file, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	*in = records{}
-	if err := json.Unmarshal(raw, in); err != nil {
+	*file = records{}
+	if err := json.Unmarshal(raw, file); err != nil {
 		return nil, err
 	}
-	if in.Shalebeam != recordsForm || in.Workers == nil {
-		return nil, fmt.Errorf("not a file of who is out")
+	if file.Shalebeam != recordsFormat || file.Workers == nil {
+		return nil, fmt.Errorf("not a file of workers out of service: want format %q and workers, got format %q",
+			recordsFormat, file.Shalebeam)
 	}
-	in.shift(h.s.clock.shiftFrom(in.Boot))
-	return in, nil
+	file.shiftTimes(h.s.clock.shiftFrom(file.Boot))
+	return file, nil
 }
 
-// keep writes a change of who is out, whole, before anybody is told that it holds. What change refuses is not written.
+// keep applies a change to the records and writes them whole, before anybody is told that it is in force. If change
+// returns false nothing is written. It blocks for up to 20 ms while another process writes.
 func (h *handover) keep(change func(in *records) bool) error {
 	if h.lock == nil {
 		change(&records{Workers: maps.Clone(h.s.ops.staffed)})
 		return nil
 	}
-	for tries := 0; !h.take(mayWrite); tries++ { // the other one writes a few hundred bytes
-		if tries == 20 {
-			return errors.New("another process writes")
+	for attempts := 0; !h.take(mayWrite); attempts++ { // the other process writes a few hundred bytes
+		if attempts == 20 {
+			return errors.New("file of workers out of service is still locked by another process after 20 ms")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	defer h.drop(mayWrite)
-	all, err := h.load()
+	file, err := h.loadFile()
 	if transient.FileError(err) {
-		return err // what another process has written there may not be overwritten unread
+		return err // it may hold what another process has written, which must not be overwritten unread
 	}
-	if err != nil {
-		all = &records{Workers: map[string]record{}}
+	if err != nil { // torn, or of another program: it is replaced
+		file = &records{Workers: map[string]record{}}
 	}
 	now := h.s.now()
-	for id, o := range h.s.ops.staffed {
-		if all.Workers[id].at() < o.at() {
-			all.Workers[id] = o
+	for id, own := range h.s.ops.staffed {
+		if file.Workers[id].at() < own.at() {
+			file.Workers[id] = own
 		}
 	}
-	all.Boot = h.s.clock.boot
-	all.Shalebeam, all.Start, all.Fences = recordsForm, h.s.ops.fleet.start, h.known(all.Fences)
-	if !change(all) {
+	file.Boot = h.s.clock.boot
+	file.Shalebeam, file.Start, file.Fences = recordsFormat, h.s.ops.fleet.start, h.mergeFences(file.Fences)
+	if !change(file) {
 		return nil
 	}
-	for id, o := range all.Workers {
-		if o.Back > 0 && now > o.Back+keptOut && (o.Change == 0 || len(all.Workers) > mostStaffed/2) {
-			delete(all.Workers, id)
+	// A worker that was put back stays on record for keptOut ms. With a change number it stays longer, while there is
+	// room, so that an older call of the fleet can be told from a newer one.
+	for id, r := range file.Workers {
+		if r.Back > 0 && now > r.Back+keptOut && (r.Change == 0 || len(file.Workers) > mostStaffed/2) {
+			delete(file.Workers, id)
 		}
 	}
-	raw, err := json.Marshal(all)
+	raw, err := json.Marshal(file)
 	if err != nil {
 		return err
 	}
@@ -143,8 +156,8 @@
 	return nil
 }
 
-// shift brings all times to another scale.
-func (in *records) shift(by float64) {
+// shiftTimes moves all times by so many milliseconds, to another process's clock.
+func (in *records) shiftTimes(by float64) {
 	for id, r := range in.Workers {
 		if r.Since > 0 {
 			r.Since += by
@@ -156,20 +169,21 @@
 	}
 }
 
-// known puts the numbers that this process has seen among those of the file.
-func (h *handover) known(in map[string]uint64) map[string]uint64 {
-	out := maps.Clone(in)
+// mergeFences returns the higher fencing token of each matter, of those in the file and those that this process has
+// seen.
+func (h *handover) mergeFences(fileFences map[string]uint64) map[string]uint64 {
+	out := maps.Clone(fileFences)
 	if out == nil {
 		out = map[string]uint64{}
 	}
-	for m, n := range h.s.ops.fleet.numbers {
-		out[m] = max(out[m], n)
+	for matter, number := range h.s.ops.fleet.numbers {
+		out[matter] = max(out[matter], number)
 	}
 	return out
 }
 
-// out tells whether the worker is out by this record.
+// out tells whether the worker is out of service by this record.
 func (r record) out() bool { return r.Since > 0 && r.Back == 0 }
 
-// at is when it was made.
+// at is the time of the record's last change.
 func (r record) at() float64 { return max(r.Since, r.Back) }
--- a/scheduler/roster.go
+++ b/scheduler/roster.go
@@ -18,221 +18,238 @@
 )
 
 const (
-	listMost   = 4 << 20
-	rosterPath = "/catalog/members"
+	maxListBytes = 4 << 20
+	membersPath  = "/catalog/members"
 )
 
-// roster follows discovery's list: the module says when to begin a watch, package watch how it goes on.
+// roster follows discovery's list of workers with a long poll, called a watch. The module says when to begin a watch,
+// package watch how it goes on; roster makes the calls and applies the lists. Times are milliseconds on the
+// scheduler's clock.
 type roster struct {
-	s       *Scheduler
-	addr    string
-	watch   *watch.Watch
-	link    *link // nil while there is none
-	aside   *link // the one before, which may be only late
-	failed  bool  // the last watch failed, and that is logged
-	unheard bool  // the list may not be relied on, and where it could be that is logged
-	counted bool  // it could be once
-	starts  starts
+	s             *Scheduler
+	addr          string
+	watch         *watch.Watch   // a placeholder until begin
+	current       *discoveryConn // nil while there is none
+	setAside      *discoveryConn // the connection before, kept as its answer may only be late; nil where there is none
+	failureLogged bool           // a failure was logged, and no answer since
+	listExpired   bool           // the list is too old to rely on; if it was reliable before, that is logged
+	hadValidList  bool           // this process has had a list to rely on
+	startTimes    workerStarts
 }
 
-// readyFor is how long a new process waits for a list that counts, until it says that it serves in any case: a front
-// takes in nobody else in its place, and what it can't post it declines.
-const readyFor = 5000.0
-
-// ready tells whether there is, or was, a list by which to post, or none came for long.
-func (r *roster) ready(now float64) bool { return r.counted || now > r.s.began+readyFor }
-
-// link is a connection to discovery, made or still to be. Of one that is not the roster's any more, as after
-// a failed call or a new address, nothing is heard.
-type link struct {
-	r    *roster
-	addr string
-	conn eventloop.Conn // nil while it is made
-	call watch.Call     // to be made once it is
-	resp http1.Response
+// readyWithoutListMs is how long a new process without a valid list of workers reports that it is not ready. After
+// that it reports ready in any case: the load balancer in front puts no other scheduler in its place, and requests
+// that it cannot post are declined.
+const readyWithoutListMs = 5000.0
+
+// ready tells whether this process may report that it is ready: it has had a list to rely on, or has waited for one
+// for readyWithoutListMs.
+func (r *roster) ready(now float64) bool { return r.hadValidList || now > r.s.began+readyWithoutListMs }
+
+// discoveryConn is a connection to discovery, up or still being made. Once it is neither the roster's current
+// connection nor the one set aside, as after a failed call or a change of discovery's address, its events are
+// ignored.
+type discoveryConn struct {
+	roster      *roster
+	addr        string
+	conn        eventloop.Conn // nil while it is being made, and after it has closed
+	pendingCall watch.Call     // to be made once it is up
+	resp        http1.Response
 }
 
-// members is what discovery answers.
-type members struct {
-	Seq   *int64            `json:"seq"`
+// memberList is discovery's answer: the whole list of workers, or what has changed since the version asked for.
+type memberList struct {
+	Seq   *int64            `json:"seq"` // version of the list
 	Whole bool              `json:"whole"`
 	Hosts []json.RawMessage `json:"hosts"`
 }
 
-type entry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	Born   float64 `json:"born_ms"`
+// member is one worker in discovery's answer.
+type member struct {
+	Host   string  `json:"host"`    // the worker's id
+	Dial   string  `json:"dial"`    // address and port
+	Site   string  `json:"site"`    // zone
+	Class  string  `json:"class"`   // kind
+	Block  int     `json:"block"`   // cell
+	Health string  `json:"health"`  // see workerStates
+	Share  float64 `json:"share"`   // weight
+	Born   float64 `json:"born_ms"` // last start by the wall clock, Unix time in ms; 0: long ago
 }
 
-var healths = map[string]balance.State{"in_service": balance.Running, "terminating": balance.Draining,
+// workerStates maps discovery's health values to the module's states.
+var workerStates = map[string]balance.State{"in_service": balance.Running, "terminating": balance.Draining,
 	"terminated": balance.Removed}
 
 func (r *roster) init(s *Scheduler) {
 	*r = roster{s: s, addr: s.node.Discovery, watch: watch.New(math.Inf(1), 0, 0)}
-	r.starts.init()
+	r.startTimes.init()
 }
 
-// begin takes the list that the configuration brought.
+// begin starts the watch with the list from the configuration, where there is one.
 func (r *roster) begin() {
 	r.watch = watch.New(r.s.now(), r.s.node.told.Terms.AskIn, watch.EachCall*float64(r.s.node.told.Terms.Peers))
-	r.pull()
+	r.applyWatch()
 	if len(r.s.node.Known) == 0 {
 		return
 	}
-	if seq, err := r.read(r.s.node.Known); err != nil {
+	if seq, err := r.readList(r.s.node.Known); err != nil {
 		r.s.log.Printf("msg=malformed from=configuration part=known err=%q", err)
 	} else {
 		r.watch.Began(seq)
 	}
 }
 
-// ask begins a watch.
-func (r *roster) ask() {
+// startWatch begins a watch, as the module decided.
+func (r *roster) startWatch() {
 	r.watch.Wanted(r.s.now())
-	r.pull()
+	r.applyWatch()
 }
 
-// move goes over to discovery at another address.
+// move takes new settings, and goes over to discovery's new address if that has changed.
 func (r *roster) move(addr string) {
 	r.watch.Retune(r.s.node.told.Terms.AskIn)
 	if addr != r.addr {
 		r.addr = addr
 		r.watch.Went(r.s.now())
-		r.pull()
+		r.applyWatch()
 	}
 }
 
-// pull does what the watch says, and tells the module what it has to hear.
-func (r *roster) pull() {
+// applyWatch carries out what package watch decides, and reports to the module how long the list may be relied on and
+// whether the watch works.
+func (r *roster) applyWatch() {
 	if r.watch.NextHangUp() {
-		r.hangUp()
+		r.closeCurrent()
 	}
 	if r.watch.NextAside() {
-		r.aside.hangUp()
-		r.aside, r.link = r.link, nil
+		r.setAside.close()
+		r.setAside, r.current = r.current, nil
 	}
 	if !r.watch.Besides() {
-		old := r.aside
-		r.aside = nil
-		old.hangUp()
+		old := r.setAside
+		r.setAside = nil
+		old.close()
 	}
 	if c, ok := r.watch.NextCall(); ok {
-		r.call(c)
+		r.sendCall(c)
 	}
 	r.s.drive.mod.Relies(r.watch.Till())
-	for on, ok := r.watch.NextTold(); ok; on, ok = r.watch.NextTold() {
-		r.s.drive.mod.Watched(r.s.now(), on)
+	for working, ok := r.watch.NextTold(); ok; working, ok = r.watch.NextTold() {
+		r.s.drive.mod.Watched(r.s.now(), working)
 	}
 }
 
-func (r *roster) hangUp() {
-	l := r.link
-	r.link = nil
-	l.hangUp()
+// closeCurrent closes the current connection. Its end is not reported as a failure.
+func (r *roster) closeCurrent() {
+	l := r.current
+	r.current = nil
+	l.close()
 }
 
-func (l *link) hangUp() {
+// close closes the connection if it is up. l may be nil.
+func (l *discoveryConn) close() {
 	if l != nil && l.conn != nil {
 		l.conn.Close()
 	}
 }
 
-// overheard reads what still comes on the connection that was set aside.
-func (l *link) overheard() {
-	r := l.r
-	in, err := decode(l.resp.Body())
-	if err == nil && l.resp.Status == 200 && r.watch.Overhears(r.s.now(), *in.Seq) {
-		r.take(in)
+// takeLateAnswer reads the answer that has come on the connection set aside, applies its list if that is not
+// outdated, and closes the connection.
+func (l *discoveryConn) takeLateAnswer() {
+	r := l.roster
+	list, err := decodeList(l.resp.Body())
+	if err == nil && l.resp.Status == 200 && r.watch.Overhears(r.s.now(), *list.Seq) {
+		r.applyList(list)
 	}
-	r.aside = nil
-	l.hangUp()
+	r.setAside = nil
+	l.close()
 }
 
-func (r *roster) call(c watch.Call) {
-	if r.link == nil {
-		l := &link{r: r, addr: r.addr, call: c}
-		r.link = l
+// sendCall makes a call on the current connection, or on a new one.
+func (r *roster) sendCall(c watch.Call) {
+	if r.current == nil {
+		l := &discoveryConn{roster: r, addr: r.addr, pendingCall: c}
+		r.current = l
 		r.s.dial(r.addr, l, func(err error) { l.fail(err) })
 		return
 	}
-	r.link.write(c)
+	r.current.writeCall(c)
 }
 
-func (l *link) write(c watch.Call) {
+// writeCall writes a call: for the whole list, or a long poll of c.Wait ms for what is newer than version c.After.
+func (l *discoveryConn) writeCall(c watch.Call) {
 	query := ""
 	if c.After >= 0 {
 		query = "?after=" + strconv.FormatInt(c.After, 10) + "&wait_ms=" + strconv.Itoa(int(c.Wait))
 	}
-	l.resp.Reset(http1.Limits{Head: headMost, Body: listMost})
-	l.r.watch.Sent(l.r.s.now())
-	_ = l.conn.Write([]byte("GET " + rosterPath + query + " HTTP/1.1\r\nHost: " + l.addr + "\r\n\r\n"))
+	l.resp.Reset(http1.Limits{Head: headMost, Body: maxListBytes})
+	l.roster.watch.Sent(l.roster.s.now())
+	_ = l.conn.Write([]byte("GET " + membersPath + query + " HTTP/1.1\r\nHost: " + l.addr + "\r\n\r\n"))
 }
 
-// no is a status by which discovery turns a call away.
-type no int
+// statusError is the status other than 200 with which discovery answered a call.
+type statusError int
 
-func (n no) Error() string { return fmt.Sprintf("status %d", int(n)) }
+func (n statusError) Error() string {
+	return fmt.Sprintf("discovery answered with status %d, want 200", int(n))
+}
 
-// ended is the end of a connection that nobody here closed.
-type ended struct{ error }
+// unexpectedClose is the end of a connection that this process did not close.
+type unexpectedClose struct{ error }
 
-// failure tells what the end of a call says of discovery.
-func (l *link) failure(err error) watch.Failure {
-	var said no
-	var end ended
+// classifyFailure tells what a failed call says of discovery.
+func (l *discoveryConn) classifyFailure(err error) watch.Failure {
+	var status statusError
+	var closed unexpectedClose
 	switch {
 	case errors.Is(err, unix.ECONNREFUSED):
 		return watch.Refused
-	case errors.As(err, &said), errors.As(err, &end) && l.r.watch.State() == watch.First:
+	case errors.As(err, &status), errors.As(err, &closed) && l.roster.watch.State() == watch.First:
 		return watch.TurnedAway
 	}
-	return watch.Broken // a watch that is reset may have been silent before, and who writes what can't be read is there
+	// The path to discovery may have been down for some time before a watch was reset, and a discovery that sends
+	// malformed data is up: neither shows that it is down.
+	return watch.Broken
 }
 
-// fail takes that a call came to nothing, and its connection with it.
-func (l *link) fail(err error) {
-	r := l.r
-	if r.aside == l {
-		r.aside = nil
+// fail handles a failed call, which ends its connection.
+func (l *discoveryConn) fail(err error) {
+	r := l.roster
+	if r.setAside == l {
+		r.setAside = nil
 	}
-	if r.link != l {
+	if r.current != l {
 		return
 	}
-	how := l.failure(err)
-	r.hangUp()
-	r.failed = true
-	r.watch.Failed(r.s.now(), how)
+	failure := l.classifyFailure(err)
+	r.closeCurrent()
+	r.failureLogged = true
+	r.watch.Failed(r.s.now(), failure)
 	r.s.log.Printf("msg=discovery state=failed err=%q counts_ms=%.0f", err, max(r.watch.Till()-r.s.now(), 0))
-	r.pull()
+	r.applyWatch()
 }
 
-func (l *link) opened(c eventloop.Conn) {
-	if l.r.link != l {
+func (l *discoveryConn) opened(c eventloop.Conn) {
+	if l.roster.current != l {
 		c.Close()
 		return
 	}
 	l.conn = c
-	l.write(l.call)
-	l.r.pull()
+	l.writeCall(l.pendingCall)
+	l.roster.applyWatch()
 }
 
-func (l *link) closed(_ eventloop.Conn, err error) {
+func (l *discoveryConn) closed(_ eventloop.Conn, err error) {
 	l.conn = nil
 	if err == nil {
-		err = fmt.Errorf("connection ended")
+		err = fmt.Errorf("connection closed")
 	}
-	l.fail(ended{err})
+	l.fail(unexpectedClose{err})
 }
 
-func (l *link) traffic(c eventloop.Conn) {
-	r := l.r
-	if r.link != l && r.aside != l {
+func (l *discoveryConn) traffic(c eventloop.Conn) {
+	r := l.roster
+	if r.current != l && r.setAside != l {
 		return
 	}
 	buf := c.Peek()
@@ -247,154 +264,157 @@
 	if !l.resp.Done() {
 		return
 	}
-	if r.aside == l {
-		l.overheard()
+	if r.setAside == l {
+		l.takeLateAnswer()
 		return
 	}
 	if l.resp.Status != 200 {
-		l.fail(no(l.resp.Status))
+		l.fail(statusError(l.resp.Status))
 		return
 	}
-	seq, err := r.read(l.resp.Body())
+	seq, err := r.readList(l.resp.Body())
 	if err != nil {
 		l.fail(err)
 		return
 	}
-	if r.failed && r.watch.State() != watch.Moved {
-		r.failed = false
+	if r.failureLogged && r.watch.State() != watch.Moved {
+		r.failureLogged = false
 		r.s.log.Printf("msg=discovery state=answers addr=%s seq=%d", r.addr, seq)
 	}
-	kept := l.resp.Reusable()
-	if !kept {
-		r.hangUp() // its end is no failure
+	reusable := l.resp.Reusable()
+	if !reusable {
+		r.closeCurrent() // its end is no failure
 	}
-	r.watch.Answered(r.s.now(), seq, kept)
-	r.pull()
+	r.watch.Answered(r.s.now(), seq, reusable)
+	r.applyWatch()
 }
 
-// read tells the module and the pool what a list says, and which version it is of. Of an entry that is no use
-// the worker is left alone, whatever was known of it, and so is one that stands there twice: the rest holds.
-func (r *roster) read(raw []byte) (seq int64, err error) {
-	in, err := decode(raw)
+// readList decodes and applies an answer, and returns its version. Nothing is sent to a worker whose entry is
+// malformed, whatever was known of it, nor to one that is listed twice; the rest of the list is valid.
+func (r *roster) readList(raw []byte) (seq int64, err error) {
+	list, err := decodeList(raw)
 	if err == nil {
-		err = r.watch.Fits(*in.Seq, in.Whole)
+		err = r.watch.Fits(*list.Seq, list.Whole)
 	}
 	if err != nil {
 		return 0, err
 	}
-	r.take(in)
-	return *in.Seq, nil
+	r.applyList(list)
+	return *list.Seq, nil
 }
 
-func decode(raw []byte) (in members, err error) {
-	if err = json.Unmarshal(raw, &in); err == nil && in.Seq == nil {
-		err = fmt.Errorf("seq is missing")
+// decodeList decodes an answer of discovery. Its members are decoded one by one, in applyList.
+func decodeList(raw []byte) (list memberList, err error) {
+	if err = json.Unmarshal(raw, &list); err == nil && list.Seq == nil {
+		err = fmt.Errorf("list has no seq")
 	}
-	return in, err
+	return list, err
 }
 
-func (r *roster) take(in members) {
+// applyList reports the workers of an answer to the module and to the connection pool. A repeated or malformed member
+// is taken as draining; one without a host is skipped.
+func (r *roster) applyList(list memberList) {
 	now := r.s.now()
-	r.starts.looked(r.s.clock.drift())
-	rows := make([]balance.Listed, 0, len(in.Hosts))
-	var gone []string
-	var first error
-	bad := 0
-	kept := make(map[string]bool, len(in.Hosts))
-	named := make(map[string]int, len(in.Hosts))
-	for _, raw := range in.Hosts {
-		e, err := r.entry(raw)
-		at, twice := named[e.Host]
-		if twice && err == nil {
-			err = fmt.Errorf("host %s stands there twice", e.Host)
+	r.startTimes.noteOffset(r.s.clock.wallClockOffsetMs())
+	rows := make([]balance.Listed, 0, len(list.Hosts))
+	var removed []string
+	var firstErr error
+	badMembers := 0
+	keptHosts := make(map[string]bool, len(list.Hosts))
+	rowByHost := make(map[string]int, len(list.Hosts))
+	for _, raw := range list.Hosts {
+		m, err := r.decodeMember(raw)
+		rowIndex, repeated := rowByHost[m.Host]
+		if repeated && err == nil {
+			err = fmt.Errorf("host %s is listed twice", m.Host)
 		}
 		if err != nil {
-			if bad++; first == nil {
-				first = err
+			if badMembers++; firstErr == nil {
+				firstErr = err
 			}
-			if e.Host == "" {
+			if m.Host == "" {
 				continue
 			}
 		}
-		state, ok := healths[e.Health]
+		state, ok := workerStates[m.Health]
 		if !ok || err != nil {
-			state = balance.Draining // nothing is sent to a worker in a state that is not known
+			state = balance.Draining // no postings go to a worker in an unknown state
 		}
-		row := balance.Listed{ID: e.Host, Cell: e.Block, Zone: place(r.s.node.told.Zones, e.Site),
-			Kind: place(r.s.node.told.Kinds, e.Class), State: state, Start: r.starts.at(now, e.Host, e.Born), Weight: e.Share}
-		if twice {
-			rows[at].State = state
+		row := balance.Listed{ID: m.Host, Cell: m.Block, Zone: place(r.s.node.told.Zones, m.Site),
+			Kind: place(r.s.node.told.Kinds, m.Class), State: state, Start: r.startTimes.startTime(now, m.Host, m.Born), Weight: m.Share}
+		if repeated {
+			rows[rowIndex].State = state
 		} else {
-			named[e.Host] = len(rows)
+			rowByHost[m.Host] = len(rows)
 			rows = append(rows, row)
 		}
 		if state == balance.Removed {
-			gone = append(gone, e.Host)
-			r.starts.forget(e.Host)
+			removed = append(removed, m.Host)
+			r.startTimes.forget(m.Host)
 			continue
 		}
-		if t := r.s.pool.target(e.Host); err != nil && t != nil {
-			e.Dial = t.addr
+		if t := r.s.pool.target(m.Host); err != nil && t != nil {
+			m.Dial = t.addr
 		}
-		if _, bad := netip.ParseAddrPort(e.Dial); bad == nil {
-			r.s.pool.updateWorker(e.Host, e.Dial, state == balance.Running)
+		if _, badAddr := netip.ParseAddrPort(m.Dial); badAddr == nil {
+			r.s.pool.updateWorker(m.Host, m.Dial, state == balance.Running)
 		}
-		kept[e.Host] = true
+		keptHosts[m.Host] = true
 	}
-	if bad > 0 {
-		r.s.log.Printf("msg=malformed from=discovery entries=%d first=%q", bad, first)
+	if badMembers > 0 {
+		r.s.log.Printf("msg=malformed from=discovery entries=%d first=%q", badMembers, firstErr)
 	}
-	if in.Whole {
-		r.starts.keep(kept)
+	if list.Whole {
+		r.startTimes.retain(keptHosts)
 	}
-	r.s.drive.mod.ListChanged(now, in.Whole, rows)
-	r.s.pool.removeWorkers(gone, in.Whole, kept)
+	r.s.drive.mod.ListChanged(now, list.Whole, rows)
+	r.s.pool.removeWorkers(removed, list.Whole, keptHosts)
 }
 
-// entry reads one entry. Of one that can't be read at least the host is, where there is one.
-func (r *roster) entry(raw json.RawMessage) (e entry, err error) {
-	if err = json.Unmarshal(raw, &e); err != nil {
-		e = entry{}
-		var only struct{ Host string }
-		_ = json.Unmarshal(raw, &only) // where this fails too it names none
-		e.Host = only.Host
-		return e, err
+// decodeMember decodes and checks one member. Where it fails it still returns the host, if there is one.
+func (r *roster) decodeMember(raw json.RawMessage) (m member, err error) {
+	if err = json.Unmarshal(raw, &m); err != nil {
+		m = member{}
+		var hostOnly struct{ Host string }
+		_ = json.Unmarshal(raw, &hostOnly) // where this fails too, the host stays empty
+		m.Host = hostOnly.Host
+		return m, err
 	}
-	if e.Host == "" {
-		return e, fmt.Errorf("host is missing")
+	if m.Host == "" {
+		return m, fmt.Errorf("member has no host")
 	}
-	if _, bad := netip.ParseAddrPort(e.Dial); bad != nil && e.Health != "terminated" {
-		return e, fmt.Errorf("dial: %w", bad)
+	if _, badAddr := netip.ParseAddrPort(m.Dial); badAddr != nil && m.Health != "terminated" {
+		return m, fmt.Errorf("dial: %w", badAddr)
 	}
-	return e, nil
+	return m, nil
 }
 
-// place is a name's place in the settings' list of such names, or -1.
+// place returns the index of a name in the settings' list of such names, or -1.
 func place(names []string, name string) int { return slices.Index(names, name) }
 
-// wake is when sweep has something to see to.
+// wake is when sweep next has something to do.
 func (r *roster) wake() float64 {
-	if r.unheard {
+	if r.listExpired {
 		return r.watch.Wake()
 	}
 	return min(r.watch.Wake(), r.watch.Till())
 }
 
-// sweep sees to what is due by now.
+// sweep logs when the list expires, and has package watch handle what is due by now.
 func (r *roster) sweep(now float64) {
-	if was := r.unheard; now < r.watch.Till() {
-		r.unheard, r.counted = false, true
-	} else if r.unheard = true; !was && r.counted {
-		r.s.log.Printf("msg=discovery state=unheard note=\"nothing is posted until it answers\"")
+	if wasExpired := r.listExpired; now < r.watch.Till() {
+		r.listExpired, r.hadValidList = false, true
+	} else if r.listExpired = true; !wasExpired && r.hadValidList {
+		r.s.log.Printf("msg=discovery state=unheard note=\"list of workers has expired; no postings until discovery answers\"")
 	}
 	if now < r.watch.Wake() {
 		return
 	}
 	was := r.watch.State()
 	r.watch.Passed(now)
-	if is := r.watch.State(); is != was {
-		r.failed = true
-		r.s.log.Printf("msg=discovery state=silent was=%s is=%s", was, is)
+	if state := r.watch.State(); state != was {
+		r.failureLogged = true
+		r.s.log.Printf("msg=discovery state=silent was=%s is=%s", was, state)
 	}
-	r.pull()
+	r.applyWatch()
 }
