--- a/scheduler/clock_test.go
+++ b/scheduler/clock_test.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-const hour = 3600e3
+const hourMs = 3600e3
 
-// A worker's start is told in wall time. However the wall clock was set before or after the start was stamped, a worker that
-// has just started is not taken for one that started long ago.
-func TestStartsAcrossStepsOfTheWallClock(t *testing.T) {
+// Workers' start times are listed as wall clock times. Whether the wall clock was set before or after the start was
+// stamped, a worker that has just started is not taken for one that started long ago.
+func TestStartTimesAcrossWallClockSteps(t *testing.T) {
 	const now = 1e12
 	for name, c := range map[string]struct {
 		steps []float64
 		told  float64
 		want  float64
 	}{
-		"no step":                    {nil, now - 5000, now - 5000},
-		"long ago":                   {nil, 0, 0},
-		"forward, stamped after":     {[]float64{hour}, now - 5000 + hour, now - 5000},
-		"forward, stamped before":    {[]float64{hour}, now - 5000, now - 5000},
-		"back, stamped after":        {[]float64{-hour}, now - 5000 - hour, now - 5000},
-		"back, stamped before":       {[]float64{-hour}, now - 5000, now - 5000},
-		"there and back, in between": {[]float64{hour, 0}, now - 5000 + hour, now - 5000},
-		"a step before the process":  {nil, now + hour, now},
-		"by three seconds":           {[]float64{-3000}, now - 1000 - 3000, now - 1000},
+		"no step":                            {nil, now - 5000, now - 5000},
+		"long ago":                           {nil, 0, 0},
+		"forward, stamped after":             {[]float64{hourMs}, now - 5000 + hourMs, now - 5000},
+		"forward, stamped before":            {[]float64{hourMs}, now - 5000, now - 5000},
+		"back, stamped after":                {[]float64{-hourMs}, now - 5000 - hourMs, now - 5000},
+		"back, stamped before":               {[]float64{-hourMs}, now - 5000, now - 5000},
+		"there and back, stamped in between": {[]float64{hourMs, 0}, now - 5000 + hourMs, now - 5000},
+		"a step before the process":          {nil, now + hourMs, now},
+		"by three seconds":                   {[]float64{-3000}, now - 1000 - 3000, now - 1000},
 	} {
 		var s workerStarts
 		s.init()
@@ -34,31 +34,32 @@
 			s.noteOffset(step)
 		}
 		if got := s.startTime(now, "w1", c.told); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got-now, c.want-now)
+			t.Errorf("%s: %v ms from now, want %v", name, got-now, c.want-now)
 		}
 		if got := s.startTime(now+7000, "w1", c.told); got != c.want {
-			t.Errorf("%s: told again it is %v, want %v", name, got-now, c.want-now)
+			t.Errorf("%s: listed again: %v ms from now, want %v", name, got-now, c.want-now)
 		}
 	}
 }
 
-// Spans do not change when the wall clock is set: only its reading at the start counts.
-func TestTheClockGoesByMonotonicTime(t *testing.T) {
+// Setting the wall clock changes no duration: only its reading at the start counts.
+func TestClockIsMonotonic(t *testing.T) {
 	c := newClock()
-	c.startWallMs -= hour // as if the wall clock had been set forward since
+	c.startWallMs -= hourMs // as if the wall clock had been set forward since
 	a := c.now()
 	time.Sleep(20 * time.Millisecond)
 	if span := c.now() - a; span < 19 || span > 1000 {
-		t.Errorf("20 ms took %v", span)
+		t.Errorf("a sleep of 20 ms took %v ms by the clock, want 19 to 1000", span)
 	}
-	if got := c.wallClockOffsetMs(); got < hour-1000 || got > hour+1000 {
-		t.Errorf("drift %v", got)
+	if got := c.wallClockOffsetMs(); got < hourMs-1000 || got > hourMs+1000 {
+		t.Errorf("wall clock offset %v ms, want about %v", got, hourMs)
 	}
 }
 
-// Two processes of one scheduler, between whose starts the wall clock was set: the newer change holds for both.
-func TestWhoIsOutAcrossAStepOfTheWallClock(t *testing.T) {
-	for _, step := range []float64{hour, -hour, 3000, -3000} {
+// The wall clock is set between the starts of two processes of one scheduler. The newer change of a worker's record
+// holds in both.
+func TestRecordsAcrossWallClockSteps(t *testing.T) {
+	for _, step := range []float64{hourMs, -hourMs, 3000, -3000} {
 		first, _ := onceOnly(t)
 		second, _ := onceOnly(t)
 		second.clock.startWallMs += step
@@ -95,7 +96,7 @@
 			for _, other := range []*Scheduler{first, second} {
 				other.handover.seen = nil
 				if other.handover.read(); other.ops.staffed["w1"].out() != (i%2 == 1) {
-					t.Fatalf("step %v, change %d: %+v", step, i, other.ops.staffed["w1"])
+					t.Fatalf("wall clock step %v ms, change %d: out of service want %t, got record %+v", step, i, i%2 == 1, other.ops.staffed["w1"])
 				}
 			}
 			time.Sleep(2 * time.Millisecond)
--- a/scheduler/live_test.go
+++ b/scheduler/live_test.go
@@ -18,51 +18,52 @@
 	"golang.org/x/sys/unix"
 )
 
-// live is a scheduler that serves on loopback sockets, with one worker and a discovery that is down. Its loop can be
-// held, so that what comes meanwhile is there all at once, in the order in which it came.
-type live struct {
+// liveScheduler is a scheduler that serves on loopback sockets, with one worker and with a discovery that is down. A
+// test can hold its event loop, so that what comes meanwhile is all there, in order, when the loop goes on.
+type liveScheduler struct {
 	*Scheduler
-	t       *testing.T
-	addr    string
-	stop    context.CancelFunc
-	ended   chan error
-	workers net.Listener
-	calls   chan *workerCall
+	t              *testing.T
+	addr           string             // of its listener for clients
+	cancelRun      context.CancelFunc // begins its drain
+	runErr         chan error         // what Run or serve returned
+	workerListener net.Listener
+	calls          chan *workerCall // requests that have come to the worker
 }
 
-// workerCall is a request that came to the worker.
+// workerCall is a request that has come to the worker.
 type workerCall struct {
-	conn net.Conn
-	ref  string
-	told string // its Request-Timeout
+	conn           net.Conn
+	ref            string
+	requestTimeout string // its Request-Timeout field
 }
 
-const livePatience = 20 * time.Second
+// testTimeout bounds each wait of a test.
+const testTimeout = 20 * time.Second
 
-// newLive starts one.
-func newLive(t *testing.T) *live {
+// newLive starts a scheduler, which drains at the end of the test.
+func newLive(t *testing.T) *liveScheduler {
 	t.Helper()
-	v := newStill(t)
+	v := newUnstarted(t)
 	ctx, stop := context.WithCancel(context.Background())
-	v.stop = stop
-	go func() { v.ended <- v.Run(ctx) }()
+	v.cancelRun = stop
+	go func() { v.runErr <- v.Run(ctx) }()
 	<-v.ready
 	v.addr = addrOf(v.clientsAt)
 	t.Cleanup(stop)
 	return v
 }
 
-// newStill makes one that has not begun.
-func newStill(t *testing.T) *live {
+// newUnstarted makes a scheduler that does not run yet.
+func newUnstarted(t *testing.T) *liveScheduler {
 	t.Helper()
-	v := &live{t: t, calls: make(chan *workerCall, 1000), ended: make(chan error, 1)}
+	v := &liveScheduler{t: t, calls: make(chan *workerCall, 1000), runErr: make(chan error, 1)}
 	var err error
-	if v.workers, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if v.workerListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { v.workers.Close() })
-	go v.work()
-	down, err := net.Listen("tcp", "127.0.0.1:0") // has an address, where nobody listens once it is closed
+	t.Cleanup(func() { v.workerListener.Close() })
+	go v.serveWorker()
+	down, err := net.Listen("tcp", "127.0.0.1:0") // to get an address where nobody listens once this is closed
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +74,7 @@
 "domain":{"tells_start":true},"guarantees":{"must_ask_in":60000000},
 "policy_limits":{"cancel":true,"max_postings":6,"conn_idle":10000000,"connect_timeout":5000000},"schemes":[
 {"name":"look","effect":"retryable","expiry":2000000,"gain":1,"sla_time":1500000,"tardy_gain":0.2}]}}`,
-		down.Addr(), v.workers.Addr()))
+		down.Addr(), v.workerListener.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,38 +86,38 @@
 	return v
 }
 
-// A client that is there before the service has begun comes after that: seen to first, it had the watch of discovery begun
-// before there was one, and no call was ever made again.
-func TestAClientThatComesBeforeTheServiceBegins(t *testing.T) {
+// A client that connects before the scheduler serves is handled after it has begun. Handled sooner, it has the watch
+// of discovery started before roster.begin has made one, and no call to discovery is ever made again.
+func TestClientConnectsBeforeServing(t *testing.T) {
 	t.Parallel()
-	v := newStill(t)
+	v := newUnstarted(t)
 	if err := v.listen(); err != nil {
 		t.Fatal(err)
 	}
 	v.addr = addrOf(v.clientsAt)
-	c := v.client(request("early"))
-	acked(t, c, false)
-	go func() { v.ended <- v.serve() }()
-	v.call().settle()
-	v.answers(c, 200, "ok early")
+	c := v.client(requestText("early"))
+	waitAcked(t, c, false)
+	go func() { v.runErr <- v.serve() }()
+	v.nextWorkerCall().answerDone()
+	v.expectAnswer(c, 200, "ok early")
 	c.Close()
 	v.onLoop(v.drain)
-	if err := <-v.ended; err != nil {
+	if err := <-v.runErr; err != nil {
 		t.Error(err)
 	}
 }
 
-// work takes what comes to the worker; the test answers it.
-func (v *live) work() {
+// serveWorker reads the requests that come to the worker. The test answers them.
+func (v *liveScheduler) serveWorker() {
 	for {
-		conn, err := v.workers.Accept()
+		conn, err := v.workerListener.Accept()
 		if err != nil {
 			return
 		}
 		v.t.Cleanup(func() { conn.Close() })
 		go func() {
-			for in := bufio.NewReader(conn); ; {
-				r, err := http.ReadRequest(in)
+			for reader := bufio.NewReader(conn); ; {
+				r, err := http.ReadRequest(reader)
 				if err != nil {
 					return
 				}
@@ -127,31 +128,32 @@
 	}
 }
 
-// settle answers as a worker does that has done the job, with bytes that need be read only once.
-func (c *workerCall) settle() {
+// answerDone answers as a worker that has done the job does, in one write, so that the scheduler's loop has to read
+// only once.
+func (c *workerCall) answerDone() {
 	line := fmt.Sprintf("{\"id\":%q,\"state\":\"done\",\"result\":\"ok %s\"}\n", c.ref, c.ref)
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(line), line)
 }
 
-// call waits for a request at the worker.
-func (v *live) call() *workerCall {
+// nextWorkerCall waits for a request at the worker.
+func (v *liveScheduler) nextWorkerCall() *workerCall {
 	v.t.Helper()
 	select {
 	case c := <-v.calls:
 		return c
-	case <-time.After(livePatience):
-		v.t.Fatal("nothing came to the worker")
+	case <-time.After(testTimeout):
+		v.t.Fatal("no request came to the worker in time")
 		return nil
 	}
 }
 
-// hold keeps the loop from all else until the test lets it go on.
-func (v *live) hold() (release func()) { return v.holdAfter(func() {}) }
+// holdLoop keeps the event loop from running anything else until release is called.
+func (v *liveScheduler) holdLoop() (release func()) { return v.runThenHoldLoop(func() {}) }
 
-// holdAfter does something on the loop, and then holds it.
-func (v *live) holdAfter(f func()) (release func()) {
-	// A turn of its own first: of a socket that was ready in the last one epoll would tell before all that comes while the loop
-	// is held, whatever the order in which it came.
+// runThenHoldLoop runs f on the event loop, and holds the loop right after it.
+func (v *liveScheduler) runThenHoldLoop(f func()) (release func()) {
+	// First one turn of the loop on its own: of a socket that was ready in the turn before, epoll would report all
+	// that comes while the loop is held ahead of other sockets' events, whatever the order in which it came.
 	look(v, func() bool { return true })
 	held, on := make(chan struct{}), make(chan struct{})
 	v.onLoop(func() {
@@ -165,49 +167,51 @@
 	return release
 }
 
-// look looks at the scheduler's state on its loop.
-func look[T any](v *live, f func() T) T {
+// look returns f's result, run on the event loop.
+func look[T any](v *liveScheduler, f func() T) T {
 	out := make(chan T, 1)
 	v.onLoop(func() { out <- f() })
 	return <-out
 }
 
-// until waits for a state of the scheduler.
-func (v *live) until(what string, f func() bool) {
+// until waits until f, run on the event loop, is true.
+func (v *liveScheduler) until(what string, f func() bool) {
 	v.t.Helper()
-	for end := time.Now().Add(livePatience); !look(v, f); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !look(v, f); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			v.t.Fatal("it never came to this: " + what)
+			v.t.Fatalf("not reached within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-func request(ref string) string {
+// requestText is a request of the scheme look with this Request-Id.
+func requestText(ref string) string {
 	return "POST /look HTTP/1.1\r\nHost: h\r\nRequest-Id: " + ref + "\r\nWork-Hint: 1000\r\nContent-Length: 4\r\n\r\nbody"
 }
 
-// client connects as a client does, and sends this.
-func (v *live) client(text string) *net.TCPConn {
+// client connects to the scheduler as a client, and sends text.
+func (v *liveScheduler) client(text string) *net.TCPConn {
 	v.t.Helper()
 	c, err := net.Dial("tcp", v.addr)
 	if err != nil {
 		v.t.Fatal(err)
 	}
 	v.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(livePatience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, text)
 	return c.(*net.TCPConn)
 }
 
-// acked waits until the scheduler's machine has all that was sent on a connection, its end too where there is one.
-func acked(t *testing.T, c *net.TCPConn, ended bool) {
+// waitAcked waits until the scheduler's machine has acknowledged all that was sent on a connection, and its end if
+// ended is true.
+func waitAcked(t *testing.T, c *net.TCPConn, ended bool) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	const finWait2 = 5
-	for end := time.Now().Add(livePatience); ; time.Sleep(100 * time.Microsecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(100 * time.Microsecond) {
 		left, state := 0, uint8(0)
 		raw.Control(func(fd uintptr) {
 			left, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
@@ -219,20 +223,20 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the other side does not acknowledge")
+			t.Fatalf("%d bytes not acknowledged, TCP state %d, after %v", left, state, testTimeout)
 		}
 	}
 }
 
-// leave closes a client's connection, and waits until the scheduler's machine knows.
-func (v *live) leave(c *net.TCPConn) {
+// disconnect ends a client's sending, and waits until the scheduler's machine has got that.
+func (v *liveScheduler) disconnect(c *net.TCPConn) {
 	v.t.Helper()
 	c.CloseWrite()
-	acked(v.t, c, true)
+	waitAcked(v.t, c, true)
 }
 
-// answers reads one answer, which must be this.
-func (v *live) answers(c *net.TCPConn, status int, body string) {
+// expectAnswer reads one answer, and checks its status and that its body contains body.
+func (v *liveScheduler) expectAnswer(c *net.TCPConn, status int, body string) {
 	v.t.Helper()
 	w, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -245,172 +249,175 @@
 	}
 }
 
-// A client that has left gets no attempt, also where the loop has yet to read that it left: its end came together with
-// its bytes, or right behind what made its attempt possible. (Each was sent on, as only what the loop had read counted.)
-func TestNoAttemptForAClientThatHasLeft(t *testing.T) {
-	for name, cross := range map[string]func(v *live, release func()){
-		"its request and its end come together": func(v *live, release func()) {
-			v.leave(v.client(request("gone")))
+// No attempt is made for a client that has disconnected, also where the event loop has yet to read that: the end of
+// the connection came together with the request, or right after the event that made an attempt possible. A scheduler
+// that goes only by what its loop has read sends such requests to a worker.
+func TestNoAttemptAfterClientDisconnects(t *testing.T) {
+	for name, scenario := range map[string]func(v *liveScheduler, release func()){
+		"request and disconnect come together": func(v *liveScheduler, release func()) {
+			v.disconnect(v.client(requestText("gone")))
 		},
-		"it leaves as a worker gets free": func(v *live, release func()) {
+		"disconnect as a worker gets free": func(v *liveScheduler, release func()) {
 			release()
-			first := v.client(request("first"))
-			c := v.call()
-			second := v.client(request("gone"))
-			v.until("the second waits", func() bool { return len(v.drive.txns) == 2 })
-			release = v.hold()
-			c.settle()
-			acked(v.t, c.conn.(*net.TCPConn), false)
-			v.leave(second)
+			first := v.client(requestText("first"))
+			c := v.nextWorkerCall()
+			second := v.client(requestText("gone"))
+			v.until("the second txn waits", func() bool { return len(v.drive.txns) == 2 })
+			release = v.holdLoop()
+			c.answerDone()
+			waitAcked(v.t, c.conn.(*net.TCPConn), false)
+			v.disconnect(second)
 			release()
-			v.answers(first, 200, "ok first")
+			v.expectAnswer(first, 200, "ok first")
 		},
-		"it sent another request ahead of the first one's answer": func(v *live, release func()) {
+		"pipelined request, then disconnect": func(v *liveScheduler, release func()) {
 			release()
-			one := v.client(request("first") + request("gone"))
-			c := v.call()
-			release = v.hold()
-			c.settle()
-			acked(v.t, c.conn.(*net.TCPConn), false)
-			v.leave(one)
+			pipelined := v.client(requestText("first") + requestText("gone"))
+			c := v.nextWorkerCall()
+			release = v.holdLoop()
+			c.answerDone()
+			waitAcked(v.t, c.conn.(*net.TCPConn), false)
+			v.disconnect(pipelined)
 			release()
-			v.answers(one, 200, "ok first")
+			v.expectAnswer(pipelined, 200, "ok first")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			v := newLive(t)
-			warm := v.client(request("warm")) // leaves a connection to the worker, on which an attempt goes out at once
-			v.call().settle()
-			v.answers(warm, 200, "ok warm")
-			release := v.hold()
-			cross(v, release)
+			warm := v.client(requestText("warm")) // leaves an idle connection to the worker, on which an attempt goes out at once
+			v.nextWorkerCall().answerDone()
+			v.expectAnswer(warm, 200, "ok warm")
+			release := v.holdLoop()
+			scenario(v, release)
 			release()
-			v.until("its txn is over", func() bool { return len(v.drive.txns) == 0 })
-			last := v.client(request("last"))
-			if c := v.call(); c.ref != "last" {
-				t.Errorf("%s was sent on", c.ref)
+			v.until("no txn is open", func() bool { return len(v.drive.txns) == 0 })
+			last := v.client(requestText("last"))
+			if c := v.nextWorkerCall(); c.ref != "last" {
+				t.Errorf("%s was sent to the worker, want last", c.ref)
 			} else {
-				c.settle()
-				v.answers(last, 200, "ok last")
+				c.answerDone()
+				v.expectAnswer(last, 200, "ok last")
 			}
 		})
 	}
 }
 
-// What a request has waited before it was read is gone from its time: on a connection that is there, and on one that could not
-// be accepted sooner. (It got all of its time from the moment at which it was read.)
-func TestARequestThatWaitedHasLessTime(t *testing.T) {
+// The time for which a request waited unread counts against its Request-Timeout, both on a connection that is in use
+// and on one that could not be accepted sooner. Otherwise it would get its full time from the moment at which it
+// is read.
+func TestUnreadTimeCountsAgainstRequestTimeout(t *testing.T) {
 	t.Parallel()
 	const waits = 300 * time.Millisecond
 	v := newLive(t)
-	warm := v.client(request("warm"))
-	v.call().settle()
-	v.answers(warm, 200, "ok warm")
+	warm := v.client(requestText("warm"))
+	v.nextWorkerCall().answerDone()
+	v.expectAnswer(warm, 200, "ok warm")
 	timed := func(ref string) string {
-		return strings.Replace(request(ref), "Host: h\r\n", "Host: h\r\nRequest-Timeout: 1500m\r\n", 1)
+		return strings.Replace(requestText(ref), "Host: h\r\n", "Host: h\r\nRequest-Timeout: 1500m\r\n", 1)
 	}
-	release := v.hold()
+	release := v.holdLoop()
 	fresh := v.client(timed("fresh"))
 	io.WriteString(warm, timed("kept"))
-	acked(t, warm, false)
-	acked(t, fresh, false)
+	waitAcked(t, warm, false)
+	waitAcked(t, fresh, false)
 	time.Sleep(waits)
 	release()
 	for range 2 {
-		c := v.call()
-		ms, err := strconv.Atoi(strings.TrimSuffix(c.told, "m"))
+		c := v.nextWorkerCall()
+		ms, err := strconv.Atoi(strings.TrimSuffix(c.requestTimeout, "m"))
 		if told, most := time.Duration(ms)*time.Millisecond, 1500*time.Millisecond-waits; err != nil || told > most {
-			t.Errorf("%s: its worker is told %s, and it has %v", c.ref, c.told, most)
+			t.Errorf("%s: Request-Timeout at the worker is %s, want at most %v", c.ref, c.requestTimeout, most)
 		}
-		c.settle()
+		c.answerDone()
 	}
-	v.answers(warm, 200, "ok kept")
-	v.answers(fresh, 200, "ok fresh")
+	v.expectAnswer(warm, 200, "ok kept")
+	v.expectAnswer(fresh, 200, "ok fresh")
 }
 
-// drains has a scheduler told to stop, and its loop held at a moment at which nothing more is left to do, so that the stop
-// ends as soon as the loop goes on, unless something came meanwhile.
-func (v *live) drains() (release func()) {
-	v.stop()
-	v.until("it drains", func() bool { return v.phase == draining })
-	return v.holdAfter(func() { v.drained -= drainLeast })
+// holdAtDrainEnd begins a drain, and holds the event loop at a moment when nothing is left to do: the drain ends as
+// soon as the loop goes on, unless something came meanwhile.
+func (v *liveScheduler) holdAtDrainEnd() (release func()) {
+	v.cancelRun()
+	v.until("phase draining", func() bool { return v.phase == draining })
+	return v.runThenHoldLoop(func() { v.drained -= drainLeast })
 }
 
-// What this machine has taken by the end of a stop is answered, also what the loop has yet to read or to accept. (Both were
-// reset, as only what the loop had read kept the process from its end.)
-func TestAStopLosesNothingThatCameBeforeItsEnd(t *testing.T) {
-	for name, comes := range map[string]func(v *live, resting *net.TCPConn) *net.TCPConn{
-		"on a connection that rests": func(v *live, resting *net.TCPConn) *net.TCPConn {
-			io.WriteString(resting, request("late"))
-			return resting
+// Requests that this machine has received by the end of a drain are answered, also those that the event loop has yet
+// to read or to accept. A process that goes only by what its loop has read ends too soon, which resets both.
+func TestDrainAnswersRequestsReceivedBeforeItsEnd(t *testing.T) {
+	for name, sendLate := range map[string]func(v *liveScheduler, idleConn *net.TCPConn) *net.TCPConn{
+		"on an idle connection": func(v *liveScheduler, idleConn *net.TCPConn) *net.TCPConn {
+			io.WriteString(idleConn, requestText("late"))
+			return idleConn
 		},
-		"on a connection that is not accepted": func(v *live, _ *net.TCPConn) *net.TCPConn {
-			return v.client(request("late"))
+		"on a connection not yet accepted": func(v *liveScheduler, _ *net.TCPConn) *net.TCPConn {
+			return v.client(requestText("late"))
 		},
-		"but for its last byte": func(v *live, resting *net.TCPConn) *net.TCPConn {
-			text := request("late")
-			io.WriteString(resting, text[:len(text)-1])
-			time.AfterFunc(100*time.Millisecond, func() { io.WriteString(resting, text[len(text)-1:]) })
-			return resting
+		"all but the last byte": func(v *liveScheduler, idleConn *net.TCPConn) *net.TCPConn {
+			text := requestText("late")
+			io.WriteString(idleConn, text[:len(text)-1])
+			time.AfterFunc(100*time.Millisecond, func() { io.WriteString(idleConn, text[len(text)-1:]) })
+			return idleConn
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			v := newLive(t)
-			resting := v.client("")
-			v.until("it is accepted", func() bool { return len(v.clients.all) == 1 })
-			release := v.drains()
-			c := comes(v, resting)
-			acked(t, c, false)
+			idleConn := v.client("")
+			v.until("connection accepted", func() bool { return len(v.clients.all) == 1 })
+			release := v.holdAtDrainEnd()
+			c := sendLate(v, idleConn)
+			waitAcked(t, c, false)
 			release()
-			v.call().settle()
-			v.answers(c, 200, "ok late")
+			v.nextWorkerCall().answerDone()
+			v.expectAnswer(c, 200, "ok late")
 			c.Close()
 			select {
-			case err := <-v.ended:
+			case err := <-v.runErr:
 				if err != nil {
 					t.Error(err)
 				}
-			case <-time.After(livePatience):
-				t.Error("it does not end")
+			case <-time.After(testTimeout):
+				t.Errorf("the drain has not ended within %v", testTimeout)
 			}
 		})
 	}
 }
 
-// A connection that is ended from this side is ended for writing first, and what crosses that is read and dropped: neither
-// sent on nor answered with a reset, which would take the last answer with it. (It was closed.)
-func TestWhatCrossesTheEndOfAConnection(t *testing.T) {
+// A connection that the scheduler ends is first closed for writing (half-closed), and what the client sends meanwhile
+// is read and dropped: it is not sent to a worker. If the connection is closed at once, it is answered with a reset,
+// which can destroy the last answer too.
+func TestInputAfterHalfCloseIsDropped(t *testing.T) {
 	t.Parallel()
 	v := newLive(t)
-	c := v.client(request("first"))
-	v.call().settle()
-	v.answers(c, 200, "ok first")
-	v.until("its connection rests for long", func() bool {
+	c := v.client(requestText("first"))
+	v.nextWorkerCall().answerDone()
+	v.expectAnswer(c, 200, "ok first")
+	v.until("connection idle for long enough to be half-closed", func() bool {
 		v.clients.all[0].since -= idleFor + 1
 		v.clients.sweep(v.now())
 		return v.clients.all[0].shut
 	})
-	io.WriteString(c, request("late"))
-	acked(t, c, false)
+	io.WriteString(c, requestText("late"))
+	waitAcked(t, c, false)
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("read %d, %v", n, err)
+		t.Errorf("read %d bytes, %v, want 0 and EOF", n, err)
 	}
 	raw, err := c.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	const closeWait = 8 // it was reset otherwise
+	const closeWait = 8 // after a reset the state is another
 	raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err != nil || info.State != closeWait {
-			t.Errorf("state %d, %v", info.State, err)
+			t.Errorf("TCP state %d, %v, want %d (CLOSE_WAIT)", info.State, err, closeWait)
 		}
 	})
-	v.until("what came is dropped", func() bool { return !v.clients.all[0].unread() })
+	v.until("late request dropped", func() bool { return !v.clients.all[0].unread() })
 	if len(v.calls) > 0 {
-		t.Errorf("%s was sent on", v.call().ref)
+		t.Errorf("%s was sent to the worker", v.nextWorkerCall().ref)
 	}
 	c.Close()
-	v.until("the connection is gone", func() bool { return len(v.clients.all) == 0 })
+	v.until("connection closed", func() bool { return len(v.clients.all) == 0 })
 }
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -18,19 +18,21 @@
 	"shalebeam/watch"
 )
 
-// What loopback sockets do only by chance is told to a worker's connection by hand.
+// These tests call a worker connection's callbacks through fakeConn, with events that loopback sockets produce only
+// by chance.
 
+// fakeConn is a connection of the event loop that tests drive by hand.
 type fakeConn struct {
 	eventloop.Conn
-	of     connection
-	in     []byte
-	unsent int
-	wrote  string
-	ended  bool
-	sock   int // a socket of the system, where there is one
+	of          connection // whose callbacks are called
+	in          []byte     // unread input
+	unsentBytes int        // of the output buffer
+	wrote       string     // all that was written
+	closed      bool       // Close was called
+	fd          int        // of a real socket, 0 where there is none
 }
 
-func (c *fakeConn) OutboundBuffered() int { return c.unsent }
+func (c *fakeConn) OutboundBuffered() int { return c.unsentBytes }
 func (c *fakeConn) Peek() []byte          { return c.in }
 func (c *fakeConn) Since() time.Time      { return time.Now() }
 
@@ -38,10 +40,10 @@
 
 func (c *fakeConn) Discard(n int) { c.in = c.in[n:] }
 func (c *fakeConn) Fd() int {
-	if c.sock == 0 {
+	if c.fd == 0 {
 		return -1
 	}
-	return c.sock
+	return c.fd
 }
 func (c *fakeConn) InboundBuffered() int { return len(c.in) }
 func (c *fakeConn) Write(b []byte) error {
@@ -49,13 +51,13 @@
 	return nil
 }
 func (c *fakeConn) Close() {
-	if !c.ended {
-		c.ended = true
+	if !c.closed {
+		c.closed = true
 		c.of.closed(c, nil)
 	}
 }
 
-// onceOnly is a scheduler with a once-only txn whose posting waits for a worker's connection.
+// onceOnly makes a scheduler with a once-only txn, whose posting waits for a worker's connection to come up.
 func onceOnly(t *testing.T) (*Scheduler, *workerConn) {
 	t.Helper()
 	n, err := Parse([]byte(`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{
@@ -68,7 +70,7 @@
 	s.drive.mod.ListChanged(s.now(), true, []balance.Listed{{ID: "w1", Weight: 1}})
 	x := s.drive.arrive(nil, ask{row: &n.told.Terms.Schemes[0], txn: balance.Txn{Ref: "r1", Hint: 100, Left: 20000}})
 	if _, ok := s.drive.mod.NextPosting(s.now()); !ok {
-		t.Fatal("no posting")
+		t.Fatal("the module decided on no posting for the txn")
 	}
 	l := &workerConn{s: s, to: s.pool.target("w1"), addr: "127.0.0.1:3"}
 	l.p = &posting{t: x, conn: l, until: x.until, by: math.Inf(1)}
@@ -77,30 +79,33 @@
 	return s, l
 }
 
-// reversed tells whether the module took the posting for one that may have run.
-func (s *Scheduler) reversed() bool {
+// nextFinalIsReversed tells whether the module's next final answer is reversed: it took the posting for one that may
+// have run.
+func (s *Scheduler) nextFinalIsReversed() bool {
 	f, ok := s.drive.mod.NextFinal(s.now())
 	return ok && !f.Declined
 }
 
-func TestOnlyAWholeRequestMayHaveRun(t *testing.T) {
+// When the connection breaks, a posting whose request was not written whole cannot have run; any other may have.
+func TestPartlyWrittenRequestNeverRan(t *testing.T) {
 	for _, unsent := range []int{0, 1} {
 		t.Run(fmt.Sprint(unsent, " bytes left"), func(t *testing.T) {
 			s, l := onceOnly(t)
 			c := &fakeConn{of: l}
 			l.opened(c)
 			if c.wrote == "" {
-				t.Fatal("nothing was sent")
+				t.Fatal("no request was written")
 			}
-			c.unsent = unsent
+			c.unsentBytes = unsent
 			l.closed(c, io.EOF)
-			if s.reversed() != (unsent == 0) {
-				t.Errorf("broken with %d bytes unsent: reversed %t", unsent, unsent != 0)
+			if s.nextFinalIsReversed() != (unsent == 0) {
+				t.Errorf("connection broken with %d bytes unsent: reversed %t, want %t", unsent, unsent != 0, unsent == 0)
 			}
 		})
 	}
 }
 
+// Load reports in all formats are read, and malformed ones are ignored.
 func TestLoadReports(t *testing.T) {
 	_, l := onceOnly(t)
 	l.s.node.told.Reports, l.s.node.told.FreeSlots = true, true
@@ -112,24 +117,25 @@
 	}
 }
 
-// What stands against a posting by the time that its connection is up keeps it from being sent, and it never ran.
-func TestTheLastCheckBeforeSending(t *testing.T) {
-	for name, happens := range map[string]func(s *Scheduler, l *workerConn){
-		"the worker began to drain":      func(s *Scheduler, l *workerConn) { s.pool.updateWorker("w1", "127.0.0.1:3", false) },
-		"the worker left":                func(s *Scheduler, l *workerConn) { s.pool.removeWorkers([]string{"w1"}, false, nil) },
-		"the worker is at another place": func(s *Scheduler, l *workerConn) { s.pool.updateWorker("w1", "127.0.0.1:4", true) },
-		"staff took it out":              func(s *Scheduler, l *workerConn) { s.ops.staffed["w1"] = record{Since: 1} },
-		"the txn's window is over":       func(s *Scheduler, l *workerConn) { l.p.by = s.now() - 1 },
-		"its client's time is over":      func(s *Scheduler, l *workerConn) { l.p.until = s.now() - 1 },
-		"the list counts no more":        func(s *Scheduler, l *workerConn) { s.roster.watch = watch.New(s.now()-2, 1, 0) },
-		"its client has left, unread": func(s *Scheduler, l *workerConn) {
+// If something that rules the posting out happens while its connection is being made, the posting is not sent, and
+// counts as one that never ran.
+func TestChecksBeforeSending(t *testing.T) {
+	for name, change := range map[string]func(s *Scheduler, l *workerConn){
+		"the worker began to drain":                    func(s *Scheduler, l *workerConn) { s.pool.updateWorker("w1", "127.0.0.1:3", false) },
+		"the worker left":                              func(s *Scheduler, l *workerConn) { s.pool.removeWorkers([]string{"w1"}, false, nil) },
+		"the worker has another address":               func(s *Scheduler, l *workerConn) { s.pool.updateWorker("w1", "127.0.0.1:4", true) },
+		"staff took the worker out":                    func(s *Scheduler, l *workerConn) { s.ops.staffed["w1"] = record{Since: 1} },
+		"the window for the txn's attempts has passed": func(s *Scheduler, l *workerConn) { l.p.by = s.now() - 1 },
+		"the client's deadline has passed":             func(s *Scheduler, l *workerConn) { l.p.until = s.now() - 1 },
+		"the list has expired":                         func(s *Scheduler, l *workerConn) { s.roster.watch = watch.New(s.now()-2, 1, 0) },
+		"the client has disconnected, which is not read yet": func(s *Scheduler, l *workerConn) {
 			pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { unix.Close(pair[0]) })
 			c := &client{s: s, t: l.p.t}
-			conn := &fakeConn{of: c, sock: pair[0]}
+			conn := &fakeConn{of: c, fd: pair[0]}
 			s.clients.add(c, conn)
 			l.p.t.from = c
 			unix.Close(pair[1])
@@ -137,62 +143,63 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, l := onceOnly(t)
-			happens(s, l)
+			change(s, l)
 			c := &fakeConn{of: l}
 			l.opened(c)
-			if c.wrote != "" || l.p != nil || s.reversed() {
-				t.Errorf("sent %q", c.wrote)
+			if c.wrote != "" || l.p != nil || s.nextFinalIsReversed() {
+				t.Errorf("wrote %q, want nothing; posting %+v, want none", c.wrote, l.p)
 			}
 		})
 	}
 }
 
-// Nothing is sent for a txn that is over: where postings may not be called off the module leaves it out.
-func TestNothingGoesOutForATxnThatIsOver(t *testing.T) {
+// Nothing is sent for a txn that is over, also where postings may not be cancelled and the module leaves them out.
+func TestNothingSentForFinishedTxn(t *testing.T) {
 	s, l := onceOnly(t)
 	x := l.p.t
 	s.drive.gone(x)
 	c := &fakeConn{of: l}
 	l.opened(c)
 	if c.wrote != "" || l.p != nil || len(s.drive.txns) != 0 {
-		t.Errorf("sent %q", c.wrote)
+		t.Errorf("wrote %q, want nothing; posting %+v, want none", c.wrote, l.p)
 	}
 }
 
-// What was not written whole of a txn that is over is given up at once, also where postings may not be called off: finished
-// later it would run for nobody.
-func TestWhatIsUnsentEndsWithItsTxn(t *testing.T) {
+// A posting whose request is not written whole is given up when its txn ends, also where postings may not be
+// cancelled: written later it would run for no client.
+func TestUnsentPostingEndsWithTxn(t *testing.T) {
 	s, l := onceOnly(t)
 	c := &fakeConn{of: l}
 	l.opened(c)
-	c.unsent = 1
+	c.unsentBytes = 1
 	x := l.p.t
 	s.drive.gone(x)
-	if !c.ended || x.out != 0 || len(s.drive.txns) != 0 {
-		t.Errorf("connection ended %t, %d out", c.ended, x.out)
+	if !c.closed || x.out != 0 || len(s.drive.txns) != 0 {
+		t.Errorf("connection closed %t, want true; %d postings out, want 0", c.closed, x.out)
 	}
 }
 
-// A request that this machine can't write is given up before the time that it tells its worker is wrong; it never ran.
-func TestWhatIsUnsentForLongNeverRan(t *testing.T) {
+// A request that this machine cannot write is given up before the timeout that it tells the worker is wrong, as one
+// that never ran.
+func TestUnsentPostingTimesOutAsNeverSent(t *testing.T) {
 	s, l := onceOnly(t)
 	c := &fakeConn{of: l}
 	l.opened(c)
 	p := l.p
 	l.failIfUnsent(p)
-	if c.ended {
-		t.Fatal("one that was written whole was given up")
+	if c.closed {
+		t.Fatal("a posting whose request was written whole was given up")
 	}
-	c.unsent = 1
+	c.unsentBytes = 1
 	l.failIfUnsent(p)
-	if !c.ended || p.conn != nil || s.reversed() {
-		t.Errorf("connection ended %t, posting %+v", c.ended, p)
+	if !c.closed || p.conn != nil || s.nextFinalIsReversed() {
+		t.Errorf("connection closed %t, want true; posting %+v", c.closed, p)
 	}
 }
 
-// A worker that closes idle connections sooner than the settings say is believed for a while; postings were
-// written to connections that it had closed.
-func TestKeptConnectionsAreDistrusted(t *testing.T) {
+// If a worker closes idle connections sooner than the settings say, connections are reused for a shorter time for a
+// while. Otherwise postings are written to connections that the worker has closed.
+func TestEarlyCloseShortensConnectionReuse(t *testing.T) {
 	s, l := onceOnly(t)
 	o := &s.pool
 	before, now := o.maxIdleMs(s.now()), s.now()
@@ -203,24 +210,25 @@
 	l.stateSince = now - 2000
 	l.closed(c, io.EOF)
 	if got := o.maxIdleMs(now); got < 900 || got > 1100 || before <= got {
-		t.Errorf("after the end of one that was idle for 2 s, %v ms, and %v before", got, before)
+		t.Errorf("after a close at 2000 ms idle, connections are reused for %v ms, want 900 to 1100 and less than %v", got, before)
 	}
-	for _, rested := range []float64{-1, 100} { // reset in its first use, and when it was used again
+	for _, rested := range []float64{-1, 100} { // reset in its first use, and when it was reused
 		l := &workerConn{s: s, to: l.to, state: busy, rested: rested}
 		l.closed(&fakeConn{of: l}, io.EOF)
 		if got := o.maxIdleMs(now); (got < 100) != (rested >= 0) {
-			t.Errorf("after a reset of one that had been idle for %v ms, %v ms", rested, got)
+			t.Errorf("after a reset of one reused at %v ms idle, connections are reused for %v ms", rested, got)
 		}
 	}
 	if got := o.maxIdleMs(now + 60000); got != before {
-		t.Errorf("%v ms in the end, and %v at first", got, before)
+		t.Errorf("60 s later connections are reused for %v ms, want %v", got, before)
 	}
 }
 
+// chunk encodes one chunk of a chunked body.
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// garble changes up to three bytes.
-func garble(r *rand.Rand, text string) string {
+// mutate replaces up to three bytes at random.
+func mutate(r *rand.Rand, text string) string {
 	b := []byte(text)
 	for range r.Intn(4) {
 		b[r.Intn(len(b))] = "\x00\r\n{}\":,05aZ\xff"[r.Intn(13)]
@@ -228,8 +236,9 @@
 	return string(b)
 }
 
-// Whatever a worker answers, in whatever pieces, its posting ends once; a good answer settles the txn.
-func TestAnyAnswerEndsItsPostingOnce(t *testing.T) {
+// Whatever a worker answers, in pieces of any size, its posting ends exactly once, and a valid answer settles the
+// txn.
+func TestAnyResponseEndsPostingOnce(t *testing.T) {
 	good := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		chunk(`{"id":"r1","state":"started"}`+"\n") +
 		chunk(`{"id":"r1","state":"running","share":0.5}`+"\n"+`{"id":"r1","sta`) +
@@ -239,19 +248,19 @@
 		s, l := onceOnly(t)
 		p, c := l.p, &fakeConn{of: l}
 		l.opened(c)
-		text := garble(r, good)
-		for rest := text; rest != "" && !c.ended; {
+		text := mutate(r, good)
+		for rest := text; rest != "" && !c.closed; {
 			n := 1 + r.Intn(len(rest))
 			c.in, rest = append(c.in, rest[:n]...), rest[n:]
 			l.traffic(c)
 		}
-		reused := !c.ended && l.state == idle
+		reused := !c.closed && l.state == idle
 		c.Close()
 		if p.t.out != 0 || p.conn != nil || len(s.pool.conns) != 0 || len(l.to.idleConns) != 0 {
 			t.Errorf("%q: posting %+v, connection %+v", text, p, l)
 		}
 		if text == good && !(p.t.over && reused) {
-			t.Errorf("cut somehow it does not settle: over %t, reused %t", p.t.over, reused)
+			t.Errorf("a valid answer in pieces: txn over %t, connection reusable %t, want both", p.t.over, reused)
 		}
 		return !t.Failed()
 	}
@@ -260,14 +269,14 @@
 	}
 }
 
-// Whatever discovery tells, only workers with an address are known.
-func TestAnyListIsSafe(t *testing.T) {
+// Whatever discovery answers, the pool knows only workers with an id and a valid address.
+func TestMalformedListsAreSafe(t *testing.T) {
 	const good = `{"seq":4,"whole":true,"hosts":[{"host":"w1","dial":"127.0.0.1:3","site":"a","class":"k",` +
 		`"block":3,"health":"in_service","share":1.0,"born_ms":0},` +
 		`{"host":"w2","dial":"127.0.0.1:4","health":"terminating"}]}`
 	run := func(seed int64) bool {
 		s, _ := onceOnly(t)
-		text := garble(rand.New(rand.NewSource(seed)), good)
+		text := mutate(rand.New(rand.NewSource(seed)), good)
 		_, err := s.roster.readList([]byte(text))
 		for _, w := range s.pool.targets {
 			if _, bad := netip.ParseAddrPort(w.addr); bad != nil || w.id == "" {
