--- a/scheduler/drive.go
+++ b/scheduler/drive.go
@@ -200,14 +200,14 @@
 
 // post begins a posting, and sends it to its worker.
 func (d *drive) post(now float64, t *txn, p balance.Post) {
-	x := &posting{t: t, no: len(t.posts), until: t.until, by: p.By}
+	attempt := &posting{t: t, no: len(t.posts), until: t.until, by: p.By}
 	if p.Timeout > 0 {
-		x.until = min(x.until, now+p.Timeout)
+		attempt.until = min(attempt.until, now+p.Timeout)
 	}
-	t.posts = append(t.posts, x)
+	t.posts = append(t.posts, attempt)
 	t.out++
-	heap.Push(&d.ends, ending{x.until, x})
-	d.s.pool.post(x, p.Worker)
+	heap.Push(&d.ends, ending{attempt.until, attempt})
+	d.s.pool.post(attempt, p.Worker)
 }
 
 // endPosting gives up a posting, with the given outcome if its request was written whole. If not, it cannot have run.
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -72,11 +72,11 @@
 	if _, ok := s.drive.mod.NextPosting(s.now()); !ok {
 		t.Fatal("the module decided on no posting for the txn")
 	}
-	l := &workerConn{s: s, to: s.pool.target("w1"), addr: "127.0.0.1:3"}
-	l.p = &posting{t: x, conn: l, until: x.until, by: math.Inf(1)}
-	x.posts, x.out = append(x.posts, l.p), 1
-	s.pool.conns, s.pool.dials = append(s.pool.conns, l), 1
-	return s, l
+	wc := &workerConn{s: s, to: s.pool.target("w1"), addr: "127.0.0.1:3"}
+	wc.p = &posting{t: x, conn: wc, until: x.until, by: math.Inf(1)}
+	x.posts, x.out = append(x.posts, wc.p), 1
+	s.pool.conns, s.pool.dials = append(s.pool.conns, wc), 1
+	return s, wc
 }
 
 // nextFinalIsReversed tells whether the module's next final answer is reversed: it took the posting for one that may
@@ -90,14 +90,14 @@
 func TestPartlyWrittenRequestNeverRan(t *testing.T) {
 	for _, unsent := range []int{0, 1} {
 		t.Run(fmt.Sprint(unsent, " bytes left"), func(t *testing.T) {
-			s, l := onceOnly(t)
-			c := &fakeConn{of: l}
-			l.opened(c)
+			s, wc := onceOnly(t)
+			c := &fakeConn{of: wc}
+			wc.opened(c)
 			if c.wrote == "" {
 				t.Fatal("no request was written")
 			}
 			c.unsentBytes = unsent
-			l.closed(c, io.EOF)
+			wc.closed(c, io.EOF)
 			if s.nextFinalIsReversed() != (unsent == 0) {
 				t.Errorf("connection broken with %d bytes unsent: reversed %t, want %t", unsent, unsent != 0, unsent == 0)
 			}
@@ -107,11 +107,11 @@
 
 // Load reports in all formats are read, and malformed ones are ignored.
 func TestLoadReports(t *testing.T) {
-	_, l := onceOnly(t)
-	l.s.node.told.Reports, l.s.node.told.FreeSlots = true, true
+	_, wc := onceOnly(t)
+	wc.s.node.told.Reports, wc.s.node.told.FreeSlots = true, true
 	for text, want := range map[string]float64{"": -1, "TEXT tps=1.5, depth=0, x0=4.25": 4.25, `{"x0":2}`: 2,
 		`JSON {"x0":3}`: 3, "TEXT x0=y, tps=1": -1, "TEXT": -1, "TEXT ": -1, `{"x0":"2"}`: -1, "null": -1} {
-		if got := l.parseLoad([]byte(text)); got.Free != want {
+		if got := wc.parseLoad([]byte(text)); got.Free != want {
 			t.Errorf("%q: %v, want %v", text, got.Free, want)
 		}
 	}
@@ -120,34 +120,34 @@
 // If something that rules the posting out happens while its connection is being made, the posting is not sent, and
 // counts as one that never ran.
 func TestChecksBeforeSending(t *testing.T) {
-	for name, change := range map[string]func(s *Scheduler, l *workerConn){
-		"the worker began to drain":                    func(s *Scheduler, l *workerConn) { s.pool.updateWorker("w1", "127.0.0.1:3", false) },
-		"the worker left":                              func(s *Scheduler, l *workerConn) { s.pool.removeWorkers([]string{"w1"}, false, nil) },
-		"the worker has another address":               func(s *Scheduler, l *workerConn) { s.pool.updateWorker("w1", "127.0.0.1:4", true) },
-		"staff took the worker out":                    func(s *Scheduler, l *workerConn) { s.ops.staffed["w1"] = record{Since: 1} },
-		"the window for the txn's attempts has passed": func(s *Scheduler, l *workerConn) { l.p.by = s.now() - 1 },
-		"the client's deadline has passed":             func(s *Scheduler, l *workerConn) { l.p.until = s.now() - 1 },
-		"the list has expired":                         func(s *Scheduler, l *workerConn) { s.roster.watch = watch.New(s.now()-2, 1, 0) },
-		"the client has disconnected, which is not read yet": func(s *Scheduler, l *workerConn) {
+	for name, change := range map[string]func(s *Scheduler, wc *workerConn){
+		"the worker began to drain":                    func(s *Scheduler, wc *workerConn) { s.pool.updateWorker("w1", "127.0.0.1:3", false) },
+		"the worker left":                              func(s *Scheduler, wc *workerConn) { s.pool.removeWorkers([]string{"w1"}, false, nil) },
+		"the worker has another address":               func(s *Scheduler, wc *workerConn) { s.pool.updateWorker("w1", "127.0.0.1:4", true) },
+		"staff took the worker out":                    func(s *Scheduler, wc *workerConn) { s.ops.staffed["w1"] = record{Since: 1} },
+		"the window for the txn's attempts has passed": func(s *Scheduler, wc *workerConn) { wc.p.by = s.now() - 1 },
+		"the client's deadline has passed":             func(s *Scheduler, wc *workerConn) { wc.p.until = s.now() - 1 },
+		"the list has expired":                         func(s *Scheduler, wc *workerConn) { s.roster.watch = watch.New(s.now()-2, 1, 0) },
+		"the client has disconnected, which is not read yet": func(s *Scheduler, wc *workerConn) {
 			pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { unix.Close(pair[0]) })
-			c := &client{s: s, t: l.p.t}
+			c := &client{s: s, t: wc.p.t}
 			conn := &fakeConn{of: c, fd: pair[0]}
 			s.clients.add(c, conn)
-			l.p.t.from = c
+			wc.p.t.from = c
 			unix.Close(pair[1])
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, l := onceOnly(t)
-			change(s, l)
-			c := &fakeConn{of: l}
-			l.opened(c)
-			if c.wrote != "" || l.p != nil || s.nextFinalIsReversed() {
-				t.Errorf("wrote %q, want nothing; posting %+v, want none", c.wrote, l.p)
+			s, wc := onceOnly(t)
+			change(s, wc)
+			c := &fakeConn{of: wc}
+			wc.opened(c)
+			if c.wrote != "" || wc.p != nil || s.nextFinalIsReversed() {
+				t.Errorf("wrote %q, want nothing; posting %+v, want none", c.wrote, wc.p)
 			}
 		})
 	}
@@ -155,24 +155,24 @@
 
 // Nothing is sent for a txn that is over, also where postings may not be cancelled and the module leaves them out.
 func TestNothingSentForFinishedTxn(t *testing.T) {
-	s, l := onceOnly(t)
-	x := l.p.t
+	s, wc := onceOnly(t)
+	x := wc.p.t
 	s.drive.gone(x)
-	c := &fakeConn{of: l}
-	l.opened(c)
-	if c.wrote != "" || l.p != nil || len(s.drive.txns) != 0 {
-		t.Errorf("wrote %q, want nothing; posting %+v, want none", c.wrote, l.p)
+	c := &fakeConn{of: wc}
+	wc.opened(c)
+	if c.wrote != "" || wc.p != nil || len(s.drive.txns) != 0 {
+		t.Errorf("wrote %q, want nothing; posting %+v, want none", c.wrote, wc.p)
 	}
 }
 
 // A posting whose request is not written whole is given up when its txn ends, also where postings may not be
 // cancelled: written later it would run for no client.
 func TestUnsentPostingEndsWithTxn(t *testing.T) {
-	s, l := onceOnly(t)
-	c := &fakeConn{of: l}
-	l.opened(c)
+	s, wc := onceOnly(t)
+	c := &fakeConn{of: wc}
+	wc.opened(c)
 	c.unsentBytes = 1
-	x := l.p.t
+	x := wc.p.t
 	s.drive.gone(x)
 	if !c.closed || x.out != 0 || len(s.drive.txns) != 0 {
 		t.Errorf("connection closed %t, want true; %d postings out, want 0", c.closed, x.out)
@@ -182,16 +182,16 @@
 // A request that this machine cannot write is given up before the timeout that it tells the worker is wrong, as one
 // that never ran.
 func TestUnsentPostingTimesOutAsNeverSent(t *testing.T) {
-	s, l := onceOnly(t)
-	c := &fakeConn{of: l}
-	l.opened(c)
-	p := l.p
-	l.failIfUnsent(p)
+	s, wc := onceOnly(t)
+	c := &fakeConn{of: wc}
+	wc.opened(c)
+	p := wc.p
+	wc.failIfUnsent(p)
 	if c.closed {
 		t.Fatal("a posting whose request was written whole was given up")
 	}
 	c.unsentBytes = 1
-	l.failIfUnsent(p)
+	wc.failIfUnsent(p)
 	if !c.closed || p.conn != nil || s.nextFinalIsReversed() {
 		t.Errorf("connection closed %t, want true; posting %+v", c.closed, p)
 	}
@@ -200,26 +200,26 @@
 // If a worker closes idle connections sooner than the settings say, connections are reused for a shorter time for a
 // while. Otherwise postings are written to connections that the worker has closed.
 func TestEarlyCloseShortensConnectionReuse(t *testing.T) {
-	s, l := onceOnly(t)
-	o := &s.pool
-	before, now := o.maxIdleMs(s.now()), s.now()
-	c := &fakeConn{of: l}
-	l.opened(c)
-	l.p = nil
-	l.addToIdle()
-	l.stateSince = now - 2000
-	l.closed(c, io.EOF)
-	if got := o.maxIdleMs(now); got < 900 || got > 1100 || before <= got {
+	s, wc := onceOnly(t)
+	pl := &s.pool
+	before, now := pl.maxIdleMs(s.now()), s.now()
+	c := &fakeConn{of: wc}
+	wc.opened(c)
+	wc.p = nil
+	wc.addToIdle()
+	wc.stateSince = now - 2000
+	wc.closed(c, io.EOF)
+	if got := pl.maxIdleMs(now); got < 900 || got > 1100 || before <= got {
 		t.Errorf("after a close at 2000 ms idle, connections are reused for %v ms, want 900 to 1100 and less than %v", got, before)
 	}
 	for _, rested := range []float64{-1, 100} { // reset in its first use, and when it was reused
-		l := &workerConn{s: s, to: l.to, state: busy, rested: rested}
-		l.closed(&fakeConn{of: l}, io.EOF)
-		if got := o.maxIdleMs(now); (got < 100) != (rested >= 0) {
+		wc := &workerConn{s: s, to: wc.to, state: busy, rested: rested}
+		wc.closed(&fakeConn{of: wc}, io.EOF)
+		if got := pl.maxIdleMs(now); (got < 100) != (rested >= 0) {
 			t.Errorf("after a reset of one reused at %v ms idle, connections are reused for %v ms", rested, got)
 		}
 	}
-	if got := o.maxIdleMs(now + 60000); got != before {
+	if got := pl.maxIdleMs(now + 60000); got != before {
 		t.Errorf("60 s later connections are reused for %v ms, want %v", got, before)
 	}
 }
@@ -245,19 +245,19 @@
 		chunk(`te":"done","load":{"x0":1},"result":"x"}`+"\n") + "0\r\n\r\n"
 	run := func(seed int64) bool {
 		r := rand.New(rand.NewSource(seed))
-		s, l := onceOnly(t)
-		p, c := l.p, &fakeConn{of: l}
-		l.opened(c)
+		s, wc := onceOnly(t)
+		p, c := wc.p, &fakeConn{of: wc}
+		wc.opened(c)
 		text := mutate(r, good)
 		for rest := text; rest != "" && !c.closed; {
 			n := 1 + r.Intn(len(rest))
 			c.in, rest = append(c.in, rest[:n]...), rest[n:]
-			l.traffic(c)
+			wc.traffic(c)
 		}
-		reused := !c.closed && l.state == idle
+		reused := !c.closed && wc.state == idle
 		c.Close()
-		if p.t.out != 0 || p.conn != nil || len(s.pool.conns) != 0 || len(l.to.idleConns) != 0 {
-			t.Errorf("%q: posting %+v, connection %+v", text, p, l)
+		if p.t.out != 0 || p.conn != nil || len(s.pool.conns) != 0 || len(wc.to.idleConns) != 0 {
+			t.Errorf("%q: posting %+v, connection %+v", text, p, wc)
 		}
 		if text == good && !(p.t.over && reused) {
 			t.Errorf("a valid answer in pieces: txn over %t, connection reusable %t, want both", p.t.over, reused)
--- a/scheduler/roster.go
+++ b/scheduler/roster.go
@@ -141,50 +141,50 @@
 
 // closeCurrent closes the current connection. Its end is not reported as a failure.
 func (r *roster) closeCurrent() {
-	l := r.current
+	dc := r.current
 	r.current = nil
-	l.close()
+	dc.close()
 }
 
-// close closes the connection if it is up. l may be nil.
-func (l *discoveryConn) close() {
-	if l != nil && l.conn != nil {
-		l.conn.Close()
+// close closes the connection if it is up. dc may be nil.
+func (dc *discoveryConn) close() {
+	if dc != nil && dc.conn != nil {
+		dc.conn.Close()
 	}
 }
 
 // takeLateAnswer reads the answer that has come on the connection set aside, applies its list if that is not
 // outdated, and closes the connection.
-func (l *discoveryConn) takeLateAnswer() {
-	r := l.roster
-	list, err := decodeList(l.resp.Body())
-	if err == nil && l.resp.Status == 200 && r.watch.Overhears(r.s.now(), *list.Seq) {
+func (dc *discoveryConn) takeLateAnswer() {
+	r := dc.roster
+	list, err := decodeList(dc.resp.Body())
+	if err == nil && dc.resp.Status == 200 && r.watch.Overhears(r.s.now(), *list.Seq) {
 		r.applyList(list)
 	}
 	r.setAside = nil
-	l.close()
+	dc.close()
 }
 
 // sendCall makes a call on the current connection, or on a new one.
 func (r *roster) sendCall(c watch.Call) {
 	if r.current == nil {
-		l := &discoveryConn{roster: r, addr: r.addr, pendingCall: c}
-		r.current = l
-		r.s.dial(r.addr, l, func(err error) { l.fail(err) })
+		dc := &discoveryConn{roster: r, addr: r.addr, pendingCall: c}
+		r.current = dc
+		r.s.dial(r.addr, dc, func(err error) { dc.fail(err) })
 		return
 	}
 	r.current.writeCall(c)
 }
 
 // writeCall writes a call: for the whole list, or a long poll of c.Wait ms for what is newer than version c.After.
-func (l *discoveryConn) writeCall(c watch.Call) {
+func (dc *discoveryConn) writeCall(c watch.Call) {
 	query := ""
 	if c.After >= 0 {
 		query = "?after=" + strconv.FormatInt(c.After, 10) + "&wait_ms=" + strconv.Itoa(int(c.Wait))
 	}
-	l.resp.Reset(http1.Limits{Head: headMost, Body: maxListBytes})
-	l.roster.watch.Sent(l.roster.s.now())
-	_ = l.conn.Write([]byte("GET " + membersPath + query + " HTTP/1.1\r\nHost: " + l.addr + "\r\n\r\n"))
+	dc.resp.Reset(http1.Limits{Head: headMost, Body: maxListBytes})
+	dc.roster.watch.Sent(dc.roster.s.now())
+	_ = dc.conn.Write([]byte("GET " + membersPath + query + " HTTP/1.1\r\nHost: " + dc.addr + "\r\n\r\n"))
 }
 
 // statusError is the status other than 200 with which discovery answered a call.
@@ -198,13 +198,13 @@
 type unexpectedClose struct{ error }
 
 // classifyFailure tells what a failed call says of discovery.
-func (l *discoveryConn) classifyFailure(err error) watch.Failure {
+func (dc *discoveryConn) classifyFailure(err error) watch.Failure {
 	var status statusError
 	var closed unexpectedClose
 	switch {
 	case errors.Is(err, unix.ECONNREFUSED):
 		return watch.Refused
-	case errors.As(err, &status), errors.As(err, &closed) && l.roster.watch.State() == watch.First:
+	case errors.As(err, &status), errors.As(err, &closed) && dc.roster.watch.State() == watch.First:
 		return watch.TurnedAway
 	}
 	// The path to discovery may have been down for some time before a watch was reset, and a discovery that sends
@@ -213,15 +213,15 @@
 }
 
 // fail handles a failed call, which ends its connection.
-func (l *discoveryConn) fail(err error) {
-	r := l.roster
-	if r.setAside == l {
+func (dc *discoveryConn) fail(err error) {
+	r := dc.roster
+	if r.setAside == dc {
 		r.setAside = nil
 	}
-	if r.current != l {
+	if r.current != dc {
 		return
 	}
-	failure := l.classifyFailure(err)
+	failure := dc.classifyFailure(err)
 	r.closeCurrent()
 	r.failureLogged = true
 	r.watch.Failed(r.s.now(), failure)
@@ -229,59 +229,59 @@
 	r.applyWatch()
 }
 
-func (l *discoveryConn) opened(c eventloop.Conn) {
-	if l.roster.current != l {
+func (dc *discoveryConn) opened(c eventloop.Conn) {
+	if dc.roster.current != dc {
 		c.Close()
 		return
 	}
-	l.conn = c
-	l.writeCall(l.pendingCall)
-	l.roster.applyWatch()
+	dc.conn = c
+	dc.writeCall(dc.pendingCall)
+	dc.roster.applyWatch()
 }
 
-func (l *discoveryConn) closed(_ eventloop.Conn, err error) {
-	l.conn = nil
+func (dc *discoveryConn) closed(_ eventloop.Conn, err error) {
+	dc.conn = nil
 	if err == nil {
 		err = fmt.Errorf("connection closed")
 	}
-	l.fail(unexpectedClose{err})
+	dc.fail(unexpectedClose{err})
 }
 
-func (l *discoveryConn) traffic(c eventloop.Conn) {
-	r := l.roster
-	if r.current != l && r.setAside != l {
+func (dc *discoveryConn) traffic(c eventloop.Conn) {
+	r := dc.roster
+	if r.current != dc && r.setAside != dc {
 		return
 	}
 	buf := c.Peek()
-	n, err := l.resp.Feed(buf)
+	n, err := dc.resp.Feed(buf)
 	if n > 0 {
 		c.Discard(n)
 	}
 	if err != nil {
-		l.fail(err)
+		dc.fail(err)
 		return
 	}
-	if !l.resp.Done() {
+	if !dc.resp.Done() {
 		return
 	}
-	if r.setAside == l {
-		l.takeLateAnswer()
+	if r.setAside == dc {
+		dc.takeLateAnswer()
 		return
 	}
-	if l.resp.Status != 200 {
-		l.fail(statusError(l.resp.Status))
+	if dc.resp.Status != 200 {
+		dc.fail(statusError(dc.resp.Status))
 		return
 	}
-	seq, err := r.readList(l.resp.Body())
+	seq, err := r.readList(dc.resp.Body())
 	if err != nil {
-		l.fail(err)
+		dc.fail(err)
 		return
 	}
 	if r.failureLogged && r.watch.State() != watch.Moved {
 		r.failureLogged = false
 		r.s.log.Printf("msg=discovery state=answers addr=%s seq=%d", r.addr, seq)
 	}
-	reusable := l.resp.Reusable()
+	reusable := dc.resp.Reusable()
 	if !reusable {
 		r.closeCurrent() // its end is no failure
 	}
