--- a/scheduler/clients_test.go
+++ b/scheduler/clients_test.go
@@ -11,11 +11,11 @@
 // is answered or leaves gives its part back.
 func TestBoundOnBodies(t *testing.T) {
 	s, _ := onceOnly(t)
-	s.clients.room = 8 * 60000
+	s.clients.bodyBytesLimit = 8 * 60000
 	client := func() (*client, *fakeConn) {
 		f := &fakeConn{in: []byte("POST /buy HTTP/1.1\r\nHost: h\r\nContent-Length: 65000\r\n\r\n" +
 			strings.Repeat("x", 60000))}
-		c := &client{s: s, conn: f, at: len(s.clients.all)}
+		c := &client{s: s, conn: f, index: len(s.clients.all)}
 		f.of = c
 		c.req.Reset(requestLimits)
 		s.clients.all = append(s.clients.all, c)
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -19,19 +19,19 @@
 // that was replaced may not know it yet, and its calls may lie in a stalled link for minutes.
 
 const (
-	fenceField  = "fleet-fence" // MATTER NUMBER
-	startField  = "fleet-start"
-	changeField = "fleet-change" // the number of the change on record, of a call on a worker
-	mostMatters = 256            // that a number is kept of; the fleet has one a zone
-	mostStaffed = 4096           // workers of which it is kept that they are out; told by the fleet before the list names them
-	agentMost   = 2 * time.Second
-	agentBytes  = 1 << 20
+	fenceHeader   = "fleet-fence" // MATTER NUMBER
+	startHeader   = "fleet-start"
+	changeHeader  = "fleet-change" // the number of the change on record, of a call on a worker
+	maxMatters    = 256            // that a number is kept of; the fleet has one a zone
+	mostStaffed   = 4096           // workers of which it is kept that they are out; told by the fleet before the list names them
+	agentTimeout  = 2 * time.Second
+	maxAgentBytes = 1 << 20
 )
 
 // fenced is what such a call carries.
-type fenced struct {
+type fencedCall struct {
 	matter string
-	number uint64
+	token  uint64
 	start  string
 	change uint64
 }
@@ -47,45 +47,45 @@
 }
 
 // fencedBy reads what a call carries, nil where it is staff's own.
-func fencedBy(q *http1.Request) (*fenced, error) {
-	text, ok := q.Fields().Get(fenceField)
+func parseFencedCall(req *http1.Request) (*fencedCall, error) {
+	text, ok := req.Fields().Get(fenceHeader)
 	if !ok {
 		return nil, nil
 	}
-	matter, number, _ := strings.Cut(text, " ")
-	n, err := strconv.ParseUint(number, 10, 64)
-	if err != nil || matter == "" || len(matter) > 200 || n == 0 {
+	matter, tokenText, _ := strings.Cut(text, " ")
+	token, err := strconv.ParseUint(tokenText, 10, 64)
+	if err != nil || matter == "" || len(matter) > 200 || token == 0 {
 		return nil, fmt.Errorf("fleet-fence is to be a matter and a number above 0")
 	}
-	start, ok := q.Fields().Get(startField)
+	start, ok := req.Fields().Get(startHeader)
 	if !ok {
 		return nil, fmt.Errorf("fleet-start is missing")
 	}
-	c := &fenced{matter: matter, number: n, start: start}
-	if text, ok := q.Fields().Get(changeField); ok {
-		if c.change, err = strconv.ParseUint(text, 10, 64); err != nil {
+	call := &fencedCall{matter: matter, token: token, start: start}
+	if text, ok := req.Fields().Get(changeHeader); ok {
+		if call.change, err = strconv.ParseUint(text, 10, 64); err != nil {
 			return nil, fmt.Errorf("fleet-change is to be a number")
 		}
 	}
-	return c, nil
+	return call, nil
 }
 
 // passes tells whether such a call counts, else how it is answered.
-func (f *fleet) passes(c *fenced) (status int, body string) {
-	switch known, ok := f.numbers[c.matter]; {
-	case c.start != f.start && !planted("former-start"):
+func (f *fleet) checkCall(call *fencedCall) (status int, body string) {
+	switch highest, ok := f.numbers[call.matter]; {
+	case call.start != f.start && !planted("former-start"):
 		// What was meant for a former life that has ended: this one remembers no number to judge it by.
 		return 409, "start " + f.start + "\n"
-	case c.number < known && !planted("no-fence"):
-		return 409, fmt.Sprintf("fence %s %d\n", c.matter, known)
-	case !ok && len(f.numbers) >= mostMatters:
+	case call.token < highest && !planted("no-fence"):
+		return 409, fmt.Sprintf("fence %s %d\n", call.matter, highest)
+	case !ok && len(f.numbers) >= maxMatters:
 		return 503, "no room for one more matter\n"
 	}
 	return 0, ""
 }
 
 // known is what the fleet asks before it tells anything.
-type known struct {
+type fleetStatus struct {
 	Name   string            `json:"name"`
 	Start  string            `json:"start"`
 	Fences map[string]uint64 `json:"fences"`
@@ -105,55 +105,55 @@
 	Reversed int `json:"reversed"`
 }
 
-func (o *ops) known(zone string) string {
-	k := known{Name: o.s.node.Name, Start: o.fleet.start, Fences: o.fleet.numbers, Out: map[string]string{},
+func (o *ops) fleetStatusJSON(zone string) string {
+	status := fleetStatus{Name: o.s.node.Name, Start: o.fleet.start, Fences: o.fleet.numbers, Out: map[string]string{},
 		Phase: o.s.phase.String(), Txns: o.s.drive.finals}
 	if zone != "" {
-		k.Workers = map[string]string{}
+		status.Workers = map[string]string{}
 		zones := o.s.node.told.Zones
 		o.s.drive.mod.Shown(o.s.now(), func(id string, at int, cold bool, own int) {
 			switch {
 			case at < 0 || at >= len(zones) || zones[at] != zone:
 			case o.staffed[id].out() && own > 0:
-				k.Workers[id] = "busy"
+				status.Workers[id] = "busy"
 			case cold:
-				k.Workers[id] = "cold"
+				status.Workers[id] = "cold"
 			default:
-				k.Workers[id] = "warm"
+				status.Workers[id] = "warm"
 			}
 		})
 	}
 	for id, r := range o.staffed {
 		if r.out() && r.Fleet != "" {
-			k.Out[id] = r.Fleet
+			status.Out[id] = r.Fleet
 		}
 	}
-	raw, _ := json.Marshal(k) // strings and numbers alone
+	raw, _ := json.Marshal(status) // strings and numbers alone
 	return string(raw) + "\n"
 }
 
 // fence takes a new owner's number alone: from the yes on nothing of its predecessors counts here.
-func (o *ops) fence(c *fenced) (status int, body string) {
-	return o.change(c, func(in *records) (int, string) { return 200, "done\n" })
+func (o *ops) recordToken(call *fencedCall) (status int, body string) {
+	return o.changeRecords(call, func(stored *records) (int, string) { return 200, "done\n" })
 }
 
 // change carries out a call under the lock that both processes of an upgrade share, where its number counts.
-func (o *ops) change(c *fenced, do func(in *records) (int, string)) (status int, body string) {
-	err := o.s.handover.keep(func(in *records) bool {
-		for m, n := range in.Fences {
-			o.fleet.numbers[m] = max(o.fleet.numbers[m], n)
+func (o *ops) changeRecords(call *fencedCall, apply func(stored *records) (int, string)) (status int, body string) {
+	err := o.s.handover.keep(func(stored *records) bool {
+		for matter, token := range stored.Fences {
+			o.fleet.numbers[matter] = max(o.fleet.numbers[matter], token)
 		}
-		if c != nil {
-			if status, body = o.fleet.passes(c); status != 0 {
+		if call != nil {
+			if status, body = o.fleet.checkCall(call); status != 0 {
 				return false
 			}
-			if c.number > o.fleet.numbers[c.matter] {
-				o.s.log.Printf("msg=fence matter=%q number=%d", c.matter, c.number)
+			if call.token > o.fleet.numbers[call.matter] {
+				o.s.log.Printf("msg=fence matter=%q number=%d", call.matter, call.token)
 			}
-			o.fleet.numbers[c.matter] = max(c.number, o.fleet.numbers[c.matter])
-			in.Fences = maps.Clone(o.fleet.numbers)
+			o.fleet.numbers[call.matter] = max(call.token, o.fleet.numbers[call.matter])
+			stored.Fences = maps.Clone(o.fleet.numbers)
 		}
-		status, body = do(in)
+		status, body = apply(stored)
 		return status == 200
 	})
 	if err != nil {
@@ -166,58 +166,58 @@
 
 // ask learns from this machine's agent who is out before it takes a client: one that starts from nothing would send
 // to workers that everybody else leaves alone. It waits for a bounded time and goes on without.
-func (o *ops) ask() {
+func (o *ops) askAgent() {
 	addr := o.s.node.Agent
 	if addr == "" || o.s.handover.others > 0 {
 		return
 	}
-	k, err := askAgent(addr, o.s.node.Name, o.fleet.start)
+	status, err := fetchFleetStatus(addr, o.s.node.Name, o.fleet.start)
 	if err != nil {
 		o.s.log.Printf("msg=agent state=unasked addr=%s err=%q", addr, err)
 		return
 	}
 	now := o.s.now()
-	for m, n := range k.Fences {
-		if len(o.fleet.numbers) < mostMatters {
-			o.fleet.numbers[m] = max(o.fleet.numbers[m], n)
+	for matter, token := range status.Fences {
+		if len(o.fleet.numbers) < maxMatters {
+			o.fleet.numbers[matter] = max(o.fleet.numbers[matter], token)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(k.Out)) {
+	for _, id := range slices.Sorted(maps.Keys(status.Out)) {
 		if !o.staffed[id].out() && len(o.staffed) < mostStaffed {
-			o.set(id, record{Since: now, Fleet: k.Out[id]})
+			o.set(id, record{Since: now, Fleet: status.Out[id]})
 		}
 	}
-	o.s.log.Printf("msg=agent state=asked addr=%s out=%d stale=%t", addr, len(k.Out), k.Stale)
+	o.s.log.Printf("msg=agent state=asked addr=%s out=%d stale=%t", addr, len(status.Out), status.Stale)
 }
 
-func askAgent(addr, name, start string) (k known, err error) {
-	by := time.Now().Add(agentMost)
-	conn, err := net.DialTimeout("tcp", addr, agentMost)
+func fetchFleetStatus(addr, name, start string) (status fleetStatus, err error) {
+	deadline := time.Now().Add(agentTimeout)
+	conn, err := net.DialTimeout("tcp", addr, agentTimeout)
 	if err != nil {
-		return k, err
+		return status, err
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(by)
+	_ = conn.SetDeadline(deadline)
 	if _, err = fmt.Fprintf(conn, "GET /v1/out?scheduler=%s&start=%s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n",
 		strings.NewReplacer(" ", "%20", "%", "%25", "&", "%26", "\r", "", "\n", "").Replace(name), start, addr); err != nil {
-		return k, err
+		return status, err
 	}
-	var r http1.Response
-	r.Reset(http1.Limits{Head: 4 << 10, Body: agentBytes})
+	var response http1.Response
+	response.Reset(http1.Limits{Head: 4 << 10, Body: maxAgentBytes})
 	buf := make([]byte, 0, 4<<10)
-	for piece := make([]byte, 4<<10); !r.Done(); {
+	for piece := make([]byte, 4<<10); !response.Done(); {
 		n, err := conn.Read(piece)
 		buf = append(buf, piece[:n]...)
-		used, bad := r.Feed(buf)
-		if buf = buf[used:]; bad != nil {
-			return k, bad
+		used, parseErr := response.Feed(buf)
+		if buf = buf[used:]; parseErr != nil {
+			return status, parseErr
 		}
-		if err != nil && !r.Done() {
-			return k, err
+		if err != nil && !response.Done() {
+			return status, err
 		}
 	}
-	if r.Status != 200 {
-		return k, fmt.Errorf("it answered %d", r.Status)
+	if response.Status != 200 {
+		return status, fmt.Errorf("it answered %d", response.Status)
 	}
-	return k, json.Unmarshal(r.Body(), &k)
+	return status, json.Unmarshal(response.Body(), &status)
 }
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -76,25 +76,25 @@
 
 // retuned is n with all of another configuration that may change while a scheduler runs, and the keys of what
 // differs and waits for a restart. The seed is new with each start, and the known list only begins one.
-func (n *Node) retuned(o *Node) (out *Node, kept []string, err error) {
-	if key := startup.Lacks(n.raw, o.raw); key != "" {
+func (n *Node) reloaded(other *Node) (result *Node, kept []string, err error) {
+	if key := startup.Lacks(n.raw, other.raw); key != "" {
 		return nil, nil, fmt.Errorf("%s is missing, and the settings in force have it", key)
 	}
-	for _, p := range []struct {
+	for _, field := range []struct {
 		name string
 		same bool
-	}{{"name", n.Name == o.Name}, {"listen", n.Listen == o.Listen}, {"limits", n.Limits == o.Limits},
-		{"mgmt", n.Mgmt == o.Mgmt}, {"peer_listen", n.PeerListen == o.PeerListen},
-		{"peers", slices.Equal(n.Peers, o.Peers)}, {"peers_all", n.PeersAll == o.PeersAll}} {
-		if !p.same {
-			kept = append(kept, p.name)
+	}{{"name", n.Name == other.Name}, {"listen", n.Listen == other.Listen}, {"limits", n.Limits == other.Limits},
+		{"mgmt", n.Mgmt == other.Mgmt}, {"peer_listen", n.PeerListen == other.PeerListen},
+		{"peers", slices.Equal(n.Peers, other.Peers)}, {"peers_all", n.PeersAll == other.PeersAll}} {
+		if !field.same {
+			kept = append(kept, field.name)
 		}
 	}
-	c := *n
-	c.Discovery, c.raw = o.Discovery, o.raw
-	told, more, err := n.told.Retuned(o.told)
-	c.told = told
-	return &c, append(kept, more...), err
+	merged := *n
+	merged.Discovery, merged.raw = other.Discovery, other.raw
+	decoded, moreKept, err := n.told.Retuned(other.told)
+	merged.told = decoded
+	return &merged, append(kept, moreKept...), err
 }
 
 func (n *Node) check() error {
@@ -103,10 +103,10 @@
 	}
 	for _, a := range []struct {
 		name, addr string
-		must       bool
+		required   bool
 	}{{"listen", n.Listen, true}, {"discovery", n.Discovery, true}, {"peer_listen", n.PeerListen, false},
 		{"peers_all", n.PeersAll, false}, {"agent", n.Agent, false}} {
-		if a.addr == "" && !a.must {
+		if a.addr == "" && !a.required {
 			continue
 		}
 		if _, err := netip.ParseAddrPort(a.addr); err != nil {
@@ -125,9 +125,9 @@
 	if n.Limits.Cores < 0 || n.Limits.MemoryMB < 0 || n.Limits.Sockets < 0 {
 		return fmt.Errorf("limits: a limit is below 0")
 	}
-	if n.Limits.Sockets > 0 && n.Limits.Sockets < fewestSockets {
+	if n.Limits.Sockets > 0 && n.Limits.Sockets < minSockets {
 		return fmt.Errorf("limits: sockets is %d, and %d are the fewest to serve with", n.Limits.Sockets,
-			fewestSockets)
+			minSockets)
 	}
 	if len(n.Settings) == 0 {
 		return fmt.Errorf("settings is missing")
@@ -147,15 +147,15 @@
 		seen[name] = true
 	}
 	if n.told.Dial <= 0 {
-		n.told.Dial = dialUntold
+		n.told.Dial = defaultDialMs
 	}
 	if n.told.Idle <= 0 {
-		n.told.Idle = idleUntold
+		n.told.Idle = defaultIdleMs
 	}
 	// On sockets the list never comes by itself.
 	n.told.Terms.MustAsk = true
 	if n.told.Terms.AskIn <= 0 {
-		n.told.Terms.AskIn = askUntold
+		n.told.Terms.AskIn = defaultAskMs
 	}
 	if n.PeerListen == "" || n.PeersAll == "" {
 		n.told.Terms.Messages = false
@@ -164,9 +164,9 @@
 }
 
 const (
-	fewestSockets = 64
-	socketsUntold = 1024
-	dialUntold    = 1000.0
-	idleUntold    = 10000.0
-	askUntold     = 10000.0
+	minSockets     = 64
+	defaultSockets = 1024
+	defaultDialMs  = 1000.0
+	defaultIdleMs  = 10000.0
+	defaultAskMs   = 10000.0
 )
--- a/scheduler/pass.go
+++ b/scheduler/pass.go
@@ -16,74 +16,86 @@
 	"shalebeam/scheduler/transient"
 )
 
-// What is open passes from a process that drains to the one that has taken over: one message is one
-// connection of a client, with its txn where it waits for one. Sent, all of it is the other process's; else
-// nothing is.
+// Connection handover from a draining process to its successor, over a Unix SEQPACKET socket. Each message carries the
+// descriptor of one client connection and, where a request is waiting for its answer, the txn with the descriptors of its
+// worker connections. A message that was sent transfers all of these to the successor; one that was not sent transfers none.
 
 const (
-	passMost = 200 << 10 // a message; what is larger stays
-	passFds  = 16
-	// A message that can't be taken for the moment is looked at again after this.
-	passAgain = time.Millisecond
-	// Of a process that does not tell its clock: were the wall clock set between their starts, times are moved by that.
-	clockOff = 1000.0
+	maxMessageBytes = 200 << 10 // a connection whose message would be larger stays with the draining process
+	maxMessageFDs   = 16
+	// Delay before a receive that failed for a transient reason is repeated.
+	transferRetryDelay = time.Millisecond
+	// The longest plausible time between the sending and the handling of a message, in ms. It matters only for a sender that
+	// gives no BootOffset: if the two processes' clocks differ by more, or the message seems to come from the future, the wall
+	// clock was set between their starts, and all times of the message are shifted by the difference.
+	maxTransitMs = 1000.0
 )
 
-// passed is one message. Its descriptors are the client's, then those of the postings that are out, in order.
-type passed struct {
-	Now  float64
-	Boot float64 // of the sender's clock
-	Used bool
-	Txn  *passedTxn `json:",omitempty"`
+// transferMessage is one message, in JSON. Its descriptors are the client's connection, then the connections of Txn.Posts in
+// their order. Sender and receiver may be different builds: the JSON names must not change. All times are in milliseconds on
+// the sender's clock.
+type transferMessage struct {
+	Now        float64         // when the message was made
+	BootOffset float64         `json:"Boot"` // the sender's clock.boot, from which the receiver converts times; 0: unknown
+	Answered   bool            `json:"Used"` // client.answeredTxn
+	Txn        *transferredTxn `json:",omitempty"`
 }
 
-type passedTxn struct {
-	Known              balance.Carried
+// transferredTxn is the txn that the client's connection waits for: the module's state of it, the fields of the request that go
+// on to workers, and the postings that have a connection.
+type transferredTxn struct {
+	State              balance.Carried `json:"Known"`
 	Method, Path, Host string
-	Mark, Kind         string
+	IdempotencyKey     string `json:"Mark"`
+	ContentType        string `json:"Kind"`
 	Body               []byte
-	Until              float64
-	Posts              []passedPost
+	Until              float64 // when the client's time is over
+	Posts              []transferredPosting
 }
 
-// passedPost is a posting that is out.
-type passedPost struct {
-	No        int
-	Worker    string
-	Addr      string
-	Until, By float64 // By below 0: at any time
-	Response  []byte
+// transferredPosting is a posting whose request was sent to a worker and that has not ended.
+type transferredPosting struct {
+	Number   int `json:"No"` // index among all postings of the txn
+	Worker   string
+	Addr     string
+	Until    float64 // when the posting times out
+	SendBy   float64 `json:"By"` // the request may not be sent later than this; below 0: no such limit
+	Response []byte  // state of the response parser
 }
 
-// ---- the process that drains ----
+// ---- the draining process ----
 
-// give passes on what can be now. What can't, as a message is half read or written or a connection is being
-// made, is tried again.
-func (h *handover) give() {
-	if h.to == 0 || h.giving {
+// transferClients sends every client connection that can be transferred now to the successor. A connection with a message half
+// read or half written, or with a worker connection still being made, is tried again with the next call.
+func (h *handover) transferClients() {
+	if h.successorFD == 0 || h.transferring {
 		return
 	}
-	h.giving = true
-	defer func() { h.giving = false }()
+	h.transferring = true
+	defer func() { h.transferring = false }()
 	cs := &h.s.clients
 	for i := len(cs.all) - 1; i >= 0; i-- {
 		if i >= len(cs.all) {
-			continue // closed meanwhile
+			continue // others were closed by a transfer
 		}
-		if c := cs.all[i]; c.mayPass() && !h.giveOne(c) {
+		if c := cs.all[i]; c.canTransfer() && !h.transferClient(c) {
 			return
 		}
 	}
 }
 
-func (c *client) mayPass() bool {
-	if c.conn == nil || c.ends || c.full || c.conn.OutboundBuffered() > 0 || c.conn.InboundBuffered() > 0 {
+// canTransfer tells whether the connection is between two messages and not closing: nothing is buffered in either direction,
+// and its txn, if any, can be transferred too.
+func (c *client) canTransfer() bool {
+	if c.conn == nil || c.closing || c.overLimit || c.conn.OutboundBuffered() > 0 || c.conn.InboundBuffered() > 0 {
 		return false
 	}
-	return c.t == nil && !c.begun || c.t != nil && c.t.mayPass()
+	return c.t == nil && !c.requestBegun || c.t != nil && c.t.canTransfer()
 }
 
-func (t *txn) mayPass() bool {
+// canTransfer tells whether each open posting has its request written whole and no bytes buffered in either direction, and
+// whether the descriptors fit in one message together with the client's.
+func (t *txn) canTransfer() bool {
 	if t.over {
 		return false
 	}
@@ -93,67 +105,70 @@
 			return false
 		}
 	}
-	return t.out < passFds
+	return t.out < maxMessageFDs
 }
 
-// giveOne passes on one connection, and tells whether the way is open for more.
-func (h *handover) giveOne(c *client) bool {
-	m := passed{Now: h.s.now(), Boot: h.s.clock.boot, Used: c.used}
+// transferClient sends one client connection to the successor. It returns false if the socket takes no more messages for now,
+// or is broken; a connection that can't be sent in a message is skipped.
+func (h *handover) transferClient(c *client) bool {
+	message := transferMessage{Now: h.s.now(), BootOffset: h.s.clock.boot, Answered: c.answeredTxn}
 	fds := []int{c.conn.Fd()}
 	if t := c.t; t != nil {
-		known, ok := h.s.drive.mod.Open(t.ref)
-		if !ok {
+		state, isOpen := h.s.drive.mod.Open(t.ref)
+		if !isOpen {
 			return true
 		}
-		a := &t.ask
-		m.Txn = &passedTxn{known, a.method, a.path, a.host, a.mark, a.kind, a.body, t.until, nil}
+		request := &t.ask
+		message.Txn = &transferredTxn{state, request.method, request.path, request.host, request.mark, request.kind,
+			request.body, t.until, nil}
 		for _, p := range t.posts {
-			l := p.conn
-			if l == nil {
+			conn := p.conn
+			if conn == nil {
 				continue
 			}
-			resp, err := l.resp.Save()
+			resp, err := conn.resp.Save()
 			if err != nil {
 				return true
 			}
-			x := passedPost{p.no, l.to.id, l.addr, p.until, -1, resp}
+			post := transferredPosting{p.no, conn.to.id, conn.addr, p.until, -1, resp}
 			if p.by < t.until {
-				x.By = p.by // later it is of no account, and infinity has no JSON
+				post.SendBy = p.by // a later limit has no effect, and JSON has no infinity
 			}
-			m.Txn.Posts = append(m.Txn.Posts, x)
-			fds = append(fds, l.conn.Fd())
+			message.Txn.Posts = append(message.Txn.Posts, post)
+			fds = append(fds, conn.conn.Fd())
 		}
 	}
-	raw, err := json.Marshal(m)
-	if err != nil || len(raw) > passMost {
+	raw, err := json.Marshal(message)
+	if err != nil || len(raw) > maxMessageBytes {
 		return true
 	}
-	err = unix.Sendmsg(h.to, raw, unix.UnixRights(fds...), nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+	err = unix.Sendmsg(h.successorFD, raw, unix.UnixRights(fds...), nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 	if err != nil {
 		if !transient.Error(err) {
 			h.s.log.Printf("msg=handover state=broken err=%q", err)
-			h.hangUp()
+			h.disconnectSuccessor()
 		}
 		return false
 	}
-	h.gave++
-	c.passOn()
+	h.clientsSent++
+	c.forgetTransferred()
 	return true
 }
 
-// passOn forgets a connection that is another process's now, and what waits for its answer.
-func (c *client) passOn() {
+// forgetTransferred drops a client connection that the successor has now, with its txn and worker connections, and tells the
+// module that their txn ended here.
+func (c *client) forgetTransferred() {
 	d := &c.s.drive
 	if t := c.t; t != nil {
 		c.t, t.from, t.over = nil, nil, true
 		d.mod.Gone(d.s.now(), t.ref)
 		for _, p := range t.posts {
-			if l := p.conn; l != nil {
-				l.p, p.conn = nil, nil
+			if conn := p.conn; conn != nil {
+				conn.p, p.conn = nil, nil
 				d.ended++
 				t.out--
 				d.mod.Ended(d.s.now(), t.ref, p.no, balance.Cancelled, true, balance.NoLoad)
-				l.close()
+				conn.close()
 			}
 		}
 		d.forget(t)
@@ -161,12 +176,13 @@
 	c.close()
 }
 
-// reach finds the process that has taken over. Without it all is finished here.
-func (h *handover) reach() {
+// connectSuccessor connects to the successor's transfer socket. If that fails, no connection is transferred and all requests
+// are finished by this process.
+func (h *handover) connectSuccessor() {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err == nil {
-		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 2*passMost)
-		if err = unix.Connect(fd, &unix.SockaddrUnix{Name: h.path + passName}); err != nil {
+		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 2*maxMessageBytes)
+		if err = unix.Connect(fd, &unix.SockaddrUnix{Name: h.path + transferSocketSuffix}); err != nil {
 			_ = unix.Close(fd)
 		}
 	}
@@ -174,219 +190,223 @@
 		h.s.log.Printf("msg=handover state=unreached err=%q", err)
 		return
 	}
-	h.to = fd
+	h.successorFD = fd
 }
 
-func (h *handover) hangUp() {
-	if h.to != 0 {
-		h.s.log.Printf("msg=handover state=given clients=%d left=%d", h.gave, len(h.s.clients.all))
-		_ = unix.Close(h.to)
-		h.to = 0
+// disconnectSuccessor ends the transfer. Connections that were not transferred stay with this process.
+func (h *handover) disconnectSuccessor() {
+	if h.successorFD != 0 {
+		h.s.log.Printf("msg=handover state=given clients=%d left=%d", h.clientsSent, len(h.s.clients.all))
+		_ = unix.Close(h.successorFD)
+		h.successorFD = 0
 	}
 }
 
-// ---- the process that takes over ----
+// ---- the successor ----
 
-const passName = ".pass"
+// transferSocketSuffix is appended to handover.path for the name of the transfer socket.
+const transferSocketSuffix = ".pass"
 
-// await lets another process pass on what it has open.
-func (h *handover) await() {
-	name := h.path + passName
-	_ = os.Remove(name) // of one that was killed
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: name, Net: "unixpacket"})
+// listenForTransfers accepts connections from draining processes of this scheduler and receives what they transfer.
+func (h *handover) listenForTransfers() {
+	name := h.path + transferSocketSuffix
+	_ = os.Remove(name) // left by a process that was killed
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: name, Net: "unixpacket"})
 	if err != nil {
 		h.s.log.Printf("msg=handover state=unreached err=%q", err)
 		return
 	}
-	h.from = l
+	h.transferListener = listener
 	go func() {
 		for {
-			c, err := l.AcceptUnix()
+			c, err := listener.AcceptUnix()
 			if errors.Is(err, net.ErrClosed) {
-				return // this process is alone
+				return // sweep closed the listener, as no other process is left
 			}
 			if err != nil {
 				time.Sleep(time.Millisecond)
 				continue
 			}
-			go h.take1(c)
+			go h.receiveTransfers(c)
 		}
 	}()
 }
 
-// take1 takes what one process passes on, until that ends.
-func (h *handover) take1(from *net.UnixConn) {
+// receiveTransfers handles the messages of one draining process until it closes the connection.
+func (h *handover) receiveTransfers(from *net.UnixConn) {
 	defer from.Close()
 	for {
-		raw, fds, err := receive(from)
+		raw, fds, err := receiveMessage(from)
 		if err != nil || len(raw) == 0 && len(fds) == 0 {
 			return
 		}
-		if len(raw) > passMost {
-			err = fmt.Errorf("a message of over %d bytes", passMost)
+		if len(raw) > maxMessageBytes {
+			err = fmt.Errorf("transfer message is longer than the limit of %d bytes", maxMessageBytes)
 		} else {
-			err = h.takeOne(raw, fds)
+			err = h.handleMessage(raw, fds)
 		}
 		if err != nil {
 			h.s.log.Printf("msg=malformed from=process err=%q", err)
-			closeAll(fds)
+			closeFDs(fds)
 		}
 	}
 }
 
-// receive takes one message and its descriptors. It looks at it first, which has copies of the descriptors made: where this
-// process may not have so many just now, the message still waits, and is looked at again. Only then it is taken out.
-func receive(from *net.UnixConn) (raw []byte, fds []int, err error) {
+// receiveMessage receives one message and its descriptors. It peeks first, for which the kernel duplicates the descriptors into
+// this process. If the process is at its descriptor limit, some are missing (MSG_CTRUNC); as the message is still queued, it is
+// peeked at again until all are there. Only then it is removed from the queue.
+func receiveMessage(from *net.UnixConn) (raw []byte, fds []int, err error) {
 	conn, err := from.SyscallConn()
 	if err != nil {
 		return nil, nil, err
 	}
-	buffer, oob := make([]byte, passMost+1), make([]byte, unix.CmsgSpace(4*passFds))
+	buffer, oob := make([]byte, maxMessageBytes+1), make([]byte, unix.CmsgSpace(4*maxMessageFDs))
 	for {
-		n, m, flags, err := recvmsg(conn, buffer, oob, unix.MSG_PEEK|unix.MSG_CMSG_CLOEXEC)
+		rawBytes, oobBytes, flags, err := receiveRetrying(conn, buffer, oob, unix.MSG_PEEK|unix.MSG_CMSG_CLOEXEC)
 		if err != nil {
 			return nil, nil, err
 		}
-		raw, fds = buffer[:n], rights(oob[:m])
+		raw, fds = buffer[:rawBytes], messageFDs(oob[:oobBytes])
 		if flags&unix.MSG_CTRUNC == 0 {
 			break
 		}
-		closeAll(fds)
-		time.Sleep(passAgain)
+		closeFDs(fds)
+		time.Sleep(transferRetryDelay)
 	}
-	if _, _, _, err := recvmsg(conn, make([]byte, 1), nil, 0); err != nil {
-		closeAll(fds)
+	if _, _, _, err := receiveRetrying(conn, make([]byte, 1), nil, 0); err != nil {
+		closeFDs(fds)
 		return nil, nil, err
 	}
 	return raw, fds, nil
 }
 
-// recvmsg waits for a message, also while that fails for the moment.
-func recvmsg(conn syscall.RawConn, raw, oob []byte, flags int) (n, m, got int, err error) {
+// receiveRetrying waits for a message, and repeats the call after transient errors.
+func receiveRetrying(conn syscall.RawConn, raw, oob []byte, flags int) (rawBytes, oobBytes, gotFlags int, err error) {
 	for {
-		failed := conn.Read(func(fd uintptr) bool {
-			n, m, got, _, err = unix.Recvmsg(int(fd), raw, oob, flags|unix.MSG_DONTWAIT)
+		connErr := conn.Read(func(fd uintptr) bool {
+			rawBytes, oobBytes, gotFlags, _, err = unix.Recvmsg(int(fd), raw, oob, flags|unix.MSG_DONTWAIT)
 			return err != unix.EAGAIN
 		})
-		if failed != nil {
-			return 0, 0, 0, failed
+		if connErr != nil {
+			return 0, 0, 0, connErr
 		}
 		if !transient.Error(err) {
-			return n, m, got, err
+			return rawBytes, oobBytes, gotFlags, err
 		}
-		time.Sleep(passAgain)
+		time.Sleep(transferRetryDelay)
 	}
 }
 
-// rights are the descriptors of a message.
-func rights(oob []byte) (fds []int) {
+// messageFDs returns the descriptors in a message's control data.
+func messageFDs(oob []byte) (fds []int) {
 	all, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil
 	}
 	for i := range all {
-		more, _ := unix.ParseUnixRights(&all[i]) // of another kind there are none
+		more, _ := unix.ParseUnixRights(&all[i]) // fails for control messages of other types, which hold no descriptors
 		fds = append(fds, more...)
 	}
 	return fds
 }
 
-func closeAll(fds []int) {
+func closeFDs(fds []int) {
 	for _, fd := range fds {
 		_ = unix.Close(fd)
 	}
 }
 
-// takeOne makes of a message what it was in the other process. Where it fails the descriptors are still the caller's.
-func (h *handover) takeOne(raw []byte, fds []int) error {
-	var m passed
-	if err := json.Unmarshal(raw, &m); err != nil {
+// handleMessage decodes a message and has its connections taken over on the event loop. If it returns an error, the caller
+// still owns the descriptors.
+func (h *handover) handleMessage(raw []byte, fds []int) error {
+	var message transferMessage
+	if err := json.Unmarshal(raw, &message); err != nil {
 		return err
 	}
 	<-h.s.ready
-	if h.s.loop == nil || len(fds) == 0 || m.Txn != nil && len(fds) != 1+len(m.Txn.Posts) {
-		return fmt.Errorf("%d connections", len(fds))
+	if h.s.loop == nil || len(fds) == 0 || message.Txn != nil && len(fds) != 1+len(message.Txn.Posts) {
+		return fmt.Errorf("cannot take over %d connections: there is no event loop, or the message lists another number", len(fds))
 	}
-	h.s.onLoop(func() { h.adopt(m, fds) })
+	h.s.onLoop(func() { h.adoptConnections(message, fds) })
 	return nil
 }
 
-// adopt brings the connections of a message to the loop. The client's comes first, as an answer may be due at once; until its
-// txn is there nothing is read from it.
-func (h *handover) adopt(m passed, fds []int) {
+// adoptConnections adds the connections of a message to the event loop and restores the txn. The client's connection is first,
+// as an answer may be due at once; readsBlocked keeps it from being read until its txn is restored.
+func (h *handover) adoptConnections(message transferMessage, fds []int) {
 	s := h.s
-	c := &client{s: s, used: m.Used, passed: true, reads: m.Txn != nil}
+	c := &client{s: s, answeredTxn: message.Answered, transferred: true, readsBlocked: message.Txn != nil}
 	if err := s.loop.Adopt(fds[0], c); err != nil {
 		s.log.Printf("msg=malformed from=process err=%q", err)
-		closeAll(fds)
+		closeFDs(fds)
 		return
 	}
-	if m.Txn == nil {
+	if message.Txn == nil {
 		return
 	}
-	for i, l := range s.drive.carry(c, m) {
+	for i, conn := range s.drive.resumeTxn(c, message) {
 		fd := fds[i+1]
-		if l == nil {
+		if conn == nil {
 			_ = unix.Close(fd)
-		} else if err := s.loop.Adopt(fd, l); err != nil {
+		} else if err := s.loop.Adopt(fd, conn); err != nil {
 			_ = unix.Close(fd)
-			s.pool.drop(l)
-			l.end(balance.Reset)
+			s.pool.drop(conn)
+			conn.end(balance.Reset)
 		}
 	}
 }
 
-// carry goes on with a txn of another process. Its connections are still to be brought to the loop, nil where
-// nothing is wanted of them any more.
-func (d *drive) carry(c *client, m passed) []*workerConn {
-	x, now := m.Txn, d.s.now()
-	conns := make([]*workerConn, len(x.Posts))
-	if c.reads = false; c.conn == nil || d.txns[x.Known.Txn.Ref] != nil {
-		c.close() // it has left meanwhile; what ran for it ends with its connection
+// resumeTxn restores a txn of the draining process. It returns a worker connection for each posting of the message, which the
+// caller has still to add to the event loop, or nil where the connection is to be closed as nothing waits for its response.
+func (d *drive) resumeTxn(c *client, message transferMessage) []*workerConn {
+	sent, now := message.Txn, d.s.now()
+	conns := make([]*workerConn, len(sent.Posts))
+	if c.readsBlocked = false; c.conn == nil || d.txns[sent.State.Txn.Ref] != nil {
+		c.close() // the client has left, or the id is in use here; its postings end as their connections are closed
 		return conns
 	}
-	off := d.s.clock.shiftFrom(m.Boot)
-	if late := now - m.Now; m.Boot == 0 && (late < 0 || late > clockOff) {
-		off = late
+	shift := d.s.clock.shiftFrom(message.BootOffset)
+	if transit := now - message.Now; message.BootOffset == 0 && (transit < 0 || transit > maxTransitMs) {
+		shift = transit
 	}
-	k := &x.Known
-	k.Came, k.Due, k.Until = k.Came+off, k.Due+off, k.Until+off
-	for i := range k.Posts {
-		k.Posts[i].At += off
-		k.Posts[i].Start += off
+	state := &sent.State
+	state.Came, state.Due, state.Until = state.Came+shift, state.Due+shift, state.Until+shift
+	for i := range state.Posts {
+		state.Posts[i].At += shift
+		state.Posts[i].Start += shift
 	}
-	t := &txn{ref: k.Txn.Ref, from: c, until: min(x.Until+off, d.stopAt)}
-	t.ask = ask{txn: k.Txn, row: &k.Row, method: x.Method, path: x.Path, host: x.Host, mark: x.Mark, kind: x.Kind,
-		body: x.Body}
-	c.hold(len(x.Body))
-	t.posts = make([]*posting, len(k.Posts))
+	t := &txn{ref: state.Txn.Ref, from: c, until: min(sent.Until+shift, d.stopAt)}
+	t.ask = ask{txn: state.Txn, row: &state.Row, method: sent.Method, path: sent.Path, host: sent.Host,
+		mark: sent.IdempotencyKey, kind: sent.ContentType, body: sent.Body}
+	c.setBodyBytes(len(sent.Body))
+	t.posts = make([]*posting, len(state.Posts))
 	for i := range t.posts {
 		t.posts[i] = &posting{t: t, no: i}
 	}
-	for i, q := range x.Posts {
-		if q.No < 0 || q.No >= len(t.posts) {
+	for i, sentPost := range sent.Posts {
+		if sentPost.Number < 0 || sentPost.Number >= len(t.posts) {
 			continue
 		}
-		p := t.posts[q.No]
-		if p.until, p.by = min(q.Until+off, t.until), q.By+off; q.By < 0 {
+		p := t.posts[sentPost.Number]
+		if p.until, p.by = min(sentPost.Until+shift, t.until), sentPost.SendBy+shift; sentPost.SendBy < 0 {
 			p.by = t.until
 		}
-		to := d.s.pool.target(q.Worker)
+		to := d.s.pool.target(sentPost.Worker)
 		if to == nil {
-			to = &target{id: q.Worker, addr: q.Addr}
+			to = &target{id: sentPost.Worker, addr: sentPost.Addr}
 		}
-		l := &workerConn{s: d.s, to: to, addr: q.Addr, rested: -1, state: busy, passed: true, p: p,
+		conn := &workerConn{s: d.s, to: to, addr: sentPost.Addr, rested: -1, state: busy, passed: true, p: p,
 			at: len(d.s.pool.conns)}
-		if err := l.resp.Restore(q.Response, responseLimits); err != nil {
+		if err := conn.resp.Restore(sentPost.Response, responseLimits); err != nil {
 			d.s.log.Printf("msg=malformed from=process err=%q", err)
 		}
-		d.s.pool.conns = append(d.s.pool.conns, l)
-		p.conn, conns[i] = l, l
+		d.s.pool.conns = append(d.s.pool.conns, conn)
+		p.conn, conns[i] = conn, conn
 		t.out++
 		heap.Push(&d.ends, ending{p.until, p})
 	}
 	d.txns[t.ref], c.t = t, t
-	d.mod.Carry(*k)
-	d.s.handover.got++
+	d.mod.Carry(*state)
+	d.s.handover.txnsReceived++
 	return conns
 }
--- a/scheduler/pass_test.go
+++ b/scheduler/pass_test.go
@@ -1,26 +1,30 @@
 package scheduler
 
 import (
+	"encoding/json"
 	"os"
 	"path/filepath"
+	"reflect"
 	"testing"
 
 	"golang.org/x/sys/unix"
+
+	"shalebeam/balance"
 )
 
-// A connection passes to the other process once, also where it is time to look for more to pass just as it does. (Its end here
-// led to that look before it was forgotten, and it was passed a second time: two descriptors of one connection, of which either
-// might read the next request, or part of it.)
-func TestAConnectionPassesOnce(t *testing.T) {
+// A connection is transferred to the successor only once, also if the next look for connections to transfer is due during its
+// transfer. The transfer closes it in this process, and closing runs that look. If the connection was still listed then, it was
+// sent a second time, and with two descriptors of one connection either holder might read the next request, or part of it.
+func TestConnectionIsTransferredOnce(t *testing.T) {
 	t.Parallel()
 	v := newLive(t)
 	c := v.client("")
 	v.until("it is accepted", func() bool { return len(v.clients.all) == 1 })
-	way, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
+	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer unix.Close(way[1])
+	defer unix.Close(pair[1])
 	path := filepath.Join(t.TempDir(), "x.lock")
 	var locks [2]*os.File
 	for i := range locks {
@@ -30,21 +34,21 @@
 		t.Cleanup(func() { locks[i].Close() })
 	}
 	other := handover{lock: locks[1]}
-	if !other.take(isHere + 1) {
-		t.Fatal("no lock")
+	if !other.take(processLocks + 1) {
+		t.Fatal("the second process got no lock")
 	}
 	look(v, func() bool {
 		h := &v.handover
-		h.lock, h.path, h.number, h.others, h.heir, h.to = locks[0], path, 2, 1, true, way[0]
+		h.lock, h.path, h.processNumber, h.others, h.hasSuccessor, h.successorFD = locks[0], path, 2, 1, true, pair[0]
 		v.phase, v.drained = draining, v.now()
-		v.drainBy = v.drained + drainMost
-		h.lookAt = 0 // it is time to look
-		h.give()
+		v.drainDeadline = v.drained + maxDrainMs
+		h.lookAt = 0 // the next look is due
+		h.transferClients()
 		return true
 	})
 	messages := 0
 	for raw, oob := make([]byte, 1<<10), make([]byte, 1<<10); ; messages++ {
-		_, n, _, _, err := unix.Recvmsg(way[1], raw, oob, 0)
+		_, n, _, _, err := unix.Recvmsg(pair[1], raw, oob, 0)
 		if err != nil {
 			break
 		}
@@ -58,7 +62,47 @@
 		}
 	}
 	if messages != 1 {
-		t.Errorf("it was passed %d times", messages)
+		t.Errorf("the connection was transferred %d times, want 1", messages)
 	}
 	c.Close()
 }
+
+// The messages of a connection transfer go between processes of different builds, so their form must not change: a message in
+// the form that former builds write is read, and what is written has all of its names.
+func TestTransferMessageFormat(t *testing.T) {
+	const withTxn = `{"Now":1000.5,"Boot":400.25,"Used":true,"Txn":{"Known":{"Txn":{"Ref":"r1","Scheme":0,"Tenant":1,` +
+		`"Key":"7f","Hint":1.5,"Slots":0,"Left":480,"Repeat":false},"Row":{"Name":"","Effect":0,"Group":0,"Window":0,"SLA":0,` +
+		`"Stretch":0,"Expiry":0,"Gain":0,"LateGain":0,"Zones":0,"Kinds":0},"MaxPosts":3,"Copies":true,"Came":900,"Due":1500,` +
+		`"Until":2000,"Surplus":false,"Posts":[{"Worker":"w1","At":910,"Start":920,"Begun":true,"Done":false,"Off":false,` +
+		`"Ran":false}]},"Method":"POST","Path":"/look","Host":"h","Mark":"k1","Kind":"text/plain","Body":"Ym9keQ==",` +
+		`"Until":2000.75,"Posts":[{"No":2,"Worker":"w1","Addr":"127.0.0.1:3","Until":1800,"By":-1,"Response":"SFRUUA=="}]}}`
+	const withoutTxn = `{"Now":1000.5,"Boot":400.25,"Used":true}`
+	for _, text := range []string{withTxn, withoutTxn} {
+		var got transferMessage
+		if err := json.Unmarshal([]byte(text), &got); err != nil {
+			t.Fatal(err)
+		}
+		raw, err := json.Marshal(got)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var want, wrote any
+		if json.Unmarshal([]byte(text), &want); json.Unmarshal(raw, &wrote) != nil || !reflect.DeepEqual(wrote, want) {
+			t.Errorf("read %s and wrote %s", text, raw)
+		}
+		if got.Now != 1000.5 || got.BootOffset != 400.25 || !got.Answered || (got.Txn != nil) != (text == withTxn) {
+			t.Errorf("read %+v from %s", got, text)
+		}
+		if got.Txn == nil {
+			continue
+		}
+		state := got.Txn.State
+		got.Txn.State = balance.Carried{}
+		if state.Txn.Ref != "r1" || len(state.Posts) != 1 || !reflect.DeepEqual(*got.Txn, transferredTxn{Method: "POST",
+			Path: "/look", Host: "h", IdempotencyKey: "k1", ContentType: "text/plain", Body: []byte("body"), Until: 2000.75,
+			Posts: []transferredPosting{{Number: 2, Worker: "w1", Addr: "127.0.0.1:3", Until: 1800, SendBy: -1,
+				Response: []byte("HTTP")}}}) {
+			t.Errorf("read %+v and %+v", state, *got.Txn)
+		}
+	}
+}
--- a/scheduler/phases.go
+++ b/scheduler/phases.go
@@ -40,13 +40,13 @@
 
 const (
 	// A planned stop has this long from its signal at the most, or as long as the longest expiry if less.
-	drainMost = 3000.0
+	maxDrainMs = 3000.0
 	// Connections still come for a while after the signal: the front learns of it late.
 	drainLeast = 700.0
 	// How long a system call may fail for the moment before a start gives up.
-	startFor = 4 * time.Second
+	startTimeout = 4 * time.Second
 	// How long the last answers may take to be written out.
-	flushFor = 300.0
+	flushTimeoutMs = 300.0
 )
 
 // Scheduler is one scheduler on sockets.
@@ -54,15 +54,15 @@
 	node *Node
 	log  *log.Logger
 
-	phase       phase
-	loop        *eventloop.Loop
-	clientsAt   *eventloop.Listener
-	ready       chan struct{} // closed once there is a loop, or Run has ended without one
-	clock       clock
-	descriptors uint64 // that the system lets the process have
-	drainBy     float64
-	drained     float64 // when the drain began
-	began       float64 // when it began to take clients
+	phase             phase
+	loop              *eventloop.Loop
+	clientsAt         *eventloop.Listener
+	ready             chan struct{} // closed once there is a loop, or Run has ended without one
+	clock             clock
+	systemDescriptors uint64 // that the system lets the process have
+	drainDeadline     float64
+	drained           float64 // when the drain began
+	began             float64 // when it began to take clients
 
 	clients clients
 	pool    pool
@@ -78,7 +78,7 @@
 // New returns a scheduler for this node, which logs its phases and faults.
 func New(n *Node, l *log.Logger) *Scheduler {
 	s := &Scheduler{node: n, log: l, ready: make(chan struct{}), clock: newClock(),
-		descriptors: descriptorLimit()}
+		systemDescriptors: descriptorLimit()}
 	s.handover.init(s)
 	s.drive.init(s, balance.New(n.told.Terms))
 	s.clients.init(s)
@@ -102,13 +102,13 @@
 		<-ctx.Done()
 		return nil
 	}
-	if n := s.sockets(); n < fewestSockets {
+	if n := s.sockets(); n < minSockets {
 		return fmt.Errorf("limits: the system lets the process have %d descriptors, and %d are the fewest to serve with", n,
-			fewestSockets)
+			minSockets)
 	}
-	s.handover.enter()
-	s.handover.bound()
-	s.ops.ask()
+	s.handover.join()
+	s.handover.applyLimits()
+	s.ops.askAgent()
 	defer func() {
 		if s.loop == nil {
 			close(s.ready) // nobody waits for a loop that there never was
@@ -126,13 +126,13 @@
 func (s *Scheduler) serve() error {
 	close(s.ready)
 	// The loop runs on this goroutine, and nothing that comes may be seen to before the service has begun.
-	s.begin()
+	s.beginServing()
 	s.pull()
 	if err := s.loop.Run(); err != nil {
-		return s.endedEarly(err)
+		return s.loopEndedEarly(err)
 	}
 	if s.phase != stopped {
-		return s.endedEarly(errors.New("it was stopped"))
+		return s.loopEndedEarly(errors.New("it was stopped"))
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 func (s *Scheduler) listen() error {
 	if s.handover.others == 0 {
 		// Listeners share their address with another process of this scheduler, and so would do with any other program.
-		if err := transient.Retry(startFor, transient.Error, func() error { return free(s.node.Listen) }); err != nil {
+		if err := transient.Retry(startTimeout, transient.Error, func() error { return checkAddressFree(s.node.Listen) }); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
 	}
@@ -153,20 +153,20 @@
 		s.peers.at, err = loop.ListenUDP(s.node.PeerListen)
 	}
 	if err == nil && s.node.Mgmt != "" {
-		s.ops.at, err = loop.ListenTCP(s.node.Mgmt)
+		s.ops.listener, err = loop.ListenTCP(s.node.Mgmt)
 	}
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	s.loop = loop
-	s.handover.unsteer()
+	s.handover.removeSteering()
 	s.log.Printf("msg=listening name=%s addr=%s peer_addr=%s mgmt_addr=%s", s.node.Name, addrOf(s.clientsAt), addrOf(s.peers.at),
-		addrOf(s.ops.at))
+		addrOf(s.ops.listener))
 	return nil
 }
 
 // free tells whether an address can be had by one alone.
-func free(addr string) error {
+func checkAddressFree(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
@@ -183,7 +183,7 @@
 }
 
 // endedEarly says what was open when the event loop ended though nobody told it to.
-func (s *Scheduler) endedEarly(err error) error {
+func (s *Scheduler) loopEndedEarly(err error) error {
 	s.log.Printf("msg=loop state=ended phase=%s requests=%d clients=%d err=%q", s.phase, len(s.drive.txns), len(s.clients.all), err)
 	return fmt.Errorf("the event loop ended while %s: %w", s.phase, err)
 }
@@ -199,17 +199,17 @@
 	})
 }
 
-func (s *Scheduler) enter(p phase) {
+func (s *Scheduler) setPhase(p phase) {
 	s.log.Printf("msg=phase from=%s to=%s", s.phase, p)
 	s.phase = p
 }
 
 // begin starts serving.
-func (s *Scheduler) begin() {
+func (s *Scheduler) beginServing() {
 	s.began = s.now()
 	s.roster.begin()
-	s.enter(serving)
-	s.handover.serves()
+	s.setPhase(serving)
+	s.handover.markServing()
 	if planted("crashes-later") {
 		time.AfterFunc(4*time.Second, func() { os.Exit(3) })
 	}
@@ -220,24 +220,24 @@
 	if s.phase >= draining || planted("ignores-term") {
 		return
 	}
-	s.enter(draining)
-	most := 0.0
+	s.setPhase(draining)
+	longestMs := 0.0
 	for _, row := range s.node.told.Terms.Schemes {
-		most = max(most, row.Expiry)
+		longestMs = max(longestMs, row.Expiry)
 	}
 	s.drained = s.now()
 	for _, t := range s.drive.txns {
-		most = max(most, t.until-s.drained) // of a scheme that is no more, or had another expiry
+		longestMs = max(longestMs, t.until-s.drained) // of a scheme that is no more, or had another expiry
 	}
-	s.drainBy = s.drained + max(min(most, drainMost), drainLeast)
-	s.handover.drains()
-	s.hurry()
+	s.drainDeadline = s.drained + max(min(longestMs, maxDrainMs), drainLeast)
+	s.handover.beginDrain()
+	s.applyDrainDeadline()
 }
 
 // hurry ends all that is open by the drain's end, once. What can still pass to another process keeps its time.
-func (s *Scheduler) hurry() {
-	if s.handover.to == 0 && s.drive.stopAt > s.drainBy {
-		s.drive.shorten(s.drainBy)
+func (s *Scheduler) applyDrainDeadline() {
+	if s.handover.successorFD == 0 && s.drive.stopAt > s.drainDeadline {
+		s.drive.shorten(s.drainDeadline)
 	}
 }
 
@@ -246,15 +246,15 @@
 // it was.
 func (s *Scheduler) Reload(n *Node) {
 	s.onLoop(func() {
-		fresh, kept, err := s.node.retuned(n)
+		merged, kept, err := s.node.reloaded(n)
 		if err != nil {
 			s.log.Printf("msg=reload state=refused err=%q", err)
 			return
 		}
-		s.node = fresh
-		s.drive.mod.Retune(fresh.told.Terms)
+		s.node = merged
+		s.drive.mod.Retune(merged.told.Terms)
 		s.log.Printf("msg=reload state=taken discovery=%s schemes=%s kept=%s", n.Discovery,
-			strings.Join(fresh.told.Schemes, ","), cmp.Or(strings.Join(kept, ","), "none"))
+			strings.Join(merged.told.Schemes, ","), cmp.Or(strings.Join(kept, ","), "none"))
 		s.roster.move(n.Discovery)
 	})
 }
@@ -262,14 +262,14 @@
 // parting tells whether clients' connections end with their next answer: in the last third of a drain. Till
 // then those that clients have serve them as ever, since the other schedulers may be down too, as in a
 // release. Where another process has taken over they part at once, unless they pass to it.
-func (s *Scheduler) parting(now float64) bool {
-	return s.phase == draining && s.handover.to == 0 &&
-		(s.handover.heir || now > s.drainBy-(s.drainBy-s.drained)/3)
+func (s *Scheduler) closesAfterAnswer(now float64) bool {
+	return s.phase == draining && s.handover.successorFD == 0 &&
+		(s.handover.hasSuccessor || now > s.drainDeadline-(s.drainDeadline-s.drained)/3)
 }
 
 // leaving tells whether idle ones are closed. A client may be about to use one, so that comes late.
-func (s *Scheduler) leaving(now float64) bool {
-	return s.parting(now) && now > s.drained+drainLeast
+func (s *Scheduler) closesIdle(now float64) bool {
+	return s.closesAfterAnswer(now) && now > s.drained+drainLeast
 }
 
 // settle ends a drain once all is answered and written and no usual client is left, or its time is over.
@@ -277,14 +277,14 @@
 	if s.phase != draining || now < s.drained+drainLeast {
 		return
 	}
-	if len(s.drive.txns) == 0 && !s.clients.busy() && !s.knocked() || now >= s.drainBy+flushFor {
-		s.enter(stopped)
+	if len(s.drive.txns) == 0 && !s.clients.hasPending() && !s.hasUnaccepted() || now >= s.drainDeadline+flushTimeoutMs {
+		s.setPhase(stopped)
 	}
 }
 
 // knocked tells whether connections wait at the clients' address that the loop has not taken: the process's end would
 // reset them, and their machine has taken them and what they bring.
-func (s *Scheduler) knocked() bool {
+func (s *Scheduler) hasUnaccepted() bool {
 	info, err := unix.GetsockoptTCPInfo(s.clientsAt.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
 	return err == nil && info.Unacked > 0 // of a socket that listens, what waits to be taken
 }
@@ -310,7 +310,7 @@
 // Accepted takes a connection that came to one of the listeners.
 func (s *Scheduler) Accepted(c eventloop.Conn, from *eventloop.Listener) {
 	s.handover.look()
-	if from == s.ops.at {
+	if from == s.ops.listener {
 		s.ops.accept(c)
 	} else {
 		s.clients.accept(c)
