--- a/scheduler/clients.go
+++ b/scheduler/clients.go
@@ -16,59 +16,59 @@
 )
 
 const (
-	headMost          = 16 << 10
-	maxBodyBytes      = 64 << 10
-	defaultMemoryMB   = 64
-	bodyMemoryDivisor = 8 // of the memory goes to bodies: each is held about twice, and the collector needs as much
-	refMost           = 128
-	// Connections taken beyond the bound only to be told so: what they bring may have been written already.
+	headMost          = 16 << 10 // bytes of a request's or response's head
+	maxBodyBytes      = 64 << 10 // of a request
+	defaultMemoryMB   = 64       // where the configuration gives no limit
+	bodyMemoryDivisor = 8        // 1/8 of the memory is for bodies: each is held about twice, and the collector needs as much
+	refMost           = 128      // bytes of a Request-Id
+	// Connections accepted beyond the limit only to answer 503: the client may have written its request already.
 	extraClients = 16
 
-	// How long nothing need come on a connection that has not brought a request whole, and how long that may
-	// take. Usual clients send a request in one go, yet some come over bad links; at the bound on connections
-	// those that say nothing go first in any case.
+	// The longest gap between two reads of an incomplete request, and the longest time from its first byte to its last, in ms.
+	// Most clients send a request at once, but some have bad links. At the limit on connections, those that sent nothing are
+	// closed first in any case.
 	requestIdleMs  = 2000.0
 	requestTotalMs = 10000.0
+	// How long a client's connection may be idle between two requests, in ms.
 	idleFor        = 60000.0
-	writeTimeoutMs = 10000.0 // for a client to take its answer
-	lingerMs       = 1000.0  // for a client to read an answer before the connection is gone
-	// A question to the kernel that was interrupted, or found no memory, is asked again so often.
-	pollAttempts  = 20
-	minWaitMs     = 5.0    // ms: less is the loop's ordinary work
-	minTimeLeftMs = 1.0    // ms, of a request whose time is over by the time that it is read
-	logIntervalMs = 1000.0 // a fault that comes with each connection is logged so often at the most
+	writeTimeoutMs = 10000.0 // for a client to receive its answer
+	lingerMs       = 1000.0  // for a client to read its last answer before the connection is closed
+	pollAttempts   = 20      // of a poll system call that was interrupted or found no memory
+	minWaitMs      = 5.0     // shorter waits are the event loop's normal latency
+	minTimeLeftMs  = 1.0     // what a txn gets if its client's timeout has passed by the time that the request is read
+	logIntervalMs  = 1000.0  // between log lines on the limit, which may be hit with each new connection
 )
 
-// clients holds the connections that clients have made.
+// clients holds the connections that clients have made. All its fields and methods are for the event loop.
 type clients struct {
 	s              *Scheduler
 	all            []*client
 	maxClients     int
-	bodyBytes      int // bytes of bodies, and how many there may be
-	bodyBytesLimit int
-	loggedAt       float64 // when the bound was last logged
+	bodyBytes      int     // bytes of all request bodies held
+	bodyBytesLimit int     // the most that bodyBytes may be
+	loggedAt       float64 // when reaching maxClients was last logged, in ms
 }
 
-// client is one such connection. It carries one request at a time.
+// client is one connection of a client. It carries one request at a time. Its times are in milliseconds, as now gives them.
 type client struct {
 	s                *Scheduler
 	conn             eventloop.Conn // nil once it is closed
-	index            int            // its place in all
+	index            int            // in clients.all
 	req              http1.Request
-	t                *txn    // the one that its answer is owed for
-	since            float64 // when its present state began, or when part of a request last came
-	requestStart     float64 // when the request began to come
-	answeredTxn      bool    // a txn of it was answered, so it is a usual client's and not a silent one
-	overLimit        bool    // taken beyond the bound: its request is declined at once
-	requestBegun     bool    // part of a request has come
-	readsBlocked     bool    // traffic is at work on it
-	bodyBytes        int     // bytes of its request's body
-	closeAfterAnswer bool    // the connection ends after this answer
-	closing          bool    // the last answer is being written
-	shut             bool    // the answer was written, and no more goes out
-	departed         bool    // its other side has closed it, which the loop has yet to read
-
-	transferred bool // another process of this scheduler passed it on
+	t                *txn    // the txn that waits for its answer; nil: none
+	since            float64 // when its present state began, or when part of a request last arrived
+	requestStart     float64 // when the first byte of the request arrived
+	answeredTxn      bool    // a txn was answered on it, so it is not the connection of a client that never sends a request
+	overLimit        bool    // accepted beyond maxClients: its request is answered 503 at once
+	requestBegun     bool    // part of a request has arrived
+	readsBlocked     bool    // traffic returns at once: it is running already, or the connection's txn is not restored yet
+	bodyBytes        int     // size of its request's body
+	closeAfterAnswer bool    // the answer to the present request is the last one
+	closing          bool    // the last answer is being written, or was
+	shut             bool    // all was written, and the connection is half-closed
+	departed         bool    // the client has closed it, which the loop has yet to read
+
+	transferred bool // taken over from another process of this scheduler
 }
 
 var requestLimits = http1.Limits{Head: headMost, Body: maxBodyBytes}
@@ -78,7 +78,8 @@
 	cs.applyLimits()
 }
 
-// bound works out how many there may be. Beyond it those go that owe and are owed nothing.
+// applyLimits computes the limits on connections and body bytes from the process's share of descriptors and memory. Connections
+// beyond the limit are closed if no request is open on them.
 func (cs *clients) applyLimits() {
 	s, mb := cs.s, cs.s.node.Limits.MemoryMB
 	if mb <= 0 {
@@ -95,7 +96,8 @@
 	}
 }
 
-// sockets is how many descriptors the process may hold: by the configuration, and no more than the system lets it have.
+// sockets returns how many descriptors the process may hold: its share of the configured limit, and no more than the system's
+// limit.
 func (s *Scheduler) sockets() int {
 	n := s.node.Limits.Sockets
 	if n <= 0 {
@@ -104,8 +106,8 @@
 	return int(min(uint64(max(s.handover.limitShare(n), minSockets)), s.systemDescriptors))
 }
 
-// descriptorLimit is the system's limit on this process. It is asked for once: what is bounded by it must not follow one that
-// is lower for a moment.
+// descriptorLimit returns the system's soft limit on this process's descriptors. It is read once at the start, so that the
+// limits derived from it don't follow a temporary decrease.
 func descriptorLimit() uint64 {
 	var own unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &own); err != nil {
@@ -114,6 +116,7 @@
 	return own.Cur
 }
 
+// accept takes a connection that arrived at the clients' listener.
 func (cs *clients) accept(conn eventloop.Conn) {
 	c := &client{s: cs.s}
 	conn.SetContext(c)
@@ -121,6 +124,7 @@
 	cs.add(c, conn)
 }
 
+// add registers a connection, and keeps the number of connections within its limit.
 func (cs *clients) add(c *client, conn eventloop.Conn) {
 	c.conn, c.index, c.since = conn, len(cs.all), cs.s.now()
 	c.req.Reset(requestLimits)
@@ -128,12 +132,12 @@
 	if len(cs.all) <= cs.maxClients {
 		return
 	}
-	// Out of descriptors nobody could be accepted, so one goes that owes and is owed nothing.
+	// Without free descriptors no client could be accepted, so a connection without an open request is closed.
 	evicted := cs.evictionCandidate(c)
 	switch {
 	case evicted != nil:
 		evicted.close()
-	case c.transferred: // what it brought is another process's word
+	case c.transferred: // the process that accepted it already undertook to answer
 	case len(cs.all) <= cs.maxClients+extraClients:
 		c.overLimit = true
 	default:
@@ -145,7 +149,8 @@
 	}
 }
 
-// spare finds the one that can best be done without, but for one.
+// evictionCandidate finds the connection with the highest eviction rank, among equals the one longest in its state, leaving out
+// except. It returns nil if none may be closed.
 func (cs *clients) evictionCandidate(except *client) (best *client) {
 	for _, candidate := range cs.all {
 		if candidate != except && candidate.evictionRank() > 0 && (best == nil || candidate.evictionRank() > best.evictionRank() ||
@@ -156,8 +161,9 @@
 	return best
 }
 
-// busy tells whether any answer is owed, or has yet to reach its client's machine, or bytes have come that the loop has
-// not read, over which the process's end would reset their connection; or a usual client is still there.
+// hasPending tells whether the process must not end yet for the sake of a client: a request is open, part of an answer is not
+// acknowledged by the client's machine, bytes have arrived that the loop has not read (the kernel would reset their connection
+// at the process's end), or a client that had a txn answered is still connected.
 func (cs *clients) hasPending() bool {
 	for _, c := range cs.all {
 		if c.t != nil || c.requestBegun || c.conn.OutboundBuffered() > 0 || c.answeredTxn || c.unread() || c.hasUnacked() {
@@ -167,8 +173,9 @@
 	return false
 }
 
-// spare tells how well it can be done without, 0 where not at all: first goes what has its answer, then what
-// never said anything, then what has yet to say all of its first request, last a usual client's between two.
+// evictionRank tells how readily the connection may be closed to free a descriptor, 0 for never: first (4) those with their
+// last answer, then (3) those that never sent anything, then (2) those whose first request is incomplete, and last (1) those
+// that had a txn answered and are between two requests.
 func (c *client) evictionRank() int {
 	switch {
 	case c.t != nil || c.conn.OutboundBuffered() > 0 || c.answeredTxn && c.requestBegun:
@@ -183,21 +190,21 @@
 	return 3
 }
 
-// unread tells whether bytes have come that the loop has not read yet. They may be a whole request, which is
-// taken once it is here.
+// unread tells whether bytes have arrived that the loop has not read yet. They may be a whole request, and a request that has
+// arrived is to be answered.
 func (c *client) unread() bool {
 	n, err := unix.IoctlGetInt(c.conn.Fd(), unix.SIOCINQ)
 	return err == nil && n > 0
 }
 
-// unacked tells whether the client's machine has yet to get some of what was written.
+// hasUnacked tells whether the client's machine has yet to acknowledge some of what was written.
 func (c *client) hasUnacked() bool {
 	n, err := unix.IoctlGetInt(c.conn.Fd(), unix.SIOCOUTQ)
 	return err == nil && n > 0
 }
 
-// left tells whether the client has closed its connection or ended its sending. The loop may not have read that yet: it
-// stands behind bytes that are not read, or came while the loop did something else.
+// left tells whether the client has closed its connection or its sending side. The loop may not have read that yet: it comes
+// after bytes that are not read, or it arrived while the loop was busy.
 func (c *client) left() bool {
 	fds := []unix.PollFd{{Fd: int32(c.conn.Fd()), Events: unix.POLLRDHUP}}
 	for range pollAttempts {
@@ -208,7 +215,7 @@
 	return false
 }
 
-// leave takes that the client has left, though the loop has yet to read that.
+// leave closes the connection of a client that left reports as gone, before the loop has read its end.
 func (c *client) leave() {
 	c.departed = true
 	c.close()
@@ -220,9 +227,10 @@
 	}
 }
 
-// opened takes one that another process passed on.
+// opened registers a connection that was taken over from another process.
 func (c *client) opened(conn eventloop.Conn) { c.s.clients.add(c, conn) }
 
+// closed removes the connection, and ends the txn that waits for its answer.
 func (c *client) closed(_ eventloop.Conn, err error) {
 	cs := &c.s.clients
 	if c.t != nil && (c.departed || endedByPeer(err)) {
@@ -254,9 +262,10 @@
 	return false
 }
 
+// traffic reads requests from the connection, one at a time: the next one is read once the answer to this one is written.
 func (c *client) traffic(eventloop.Conn) {
 	if c.readsBlocked {
-		return // an answer given there goes on with what is buffered
+		return // in a call by answer the running loop goes on with what is buffered
 	}
 	c.readsBlocked = true
 	defer func() { c.readsBlocked = false }()
@@ -296,17 +305,17 @@
 	if c.closing {
 		c.conn.Discard(c.conn.InboundBuffered())
 	} else if c.conn.InboundBuffered() > headMost+maxBodyBytes {
-		c.close() // it sends on and on and reads no answer
+		c.close() // more than one request is buffered beyond the open one: the client does not wait for answers
 	}
 }
 
-// hold counts the bytes that the request's body takes.
+// setBodyBytes sets the size of the request's body, and counts it in the size of all.
 func (c *client) setBodyBytes(size int) {
 	c.s.clients.bodyBytes += size - c.bodyBytes
 	c.bodyBytes = size
 }
 
-// serve takes a request that has come whole.
+// handleRequest answers a request that has arrived whole, or begins its txn.
 func (c *client) handleRequest() {
 	c.closeAfterAnswer = c.req.Close() || c.overLimit
 	path, _, _ := strings.Cut(c.req.Target, "?")
@@ -355,8 +364,9 @@
 	c.t = c.s.drive.arrive(c, request)
 }
 
-// waited is for how long the request may have been there, unread: as clients could not be accepted, or their bytes not be read,
-// or this process stood still. Its time counts from its last byte.
+// unreadWaitMs returns how long the request may have waited unread, in ms, because the connection was not accepted, its bytes
+// were not read, or the process was stalled. The client's timeout counts from the arrival of the request's last byte. Less than
+// minWaitMs counts as 0.
 func (c *client) unreadWaitMs() float64 {
 	ms := float64(time.Since(c.conn.Since())) / float64(time.Millisecond)
 	if ms < minWaitMs {
@@ -369,17 +379,18 @@
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
-// answer writes the one answer to the request at hand and goes on to the next. stay is how long the client
-// should keep away, in milliseconds, where it is above 0. What was no txn ends its connection: a client that
-// sends what is of no use, or only asks after the scheduler's health, has no claim to keep a descriptor.
+// answer writes the answer to the present request and goes on to the next one. A retryAfterMs above 0 is told to the client as
+// Retry-After. If the request did not become a txn, the connection is closed after the answer: a client that sends invalid
+// requests, or only checks the scheduler's health, is not entitled to keep a descriptor.
 func (c *client) answer(status int, body string, retryAfterMs float64) {
 	if c == nil || c.conn == nil {
 		return
 	}
-	// One that asks on and reads no answers is cut off. What a stopping scheduler turns away may go to
-	// another.
+	// The connection of a client that sends requests without reading the answers is closed. While the scheduler drains, a
+	// request that did not succeed ends the connection, so that the client sends the next one to another scheduler.
 	c.closeAfterAnswer = c.closeAfterAnswer || c.t == nil || c.conn.OutboundBuffered() > 0
-	c.closeAfterAnswer = c.closeAfterAnswer || c.s.closesAfterAnswer(c.s.now()) || c.s.phase == draining && status != 200 && c.s.handover.successorFD == 0
+	c.closeAfterAnswer = c.closeAfterAnswer || c.s.closesAfterAnswer(c.s.now()) ||
+		c.s.phase == draining && status != 200 && c.s.handover.successorFD == 0
 	extraLines := ""
 	if retryAfterMs > 0 {
 		extraLines = "Retry-After: " + strconv.FormatFloat(retryAfterMs/1000, 'f', -1, 64) + "\r\n"
@@ -406,7 +417,8 @@
 	}
 }
 
-// headOf makes the head of a response. more holds further lines, each with its end.
+// responseHead returns the head of a response with a body of size bytes. extraLines holds further header lines, each with its
+// CRLF.
 func responseHead(status, size int, extraLines string) []byte {
 	head := make([]byte, 0, 160+len(extraLines)+size)
 	head = append(head, "HTTP/1.1 "...)
@@ -425,8 +437,8 @@
 	return append(append(head, extraLines...), "\r\n"...)
 }
 
-// finish ends a connection after its last answer. Closed at once with bytes unread, or on their way, it would
-// be reset and the client could lose the answer.
+// shutdownWrite half-closes a connection once all is written. If it were closed at once while bytes from the client are unread
+// or under way, it would be reset, and the client could lose the answer.
 func (c *client) shutdownWrite() {
 	if c.conn.OutboundBuffered() > 0 || c.shut {
 		return
@@ -435,7 +447,7 @@
 	_ = unix.Shutdown(c.conn.Fd(), unix.SHUT_WR)
 }
 
-// sweep ends connections that are idle or slow.
+// sweep ends connections that are idle or slow. It runs every sweepEvery ms.
 func (cs *clients) sweep(now float64) {
 	for i := len(cs.all) - 1; i >= 0; i-- {
 		if i >= len(cs.all) {
@@ -460,8 +472,8 @@
 				c.answer(408, "request too slow\n", -1)
 			}
 		case age > requestIdleMs && !c.answeredTxn, age > idleFor, cs.s.closesIdle(now) && c.answeredTxn:
-			// Its client may send just now. Closed over what comes the connection would be reset; ended first from
-			// this side, it is read and dropped, and the client sends it elsewhere.
+			// The client may be sending a request at this moment. If the connection were closed, the request would cause a
+			// reset; after a half-close the request is read and dropped, and the client sends it to another scheduler.
 			if !c.unread() {
 				c.shutdownWrite()
 			}
--- a/scheduler/clients_test.go
+++ b/scheduler/clients_test.go
@@ -7,8 +7,8 @@
 	"shalebeam/balance"
 )
 
-// Bodies on their way are held within a part of the memory: what goes beyond is turned away at once, and what
-// is answered or leaves gives its part back.
+// The bodies of requests, also of incomplete ones, are held within a limit on their total size: a request beyond it is declined
+// at once, and a closed connection frees what its body took.
 func TestBoundOnBodies(t *testing.T) {
 	s, _ := onceOnly(t)
 	s.clients.bodyBytesLimit = 8 * 60000
@@ -25,15 +25,15 @@
 	first, _ := client()
 	for range 7 {
 		if _, f := client(); f.wrote != "" {
-			t.Fatalf("got %q within the bound", f.wrote)
+			t.Fatalf("got %q within the limit", f.wrote)
 		}
 	}
 	if _, f := client(); !strings.HasPrefix(f.wrote, "HTTP/1.1 503 ") {
-		t.Errorf("got %q beyond the bound", f.wrote)
+		t.Errorf("got %q beyond the limit", f.wrote)
 	}
 	first.close()
 	if _, f := client(); f.wrote != "" {
-		t.Errorf("got %q once one had left", f.wrote)
+		t.Errorf("got %q after one connection was closed", f.wrote)
 	}
 }
 
@@ -56,7 +56,8 @@
 		bare + "Request-Timeout: 480m\r\nWork-Hint: 1500\r\nRequest-Info: memory=3,slots=2\r\n": {Ref: "r1",
 			Hint: 1.5, Slots: 2, Left: 480, Tenant: 2},
 		bare + "Request-Timeout: 1500u\r\nTenant: nobody\r\n": {Ref: "r1", Hint: -1, Left: 1.5, Tenant: 2},
-		// One client's absurd wait would make the module take all later txns of the scheme for late ones.
+		// A timeout is capped at the scheme's expiry: one client's absurd timeout would make the module take all later txns of the
+		// scheme for late ones.
 		bare + "Request-Timeout: 1e300m\r\nRequest-Info: slots=x,,=\r\n": {Ref: "r1", Hint: -1,
 			Left: 20000, Tenant: 2},
 	} {
@@ -70,13 +71,13 @@
 		bare + "Request-Timeout: Infm\r\n", bare + bare, bare + "Idempotency-Key: \xff\r\n",
 		bare + "Work-Hint: -5\r\n", bare + "Work-Hint: Inf\r\n"} {
 		if _, wrong := read(head); wrong == "" {
-			t.Errorf("%q was taken", head)
+			t.Errorf("%q was accepted", head)
 		}
 	}
-	// Without its mark a group drops no repeat.
+	// Without an idempotency key a group cannot drop repeats of a referenced txn.
 	if s.node.told.Terms.Schemes[0].Effect = balance.Referenced; true {
 		if _, wrong := read(bare); wrong == "" {
-			t.Error("a referenced txn without a mark was taken")
+			t.Error("a referenced txn without an idempotency key was accepted")
 		}
 	}
 }
