--- a/scheduler/phases.go
+++ b/scheduler/phases.go
@@ -1,9 +1,11 @@
-// Package scheduler is a scheduler on sockets: it takes txns from clients over HTTP, posts them to workers
-// and answers. Every choice of where and when is balance's; this package only carries out what it decides.
-// All of it runs on one event loop, which owns the module and all state, so there are no locks. It has a file
-// a job: node (what a scheduler is told), phases (this one), clients, request (what one says), pool (connections to workers),
-// roster (discovery), peers (datagrams among schedulers), ops and metrics (the second address), fleet (owners' calls there),
-// handover, pass and records (two processes of one scheduler), clock, and drive, which pulls the module's decisions.
+// Package scheduler runs a scheduler on sockets: it takes txns from clients over HTTP, posts them to workers and answers.
+// Package balance, here called the module, decides when and to which worker a txn is posted; this package only carries out
+// its decisions. All of it runs on one event loop, which owns the module and all state, so there are no locks.
+//
+// The files: node (configuration), phases (start, drain and stop; this one), clients (connections of clients), request (reading
+// a client's request), pool (connections to workers), roster (watching discovery), peers (datagrams among schedulers), ops and
+// metrics (the management address), fleet (calls there by owners of the fleet), handover, pass and records (hot restart: two
+// processes of one scheduler), clock, and drive (carrying out the module's decisions).
 package scheduler
 
 import (
@@ -27,25 +29,27 @@
 	"shalebeam/scheduler/transient"
 )
 
+// phase is a stage of the scheduler's life. Its names go into answers and logs.
 type phase int
 
 const (
 	starting phase = iota
 	serving
-	draining // told to stop: what still comes is taken, and all is answered
+	draining // told to stop: requests that still arrive are taken, and all are answered
 	stopped
 )
 
 func (p phase) String() string { return [...]string{"starting", "serving", "draining", "stopped"}[p] }
 
 const (
-	// A planned stop has this long from its signal at the most, or as long as the longest expiry if less.
+	// The longest duration of a drain, in ms; it is shorter if all expiries are.
 	maxDrainMs = 3000.0
-	// Connections still come for a while after the signal: the front learns of it late.
+	// The shortest duration of a drain, in ms: clients still connect for a while, as the front load balancer learns of the drain
+	// late.
 	drainLeast = 700.0
-	// How long a system call may fail for the moment before a start gives up.
+	// How long a system call of the start is repeated after transient errors.
 	startTimeout = 4 * time.Second
-	// How long the last answers may take to be written out.
+	// How long after the drain's deadline the last answers may still be written, in ms.
 	flushTimeoutMs = 300.0
 )
 
@@ -57,12 +61,12 @@
 	phase             phase
 	loop              *eventloop.Loop
 	clientsAt         *eventloop.Listener
-	ready             chan struct{} // closed once there is a loop, or Run has ended without one
+	ready             chan struct{} // closed once loop is set, or Run has ended without one
 	clock             clock
-	systemDescriptors uint64 // that the system lets the process have
-	drainDeadline     float64
-	drained           float64 // when the drain began
-	began             float64 // when it began to take clients
+	systemDescriptors uint64  // the system's limit on the process's descriptors; see descriptorLimit
+	drainDeadline     float64 // when all txns must have ended, in ms
+	drained           float64 // when the drain began, in ms
+	began             float64 // when the scheduler began to serve clients, in ms
 
 	clients clients
 	pool    pool
@@ -75,7 +79,7 @@
 	handover handover
 }
 
-// New returns a scheduler for this node, which logs its phases and faults.
+// New returns a scheduler for this node, which logs its phases and faults to l.
 func New(n *Node, l *log.Logger) *Scheduler {
 	s := &Scheduler{node: n, log: l, ready: make(chan struct{}), clock: newClock(),
 		systemDescriptors: descriptorLimit()}
@@ -90,9 +94,10 @@
 	return s
 }
 
+// now returns the time in ms; see clock.
 func (s *Scheduler) now() float64 { return s.clock.now() }
 
-// Run serves until ctx is done and what was taken is answered.
+// Run serves until ctx is done and all requests that were taken are answered.
 func (s *Scheduler) Run(ctx context.Context) error {
 	lim := s.node.Limits
 	if lim.Cores > 0 {
@@ -103,15 +108,14 @@
 		return nil
 	}
 	if n := s.sockets(); n < minSockets {
-		return fmt.Errorf("limits: the system lets the process have %d descriptors, and %d are the fewest to serve with", n,
-			minSockets)
+		return fmt.Errorf("limits: the system lets the process have %d descriptors, expected at least %d", n, minSockets)
 	}
 	s.handover.join()
 	s.handover.applyLimits()
 	s.ops.askAgent()
 	defer func() {
 		if s.loop == nil {
-			close(s.ready) // nobody waits for a loop that there never was
+			close(s.ready) // so that nothing waits for a loop that was never made
 		}
 	}()
 	stop := context.AfterFunc(ctx, func() { s.onLoop(s.drain) })
@@ -122,26 +126,29 @@
 	return s.serve()
 }
 
-// serve runs the loop until all is done.
+// serve runs the loop until the scheduler has stopped.
 func (s *Scheduler) serve() error {
 	close(s.ready)
-	// The loop runs on this goroutine, and nothing that comes may be seen to before the service has begun.
+	// No event may be handled before beginServing has run. The loop handles events on this goroutine, and only below.
 	s.beginServing()
 	s.pull()
 	if err := s.loop.Run(); err != nil {
 		return s.loopEndedEarly(err)
 	}
 	if s.phase != stopped {
-		return s.loopEndedEarly(errors.New("it was stopped"))
+		return s.loopEndedEarly(errors.New("stopped before the end of the drain"))
 	}
 	return nil
 }
 
-// listen makes the loop and all that others reach this process at.
+// listen makes the loop and its listeners, for clients, peers and management.
 func (s *Scheduler) listen() error {
 	if s.handover.others == 0 {
-		// Listeners share their address with another process of this scheduler, and so would do with any other program.
-		if err := transient.Retry(startTimeout, transient.Error, func() error { return checkAddressFree(s.node.Listen) }); err != nil {
+		// The listeners set SO_REUSEPORT for another process of this scheduler. That would also let them share the address with any
+		// other program that sets it, so make sure first that the address is free.
+		if err := transient.Retry(startTimeout, transient.Error, func() error {
+			return checkAddressFree(s.node.Listen)
+		}); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
 	}
@@ -165,7 +172,7 @@
 	return nil
 }
 
-// free tells whether an address can be had by one alone.
+// checkAddressFree returns an error if another program listens on a TCP address.
 func checkAddressFree(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -174,7 +181,7 @@
 	return l.Close()
 }
 
-// addrOf is where a listener is reached, empty where there is none.
+// addrOf returns a listener's address, or "" for nil.
 func addrOf(l *eventloop.Listener) string {
 	if l == nil {
 		return ""
@@ -182,13 +189,15 @@
 	return l.Addr().String()
 }
 
-// endedEarly says what was open when the event loop ended though nobody told it to.
+// loopEndedEarly logs what was open when the event loop ended without being told to, and returns the error for it.
 func (s *Scheduler) loopEndedEarly(err error) error {
-	s.log.Printf("msg=loop state=ended phase=%s requests=%d clients=%d err=%q", s.phase, len(s.drive.txns), len(s.clients.all), err)
+	s.log.Printf("msg=loop state=ended phase=%s requests=%d clients=%d err=%q", s.phase, len(s.drive.txns),
+		len(s.clients.all), err)
 	return fmt.Errorf("the event loop ended while %s: %w", s.phase, err)
 }
 
-// onLoop runs f on the event loop, from any goroutine. Once the loop has ended there is nothing left to do.
+// onLoop runs f on the event loop, and may be called from any goroutine. It waits until the loop is made. If the loop has
+// ended or was never made, f is not run.
 func (s *Scheduler) onLoop(f func()) {
 	if <-s.ready; s.loop == nil {
 		return
@@ -199,12 +208,13 @@
 	})
 }
 
+// setPhase changes the phase and logs the change.
 func (s *Scheduler) setPhase(p phase) {
 	s.log.Printf("msg=phase from=%s to=%s", s.phase, p)
 	s.phase = p
 }
 
-// begin starts serving.
+// beginServing starts the watch of discovery and begins to serve clients.
 func (s *Scheduler) beginServing() {
 	s.began = s.now()
 	s.roster.begin()
@@ -215,7 +225,8 @@
 	}
 }
 
-// drain begins a planned stop. The module hears of the end, as each txn then has less time than its expiry.
+// drain begins a graceful shutdown. The module is told the deadline (see applyDrainDeadline), as a txn may then have less time
+// than its expiry.
 func (s *Scheduler) drain() {
 	if s.phase >= draining || planted("ignores-term") {
 		return
@@ -227,23 +238,24 @@
 	}
 	s.drained = s.now()
 	for _, t := range s.drive.txns {
-		longestMs = max(longestMs, t.until-s.drained) // of a scheme that is no more, or had another expiry
+		longestMs = max(longestMs, t.until-s.drained) // its scheme may have been removed, or have had another expiry
 	}
 	s.drainDeadline = s.drained + max(min(longestMs, maxDrainMs), drainLeast)
 	s.handover.beginDrain()
 	s.applyDrainDeadline()
 }
 
-// hurry ends all that is open by the drain's end, once. What can still pass to another process keeps its time.
+// applyDrainDeadline limits the time of all open txns to the drain's deadline, once. While connections can still be
+// transferred to a successor, txns keep their time.
 func (s *Scheduler) applyDrainDeadline() {
 	if s.handover.successorFD == 0 && s.drive.stopAt > s.drainDeadline {
 		s.drive.shorten(s.drainDeadline)
 	}
 }
 
-// Reload takes a new configuration, from any goroutine: the settings and discovery's address, all or nothing
-// of it. Open txns keep the rules they came under; what waits for a restart is logged by its key and stays as
-// it was.
+// Reload applies a new configuration, and may be called from any goroutine. It applies all settings that may change while the
+// scheduler runs, and discovery's address, or none of them if the configuration is refused. Open txns keep the rules under
+// which they arrived. Keys that differ and need a restart keep their values and are logged.
 func (s *Scheduler) Reload(n *Node) {
 	s.onLoop(func() {
 		merged, kept, err := s.node.reloaded(n)
@@ -259,20 +271,22 @@
 	})
 }
 
-// parting tells whether clients' connections end with their next answer: in the last third of a drain. Till
-// then those that clients have serve them as ever, since the other schedulers may be down too, as in a
-// release. Where another process has taken over they part at once, unless they pass to it.
+// closesAfterAnswer tells whether clients' connections are closed after their next answer: in the last third of a drain.
+// Until then clients may go on using them, since the other schedulers may be down too, as in a release. If there is a
+// successor they are closed with the next answer at once, unless they are being transferred to it.
 func (s *Scheduler) closesAfterAnswer(now float64) bool {
 	return s.phase == draining && s.handover.successorFD == 0 &&
 		(s.handover.hasSuccessor || now > s.drainDeadline-(s.drainDeadline-s.drained)/3)
 }
 
-// leaving tells whether idle ones are closed. A client may be about to use one, so that comes late.
+// closesIdle tells whether idle connections of clients are closed. A client may be about to use one, so this is done late, not
+// before drainLeast.
 func (s *Scheduler) closesIdle(now float64) bool {
 	return s.closesAfterAnswer(now) && now > s.drained+drainLeast
 }
 
-// settle ends a drain once all is answered and written and no usual client is left, or its time is over.
+// settle ends a drain once all requests are answered, the answers written, and no client with an answered txn is connected, or
+// flushTimeoutMs after the drain's deadline.
 func (s *Scheduler) settle(now float64) {
 	if s.phase != draining || now < s.drained+drainLeast {
 		return
@@ -282,14 +296,14 @@
 	}
 }
 
-// knocked tells whether connections wait at the clients' address that the loop has not taken: the process's end would
-// reset them, and their machine has taken them and what they bring.
+// hasUnaccepted tells whether connections wait in the clients' accept queue: the process's end would reset them, though the
+// kernel has completed their handshakes and acknowledged their bytes.
 func (s *Scheduler) hasUnaccepted() bool {
 	info, err := unix.GetsockoptTCPInfo(s.clientsAt.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
-	return err == nil && info.Unacked > 0 // of a socket that listens, what waits to be taken
+	return err == nil && info.Unacked > 0 // for a listening socket this is the length of the accept queue
 }
 
-// pull carries out what the module decides after an event, and ends the loop once all is done.
+// pull carries out what the module decides after an event, and ends the loop once the scheduler has stopped.
 func (s *Scheduler) pull() {
 	if s.phase != stopped {
 		s.handover.look()
@@ -300,14 +314,15 @@
 	}
 }
 
-// connection is what the loop's callbacks are for: a client's, a worker's or discovery's.
+// connection receives the events of one of the loop's connections: to a client, a worker, discovery, or a caller of the
+// management address.
 type connection interface {
 	opened(eventloop.Conn)
 	traffic(eventloop.Conn)
 	closed(eventloop.Conn, error)
 }
 
-// Accepted takes a connection that came to one of the listeners.
+// Accepted handles a connection that arrived at one of the listeners.
 func (s *Scheduler) Accepted(c eventloop.Conn, from *eventloop.Listener) {
 	s.handover.look()
 	if from == s.ops.listener {
@@ -318,22 +333,22 @@
 	s.pull()
 }
 
-// Opened takes a connection that was dialled by the pool or the roster, or passed on by another process.
+// Opened handles a connection that was dialled by the pool or the roster, or taken over from another process.
 func (s *Scheduler) Opened(c eventloop.Conn) {
 	s.handover.look()
 	c.Context().(connection).opened(c)
 	s.pull()
 }
 
-// Traffic takes bytes.
+// Traffic handles bytes that arrived on a connection.
 func (s *Scheduler) Traffic(c eventloop.Conn) {
 	s.handover.look()
 	c.Context().(connection).traffic(c)
 	s.pull()
 }
 
-// Closed takes the end of a connection, by either side. That comes first: nothing may be done with it any more, as looking for
-// what can be passed on might.
+// Closed handles the end of a connection, by either side. Unlike the other callbacks it calls handover.look only afterwards (in
+// pull), which might otherwise transfer the connection though it has ended.
 func (s *Scheduler) Closed(c eventloop.Conn, err error) {
 	if x, ok := c.Context().(connection); ok {
 		x.closed(c, err)
@@ -341,7 +356,7 @@
 	s.pull()
 }
 
-// Datagram takes a message of a peer.
+// Datagram handles a message of a peer.
 func (s *Scheduler) Datagram(from netip.AddrPort, packet []byte) {
 	s.handover.look()
 	s.peers.hear(from, packet)
