--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -14,39 +14,42 @@
 	"shalebeam/http1"
 )
 
-// What an owner of the fleet may tell this scheduler. A call of staff's own carries nothing of this and is as it ever
-// was. A fleet's carries the matter, its owner's number and the start of the scheduler that it is meant for: an owner
-// that was replaced may not know it yet, and its calls may lie in a stalled link for minutes.
+// Calls of the fleet's agents to the management address. The owner of a matter (the resource that a lease of the fleet
+// covers, such as a zone) sends with each call the matter, its fencing token and the id of the scheduler's start that the
+// call is meant for: an owner that was replaced may not know it yet, and its calls may be delayed in a stalled link for
+// minutes. Calls by staff carry none of these and are not fenced.
 
 const (
-	fenceHeader   = "fleet-fence" // MATTER NUMBER
-	startHeader   = "fleet-start"
-	changeHeader  = "fleet-change" // the number of the change on record, of a call on a worker
-	maxMatters    = 256            // that a number is kept of; the fleet has one a zone
-	mostStaffed   = 4096           // workers of which it is kept that they are out; told by the fleet before the list names them
-	agentTimeout  = 2 * time.Second
-	maxAgentBytes = 1 << 20
+	fenceHeader  = "fleet-fence"  // the matter and the fencing token, a decimal above 0, with a space between
+	startHeader  = "fleet-start"  // fleet.start of the scheduler's start that the call is meant for
+	changeHeader = "fleet-change" // of a call on a worker: the number of the change in the fleet's record
+	maxMatters   = 256            // matters whose highest token is kept; the fleet has one for each zone
+	// Workers of which a record is kept. The fleet may take out workers that discovery's list does not name yet, so the list does
+	// not bound the number.
+	mostStaffed   = 4096
+	agentTimeout  = 2 * time.Second // for the whole call to the agent
+	maxAgentBytes = 1 << 20         // of the body of its answer
 )
 
-// fenced is what such a call carries.
+// fencedCall holds the header fields of a call by the fleet.
 type fencedCall struct {
 	matter string
 	token  uint64
 	start  string
-	change uint64
+	change uint64 // 0: none given
 }
 
-// fleet is what this scheduler keeps of it.
+// fleet is what this scheduler knows of the fleet's owners.
 type fleet struct {
-	start   string            // tells this start from others; an upgrade goes on with it
-	numbers map[string]uint64 // the highest of each matter that was seen
+	start   string            // random id of this start of the scheduler; the new process of a hot restart takes it over
+	numbers map[string]uint64 // the highest fencing token seen of each matter
 }
 
 func (f *fleet) init() {
 	*f = fleet{start: strconv.FormatUint(rand.Uint64()|1<<63, 16), numbers: map[string]uint64{}}
 }
 
-// fencedBy reads what a call carries, nil where it is staff's own.
+// parseFencedCall reads the header fields of a fleet's call. It returns nil for a call by staff.
 func parseFencedCall(req *http1.Request) (*fencedCall, error) {
 	text, ok := req.Fields().Get(fenceHeader)
 	if !ok {
@@ -70,11 +73,13 @@
 	return call, nil
 }
 
-// passes tells whether such a call counts, else how it is answered.
+// checkCall returns status 0 if a fleet's call is valid, and otherwise the answer that refuses it: the call is meant for
+// another start, its fencing token is older than one already seen, or there are too many matters.
 func (f *fleet) checkCall(call *fencedCall) (status int, body string) {
 	switch highest, ok := f.numbers[call.matter]; {
 	case call.start != f.start && !planted("former-start"):
-		// What was meant for a former life that has ended: this one remembers no number to judge it by.
+		// The call is meant for a former start, whose fencing tokens this one does not know, so it can't tell whether the call is
+		// stale.
 		return 409, "start " + f.start + "\n"
 	case call.token < highest && !planted("no-fence"):
 		return 409, fmt.Sprintf("fence %s %d\n", call.matter, highest)
@@ -84,27 +89,29 @@
 	return 0, ""
 }
 
-// known is what the fleet asks before it tells anything.
+// fleetStatus is what the fleet reads of a scheduler before it sends other calls, in JSON. The agent answers askAgent in the
+// same form.
 type fleetStatus struct {
 	Name   string            `json:"name"`
 	Start  string            `json:"start"`
 	Fences map[string]uint64 `json:"fences"`
-	Out    map[string]string `json:"out"` // workers that the fleet took out, and the matter
+	Out    map[string]string `json:"out"` // workers that the fleet took out of service, with the matter of the owner that did
 	Phase  string            `json:"phase"`
 	Txns   finals            `json:"txns"`
-	// Workers are those that the list has running, of the zone that was asked for: "warm", "cold", or "busy" for one that is
-	// out while postings of this scheduler still run there.
+	// Workers are those in service by discovery's list in the zone that was asked for: "warm", "cold", or "busy" for one that
+	// was taken out of service while postings of this scheduler still run there.
 	Workers map[string]string `json:"workers,omitempty"`
-	Stale   bool              `json:"stale,omitempty"`
+	Stale   bool              `json:"stale,omitempty"` // set by an agent that could not confirm that its record is current
 }
 
-// finals counts the answers of this process, by what came of the txn.
+// finals counts the txns that this process answered, by outcome.
 type finals struct {
 	Settled  int `json:"settled"`
 	Declined int `json:"declined"`
 	Reversed int `json:"reversed"`
 }
 
+// fleetStatusJSON returns the fleetStatus as a line of JSON. Workers are given only if a zone is named.
 func (o *ops) fleetStatusJSON(zone string) string {
 	status := fleetStatus{Name: o.s.node.Name, Start: o.fleet.start, Fences: o.fleet.numbers, Out: map[string]string{},
 		Phase: o.s.phase.String(), Txns: o.s.drive.finals}
@@ -128,16 +135,18 @@
 			status.Out[id] = r.Fleet
 		}
 	}
-	raw, _ := json.Marshal(status) // strings and numbers alone
+	raw, _ := json.Marshal(status) // cannot fail: strings, numbers and maps only
 	return string(raw) + "\n"
 }
 
-// fence takes a new owner's number alone: from the yes on nothing of its predecessors counts here.
+// recordToken records a new owner's fencing token and does nothing else: once it has succeeded, calls by former owners are
+// refused.
 func (o *ops) recordToken(call *fencedCall) (status int, body string) {
 	return o.changeRecords(call, func(stored *records) (int, string) { return 200, "done\n" })
 }
 
-// change carries out a call under the lock that both processes of an upgrade share, where its number counts.
+// changeRecords applies a change to the records file, under the lock that both processes of a hot restart share, if the call is
+// valid. A nil call is one by staff, which is not fenced.
 func (o *ops) changeRecords(call *fencedCall, apply func(stored *records) (int, string)) (status int, body string) {
 	err := o.s.handover.keep(func(stored *records) bool {
 		for matter, token := range stored.Fences {
@@ -157,15 +166,16 @@
 		return status == 200
 	})
 	if err != nil {
-		// Not kept it would be forgotten over an upgrade, after a yes.
+		// A change that is not written would be lost with a hot restart, though it was answered with success.
 		o.s.log.Printf("msg=worker state=refused err=%q", err)
 		return 503, "it could not be kept\n"
 	}
 	return status, body
 }
 
-// ask learns from this machine's agent who is out before it takes a client: one that starts from nothing would send
-// to workers that everybody else leaves alone. It waits for a bounded time and goes on without.
+// askAgent learns from this machine's agent which workers the fleet took out of service, before the first client is accepted: a
+// scheduler that starts without records would send to workers that all others leave out. It waits for at most agentTimeout, and
+// goes on without if the agent does not answer.
 func (o *ops) askAgent() {
 	addr := o.s.node.Agent
 	if addr == "" || o.s.handover.others > 0 {
@@ -190,6 +200,8 @@
 	o.s.log.Printf("msg=agent state=asked addr=%s out=%d stale=%t", addr, len(status.Out), status.Stale)
 }
 
+// fetchFleetStatus asks the agent at addr for the workers that the fleet took out of service, for the scheduler of this name
+// and start.
 func fetchFleetStatus(addr, name, start string) (status fleetStatus, err error) {
 	deadline := time.Now().Add(agentTimeout)
 	conn, err := net.DialTimeout("tcp", addr, agentTimeout)
@@ -217,7 +229,7 @@
 		}
 	}
 	if response.Status != 200 {
-		return status, fmt.Errorf("it answered %d", response.Status)
+		return status, fmt.Errorf("agent answered status %d, expected 200", response.Status)
 	}
 	return status, json.Unmarshal(response.Body(), &status)
 }
--- a/scheduler/ops.go
+++ b/scheduler/ops.go
@@ -12,31 +12,33 @@
 )
 
 const (
-	maxCallers      = 8       // with their descriptors out of ownSockets
-	callerTimeoutMs = 10000.0 // for a call to come and its answer to be read: callers themselves wait far less
+	maxCallers      = 8       // their descriptors are counted in ownSockets
+	callerTimeoutMs = 10000.0 // from connection to the reading of the answer; callers' own timeouts are far shorter
 )
 
-// Ids are short; one that is longer than this is none.
+// opsLimits bounds calls, in bytes. The longest body is a worker's id, and no id is longer than this.
 var opsLimits = http1.Limits{Head: 4 << 10, Body: 256}
 
-// ops is the second address, where staff ask and tell: one call to a connection.
+// ops serves the management address: staff and the fleet (see fleet) read the scheduler's state there, and take workers out of
+// service or put them back. Each connection carries one call.
 type ops struct {
 	s        *Scheduler
-	listener *eventloop.Listener // nil where there is none
-	callers  []*caller           // the one that came first in front
-	staffed  map[string]record   // workers that staff or the fleet took out, now or lately
+	listener *eventloop.Listener // nil if the configuration names no management address
+	callers  []*caller           // open connections, in order of arrival
+	staffed  map[string]record   // by id: workers that staff or the fleet took out of service, or put back lately
 	fleet    fleet
 }
 
-// caller is a connection to it.
+// caller is a connection to the management address.
 type caller struct {
 	s        *Scheduler
 	conn     eventloop.Conn // nil once it is closed
 	req      http1.Request
-	since    float64
-	received bool // the call has come
+	since    float64 // when it was accepted, in ms
+	received bool    // the call has arrived whole or is malformed; bytes that follow are dropped
 
-	answered, writeClosed bool // its answer was given, and is written
+	answered    bool // the answer was passed to the connection
+	writeClosed bool // the answer is written whole, and the connection half-closed
 }
 
 func (o *ops) init(s *Scheduler) {
@@ -44,8 +46,8 @@
 	o.fleet.init()
 }
 
-// accept takes a caller. Of more than can be held the one that has stood for longest goes: who means to call
-// does so at once.
+// accept takes a connection of a caller. Beyond maxCallers the oldest connection is closed: a caller sends its call at once, so
+// the oldest is the least likely to be in use.
 func (o *ops) accept(conn eventloop.Conn) {
 	if len(o.callers) >= maxCallers {
 		o.callers[0].close()
@@ -56,6 +58,7 @@
 	o.callers = append(o.callers, c)
 }
 
+// sweep closes connections that are too old, and half-closes those whose answer has been written meanwhile.
 func (o *ops) sweep(now float64) {
 	for len(o.callers) > 0 && now > o.callers[0].since+callerTimeoutMs {
 		o.callers[0].close()
@@ -84,10 +87,11 @@
 	}
 }
 
+// traffic reads the call and answers it. A call that succeeded is answered only after successDelay.
 func (c *caller) traffic(eventloop.Conn) {
 	buf := c.conn.Peek()
 	if c.received {
-		c.conn.Discard(len(buf)) // closed with bytes unread, its answer might be lost
+		c.conn.Discard(len(buf)) // a connection closed with unread bytes is reset, and its answer might be lost
 		return
 	}
 	n, err := c.req.Feed(buf)
@@ -109,10 +113,11 @@
 	}
 }
 
-// answer ends the call with a word of text.
+// answerText answers the call with a plain text body.
 func (c *caller) answerText(status int, body string) { c.writeAnswer(status, "", body) }
 
-// reply ends the call. The caller closes the connection, or is closed in time. fields are further lines of the head.
+// writeAnswer answers the call. The caller then closes the connection, or sweep does. extraLines are further header lines, each
+// with its CRLF.
 func (c *caller) writeAnswer(status int, extraLines, body string) {
 	if c.received = true; c.conn == nil {
 		return
@@ -127,7 +132,8 @@
 	}
 }
 
-// finish ends this side of the connection once all of the answer is written: sooner, what is left of it would be lost.
+// shutdownWrite half-closes the connection once the answer is written whole: if done before, the rest of the answer would be
+// lost.
 func (c *caller) shutdownWrite() {
 	if c.answered && !c.writeClosed && c.conn.OutboundBuffered() == 0 {
 		c.writeClosed = true
@@ -135,7 +141,7 @@
 	}
 }
 
-// call carries out one call.
+// handle carries out one call and returns its answer.
 func (o *ops) handle(req *http1.Request) (status int, body string) {
 	path, query, _ := strings.Cut(req.Target, "?")
 	fence, err := parseFencedCall(req)
@@ -215,7 +221,9 @@
 	return status, body
 }
 
-// set takes what staff did with a worker, here or at another process, where it is newer than what is known.
+// set applies a record of a worker, made here or by another process, if it is newer than the known one: the module learns
+// whether the worker is out of service. Of two records with the same time, the one with the
+// higher change number is kept.
 func (o *ops) set(id string, rec record) {
 	former := o.staffed[id]
 	if rec.at() <= former.at() {
@@ -232,7 +240,7 @@
 		o.s.drive.mod.Returned(rec.Back, id)
 	}
 	if target := o.s.pool.target(id); target != nil && rec.out() {
-		target.leave() // it restarts meanwhile, so its idle connections are of no use
+		target.leave() // closes idle connections: the worker is restarted while it is out, and they end with it
 	}
 	o.s.log.Printf("msg=worker id=%q out=%t", id, rec.out())
 }
