--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -12,35 +12,34 @@
 	"shalebeam/startup"
 )
 
-// Node is what one scheduler is told of its machine and its deployment. It comes from Load or Parse.
+// Node is the configuration of one scheduler: its machine and its deployment. It is made by Load or Parse, which check it.
 type Node struct {
 	Name       string   `json:"name"`
 	Listen     string   `json:"listen"`
 	Discovery  string   `json:"discovery"`
-	Mgmt       string   `json:"mgmt"`  // the second address, for staff; without one there is none
-	Agent      string   `json:"agent"` // of this machine's agent, which knows who is out; without one nobody is asked
+	Mgmt       string   `json:"mgmt"`  // the management address; "": there is none
+	Agent      string   `json:"agent"` // address of this machine's agent, asked at the start for workers out of service; "": none
 	Seed       string   `json:"seed"`
 	Limits     Limits   `json:"limits"`
 	PeerListen string   `json:"peer_listen"`
-	Peers      []string `json:"peers"`     // of each scheduler, by number
-	PeersAll   string   `json:"peers_all"` // reaches all of them
-	// Known is the list of workers as this scheduler last had it.
+	Peers      []string `json:"peers"`     // the peer address of each scheduler, by its number
+	PeersAll   string   `json:"peers_all"` // an address on which a datagram reaches all peers
+	// Known is discovery's list of workers as this scheduler last had it, to begin with.
 	Known    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
 	told startup.Told
-	raw  []byte // all of it
+	raw  []byte // the whole configuration as it was read
 }
 
-// Limits is how much of its machine the program may use.
+// Limits is how much of its machine the program may use. 0 is no limit on cores and memory, and defaultSockets for sockets.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Load reads and checks the file that tells a scheduler of its machine. mgmt is its second address where the
-// file names none.
+// Load reads and checks a configuration file. mgmt is the management address if the file names none.
 func Load(path, mgmt string) (*Node, error) {
 	if path == "" {
 		return nil, fmt.Errorf("no configuration file is named")
@@ -62,7 +61,7 @@
 	return n, nil
 }
 
-// Parse checks what such a file holds.
+// Parse decodes and checks the contents of a configuration file.
 func Parse(raw []byte) (*Node, error) {
 	n := &Node{raw: raw}
 	if err := json.Unmarshal(raw, n); err != nil {
@@ -74,8 +73,9 @@
 	return n, nil
 }
 
-// retuned is n with all of another configuration that may change while a scheduler runs, and the keys of what
-// differs and waits for a restart. The seed is new with each start, and the known list only begins one.
+// reloaded returns n with all settings of another configuration that may change while a scheduler runs, and the keys of those
+// that differ and need a restart. Differences of the seed, which is new with each start, and of the known list, which is only
+// used at a start, are ignored.
 func (n *Node) reloaded(other *Node) (result *Node, kept []string, err error) {
 	if key := startup.Lacks(n.raw, other.raw); key != "" {
 		return nil, nil, fmt.Errorf("%s is missing, and the settings in force have it", key)
@@ -97,6 +97,7 @@
 	return &merged, append(kept, moreKept...), err
 }
 
+// check validates the configuration, decodes its settings, and sets defaults.
 func (n *Node) check() error {
 	if n.Name == "" {
 		return fmt.Errorf("name is missing")
@@ -123,11 +124,11 @@
 		return fmt.Errorf("seed: %q is not a number of up to 16 hex digits", n.Seed)
 	}
 	if n.Limits.Cores < 0 || n.Limits.MemoryMB < 0 || n.Limits.Sockets < 0 {
-		return fmt.Errorf("limits: a limit is below 0")
+		return fmt.Errorf("limits: got cores %v, memory_mb %d, sockets %d, expected none below 0", n.Limits.Cores,
+			n.Limits.MemoryMB, n.Limits.Sockets)
 	}
 	if n.Limits.Sockets > 0 && n.Limits.Sockets < minSockets {
-		return fmt.Errorf("limits: sockets is %d, and %d are the fewest to serve with", n.Limits.Sockets,
-			minSockets)
+		return fmt.Errorf("limits: sockets is %d, expected at least %d", n.Limits.Sockets, minSockets)
 	}
 	if len(n.Settings) == 0 {
 		return fmt.Errorf("settings is missing")
@@ -136,7 +137,7 @@
 		return err
 	}
 	if t := &n.told.Terms; t.Messages && n.PeerListen != "" && (len(n.Peers) != t.Peers || t.Me >= t.Peers) {
-		return fmt.Errorf("peers: there are %d, and the settings tell of number %d of %d",
+		return fmt.Errorf("peers: there are %d addresses, but the settings have my_number %d and peers_total %d",
 			len(n.Peers), t.Me, t.Peers)
 	}
 	seen := map[string]bool{}
@@ -152,7 +153,7 @@
 	if n.told.Idle <= 0 {
 		n.told.Idle = defaultIdleMs
 	}
-	// On sockets the list never comes by itself.
+	// This program gets discovery's list only by asking for it; nothing pushes it.
 	n.told.Terms.MustAsk = true
 	if n.told.Terms.AskIn <= 0 {
 		n.told.Terms.AskIn = defaultAskMs
@@ -164,9 +165,11 @@
 }
 
 const (
-	minSockets     = 64
+	minSockets = 64 // the fewest descriptors with which a scheduler serves
+
+	// Defaults for what the configuration does not give.
 	defaultSockets = 1024
-	defaultDialMs  = 1000.0
-	defaultIdleMs  = 10000.0
-	defaultAskMs   = 10000.0
+	defaultDialMs  = 1000.0  // time for a connection to be made
+	defaultIdleMs  = 10000.0 // after which a worker closes an idle connection
+	defaultAskMs   = 10000.0 // within which discovery has to be asked again, else its list is not relied on
 )
