--- a/scheduler/phases.go
+++ b/scheduler/phases.go
@@ -2,10 +2,10 @@
 // Package balance, here called the module, decides when and to which worker a txn is posted; this package only carries out
 // its decisions. All of it runs on one event loop, which owns the module and all state, so there are no locks.
 //
-// The files: node (configuration), phases (start, drain and stop; this one), clients (connections of clients), request (reading
-// a client's request), pool (connections to workers), roster (watching discovery), peers (datagrams among schedulers), ops and
-// metrics (the management address), fleet (calls there by owners of the fleet), handover, pass and records (hot restart: two
-// processes of one scheduler), clock, and drive (carrying out the module's decisions).
+// The files: node (configuration), phases (start, drain and stop; this one), clients (connections of clients), request
+// (reading a client's request), pool (connections to workers), roster (watching discovery), peers (datagrams among
+// schedulers), ops and metrics (the management address), fleet (calls there by owners of the fleet), handover, transfer and
+// records (hot restart: two processes of one scheduler), clock, and drive (carrying out the module's decisions).
 package scheduler
 
 import (
