--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -28,8 +28,8 @@
 	Known    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	told startup.Told
-	raw  []byte // the whole configuration as it was read
+	told startup.Told // the settings, decoded
+	raw  []byte       // the whole configuration as it was read
 }
 
 // Limits is how much of its machine the program may use. 0 is no limit on cores and memory, and defaultSockets for sockets.
