--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -14,210 +14,222 @@
 	"shalebeam/http1"
 )
 
-// What an owner of the fleet may tell this scheduler. A call of staff's own carries nothing of this and is as it ever
-// was. A fleet's carries the matter, its owner's number and the start of the scheduler that it is meant for: an owner
-// that was replaced may not know it yet, and its calls may lie in a stalled link for minutes.
+// Calls of the fleet's agents to the management address. The owner of a matter (the resource that a lease of the fleet
+// covers, such as a zone) sends with each call the matter, its fencing token and the id of the scheduler's start that the
+// call is meant for: an owner that was replaced may not know it yet, and its calls may be delayed in a stalled link for
+// minutes. Calls by staff carry none of these and are not fenced.
 
 const (
-	fenceField  = "fleet-fence" // MATTER NUMBER
-	startField  = "fleet-start"
-	changeField = "fleet-change" // the number of the change on record, of a call on a worker
-	mostMatters = 256            // that a number is kept of; the fleet has one a zone
-	mostStaffed = 4096           // workers of which it is kept that they are out; told by the fleet before the list names them
-	agentMost   = 2 * time.Second
-	agentBytes  = 1 << 20
+	fenceHeader  = "fleet-fence"  // the matter and the fencing token, a decimal above 0, with a space between
+	startHeader  = "fleet-start"  // fleet.start of the scheduler's start that the call is meant for
+	changeHeader = "fleet-change" // of a call on a worker: the number of the change in the fleet's record
+	maxMatters   = 256            // matters whose highest token is kept; the fleet has one for each zone
+	// Workers of which a record is kept. The fleet may take out workers that discovery's list does not name yet, so the list does
+	// not bound the number.
+	mostStaffed   = 4096
+	agentTimeout  = 2 * time.Second // for the whole call to the agent
+	maxAgentBytes = 1 << 20         // of the body of its answer
 )
 
-// fenced is what such a call carries.
-type fenced struct {
+// fencedCall holds the header fields of a call by the fleet.
+type fencedCall struct {
 	matter string
-	number uint64
+	token  uint64
 	start  string
-	change uint64
+	change uint64 // 0: none given
 }
 
-// fleet is what this scheduler keeps of it.
+// fleet is what this scheduler knows of the fleet's owners.
 type fleet struct {
-	start   string            // tells this start from others; an upgrade goes on with it
-	numbers map[string]uint64 // the highest of each matter that was seen
+	start   string            // random id of this start of the scheduler; the new process of a hot restart takes it over
+	numbers map[string]uint64 // the highest fencing token seen of each matter
 }
 
 func (f *fleet) init() {
 	*f = fleet{start: strconv.FormatUint(rand.Uint64()|1<<63, 16), numbers: map[string]uint64{}}
 }
 
-// fencedBy reads what a call carries, nil where it is staff's own.
-func fencedBy(q *http1.Request) (*fenced, error) {
-	text, ok := q.Fields().Get(fenceField)
+// parseFencedCall reads the header fields of a fleet's call. It returns nil for a call by staff.
+func parseFencedCall(req *http1.Request) (*fencedCall, error) {
+	text, ok := req.Fields().Get(fenceHeader)
 	if !ok {
 		return nil, nil
 	}
-	matter, number, _ := strings.Cut(text, " ")
-	n, err := strconv.ParseUint(number, 10, 64)
-	if err != nil || matter == "" || len(matter) > 200 || n == 0 {
+	matter, tokenText, _ := strings.Cut(text, " ")
+	token, err := strconv.ParseUint(tokenText, 10, 64)
+	if err != nil || matter == "" || len(matter) > 200 || token == 0 {
 		return nil, fmt.Errorf("fleet-fence is to be a matter and a number above 0")
 	}
-	start, ok := q.Fields().Get(startField)
+	start, ok := req.Fields().Get(startHeader)
 	if !ok {
 		return nil, fmt.Errorf("fleet-start is missing")
 	}
-	c := &fenced{matter: matter, number: n, start: start}
-	if text, ok := q.Fields().Get(changeField); ok {
-		if c.change, err = strconv.ParseUint(text, 10, 64); err != nil {
+	call := &fencedCall{matter: matter, token: token, start: start}
+	if text, ok := req.Fields().Get(changeHeader); ok {
+		if call.change, err = strconv.ParseUint(text, 10, 64); err != nil {
 			return nil, fmt.Errorf("fleet-change is to be a number")
 		}
 	}
-	return c, nil
+	return call, nil
 }
 
-// passes tells whether such a call counts, else how it is answered.
-func (f *fleet) passes(c *fenced) (status int, body string) {
-	switch known, ok := f.numbers[c.matter]; {
-	case c.start != f.start && !planted("former-start"):
-		// What was meant for a former life that has ended: this one remembers no number to judge it by.
+// checkCall returns status 0 if a fleet's call is valid, and otherwise the answer that refuses it: the call is meant for
+// another start, its fencing token is older than one already seen, or there are too many matters.
+func (f *fleet) checkCall(call *fencedCall) (status int, body string) {
+	switch highest, ok := f.numbers[call.matter]; {
+	case call.start != f.start && !planted("former-start"):
+		// The call is meant for a former start, whose fencing tokens this one does not know, so it can't tell whether the call is
+		// stale.
 		return 409, "start " + f.start + "\n"
-	case c.number < known && !planted("no-fence"):
-		return 409, fmt.Sprintf("fence %s %d\n", c.matter, known)
-	case !ok && len(f.numbers) >= mostMatters:
+	case call.token < highest && !planted("no-fence"):
+		return 409, fmt.Sprintf("fence %s %d\n", call.matter, highest)
+	case !ok && len(f.numbers) >= maxMatters:
 		return 503, "no room for one more matter\n"
 	}
 	return 0, ""
 }
 
-// known is what the fleet asks before it tells anything.
-type known struct {
+// fleetStatus is what the fleet reads of a scheduler before it sends other calls, in JSON. The agent answers askAgent in the
+// same form.
+type fleetStatus struct {
 	Name   string            `json:"name"`
 	Start  string            `json:"start"`
 	Fences map[string]uint64 `json:"fences"`
-	Out    map[string]string `json:"out"` // workers that the fleet took out, and the matter
+	Out    map[string]string `json:"out"` // workers that the fleet took out of service, with the matter of the owner that did
 	Phase  string            `json:"phase"`
 	Txns   finals            `json:"txns"`
-	// Workers are those that the list has running, of the zone that was asked for: "warm", "cold", or "busy" for one that is
-	// out while postings of this scheduler still run there.
+	// Workers are those in service by discovery's list in the zone that was asked for: "warm", "cold", or "busy" for one that
+	// was taken out of service while postings of this scheduler still run there.
 	Workers map[string]string `json:"workers,omitempty"`
-	Stale   bool              `json:"stale,omitempty"`
+	Stale   bool              `json:"stale,omitempty"` // set by an agent that could not confirm that its record is current
 }
 
-// finals counts the answers of this process, by what came of the txn.
+// finals counts the txns that this process answered, by outcome.
 type finals struct {
 	Settled  int `json:"settled"`
 	Declined int `json:"declined"`
 	Reversed int `json:"reversed"`
 }
 
-func (o *ops) known(zone string) string {
-	k := known{Name: o.s.node.Name, Start: o.fleet.start, Fences: o.fleet.numbers, Out: map[string]string{},
+// fleetStatusJSON returns the fleetStatus as a line of JSON. Workers are given only if a zone is named.
+func (o *ops) fleetStatusJSON(zone string) string {
+	status := fleetStatus{Name: o.s.node.Name, Start: o.fleet.start, Fences: o.fleet.numbers, Out: map[string]string{},
 		Phase: o.s.phase.String(), Txns: o.s.drive.finals}
 	if zone != "" {
-		k.Workers = map[string]string{}
+		status.Workers = map[string]string{}
 		zones := o.s.node.told.Zones
 		o.s.drive.mod.Shown(o.s.now(), func(id string, at int, cold bool, own int) {
 			switch {
 			case at < 0 || at >= len(zones) || zones[at] != zone:
 			case o.staffed[id].out() && own > 0:
-				k.Workers[id] = "busy"
+				status.Workers[id] = "busy"
 			case cold:
-				k.Workers[id] = "cold"
+				status.Workers[id] = "cold"
 			default:
-				k.Workers[id] = "warm"
+				status.Workers[id] = "warm"
 			}
 		})
 	}
 	for id, r := range o.staffed {
 		if r.out() && r.Fleet != "" {
-			k.Out[id] = r.Fleet
+			status.Out[id] = r.Fleet
 		}
 	}
-	raw, _ := json.Marshal(k) // strings and numbers alone
+	raw, _ := json.Marshal(status) // cannot fail: strings, numbers and maps only
 	return string(raw) + "\n"
 }
 
-// fence takes a new owner's number alone: from the yes on nothing of its predecessors counts here.
-func (o *ops) fence(c *fenced) (status int, body string) {
-	return o.change(c, func(in *records) (int, string) { return 200, "done\n" })
+// recordToken records a new owner's fencing token and does nothing else: once it has succeeded, calls by former owners are
+// refused.
+func (o *ops) recordToken(call *fencedCall) (status int, body string) {
+	return o.changeRecords(call, func(stored *records) (int, string) { return 200, "done\n" })
 }
 
-// change carries out a call under the lock that both processes of an upgrade share, where its number counts.
-func (o *ops) change(c *fenced, do func(in *records) (int, string)) (status int, body string) {
-	err := o.s.handover.keep(func(in *records) bool {
-		for m, n := range in.Fences {
-			o.fleet.numbers[m] = max(o.fleet.numbers[m], n)
+// changeRecords applies a change to the records file, under the lock that both processes of a hot restart share, if the call is
+// valid. A nil call is one by staff, which is not fenced.
+func (o *ops) changeRecords(call *fencedCall, apply func(stored *records) (int, string)) (status int, body string) {
+	err := o.s.handover.keep(func(stored *records) bool {
+		for matter, token := range stored.Fences {
+			o.fleet.numbers[matter] = max(o.fleet.numbers[matter], token)
 		}
-		if c != nil {
-			if status, body = o.fleet.passes(c); status != 0 {
+		if call != nil {
+			if status, body = o.fleet.checkCall(call); status != 0 {
 				return false
 			}
-			if c.number > o.fleet.numbers[c.matter] {
-				o.s.log.Printf("msg=fence matter=%q number=%d", c.matter, c.number)
+			if call.token > o.fleet.numbers[call.matter] {
+				o.s.log.Printf("msg=fence matter=%q number=%d", call.matter, call.token)
 			}
-			o.fleet.numbers[c.matter] = max(c.number, o.fleet.numbers[c.matter])
-			in.Fences = maps.Clone(o.fleet.numbers)
+			o.fleet.numbers[call.matter] = max(call.token, o.fleet.numbers[call.matter])
+			stored.Fences = maps.Clone(o.fleet.numbers)
 		}
-		status, body = do(in)
+		status, body = apply(stored)
 		return status == 200
 	})
 	if err != nil {
-		// Not kept it would be forgotten over an upgrade, after a yes.
+		// A change that is not written would be lost with a hot restart, though it was answered with success.
 		o.s.log.Printf("msg=worker state=refused err=%q", err)
 		return 503, "it could not be kept\n"
 	}
 	return status, body
 }
 
-// ask learns from this machine's agent who is out before it takes a client: one that starts from nothing would send
-// to workers that everybody else leaves alone. It waits for a bounded time and goes on without.
-func (o *ops) ask() {
+// askAgent learns from this machine's agent which workers the fleet took out of service, before the first client is accepted: a
+// scheduler that starts without records would send to workers that all others leave out. It waits for at most agentTimeout, and
+// goes on without if the agent does not answer.
+func (o *ops) askAgent() {
 	addr := o.s.node.Agent
 	if addr == "" || o.s.handover.others > 0 {
 		return
 	}
-	k, err := askAgent(addr, o.s.node.Name, o.fleet.start)
+	status, err := fetchFleetStatus(addr, o.s.node.Name, o.fleet.start)
 	if err != nil {
 		o.s.log.Printf("msg=agent state=unasked addr=%s err=%q", addr, err)
 		return
 	}
 	now := o.s.now()
-	for m, n := range k.Fences {
-		if len(o.fleet.numbers) < mostMatters {
-			o.fleet.numbers[m] = max(o.fleet.numbers[m], n)
+	for matter, token := range status.Fences {
+		if len(o.fleet.numbers) < maxMatters {
+			o.fleet.numbers[matter] = max(o.fleet.numbers[matter], token)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(k.Out)) {
+	for _, id := range slices.Sorted(maps.Keys(status.Out)) {
 		if !o.staffed[id].out() && len(o.staffed) < mostStaffed {
-			o.set(id, record{Since: now, Fleet: k.Out[id]})
+			o.set(id, record{Since: now, Fleet: status.Out[id]})
 		}
 	}
-	o.s.log.Printf("msg=agent state=asked addr=%s out=%d stale=%t", addr, len(k.Out), k.Stale)
+	o.s.log.Printf("msg=agent state=asked addr=%s out=%d stale=%t", addr, len(status.Out), status.Stale)
 }
 
-func askAgent(addr, name, start string) (k known, err error) {
-	by := time.Now().Add(agentMost)
-	conn, err := net.DialTimeout("tcp", addr, agentMost)
+// fetchFleetStatus asks the agent at addr for the workers that the fleet took out of service, for the scheduler of this name
+// and start.
+func fetchFleetStatus(addr, name, start string) (status fleetStatus, err error) {
+	deadline := time.Now().Add(agentTimeout)
+	conn, err := net.DialTimeout("tcp", addr, agentTimeout)
 	if err != nil {
-		return k, err
+		return status, err
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(by)
+	_ = conn.SetDeadline(deadline)
 	if _, err = fmt.Fprintf(conn, "GET /v1/out?scheduler=%s&start=%s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n",
 		strings.NewReplacer(" ", "%20", "%", "%25", "&", "%26", "\r", "", "\n", "").Replace(name), start, addr); err != nil {
-		return k, err
+		return status, err
 	}
-	var r http1.Response
-	r.Reset(http1.Limits{Head: 4 << 10, Body: agentBytes})
+	var response http1.Response
+	response.Reset(http1.Limits{Head: 4 << 10, Body: maxAgentBytes})
 	buf := make([]byte, 0, 4<<10)
-	for piece := make([]byte, 4<<10); !r.Done(); {
+	for piece := make([]byte, 4<<10); !response.Done(); {
 		n, err := conn.Read(piece)
 		buf = append(buf, piece[:n]...)
-		used, bad := r.Feed(buf)
-		if buf = buf[used:]; bad != nil {
-			return k, bad
+		used, parseErr := response.Feed(buf)
+		if buf = buf[used:]; parseErr != nil {
+			return status, parseErr
 		}
-		if err != nil && !r.Done() {
-			return k, err
+		if err != nil && !response.Done() {
+			return status, err
 		}
 	}
-	if r.Status != 200 {
-		return k, fmt.Errorf("it answered %d", r.Status)
+	if response.Status != 200 {
+		return status, fmt.Errorf("agent answered status %d, expected 200", response.Status)
 	}
-	return k, json.Unmarshal(r.Body(), &k)
+	return status, json.Unmarshal(response.Body(), &status)
 }
