--- a/scheduler/handover.go
+++ b/scheduler/handover.go
@@ -16,66 +16,76 @@
 	"shalebeam/scheduler/transient"
 )
 
-// A new version is started while the old one serves. Both are one scheduler to the rules and to the
-// platform's limits, and share the clients' address, a queue each. What they know of each other are locks on
-// a file in $TMPDIR, which the kernel frees with their process, and a second file that says who is out.
+// Hot restart: a new process of a scheduler is started while the old one serves. The load balancing rules and the platform's
+// limits count both as one scheduler. They share the clients' address with SO_REUSEPORT, so each has an accept queue of its
+// own. They find each other by locks on a file in $TMPDIR, which the kernel releases when a process ends, and share a second
+// file with the workers that staff or the fleet took out of service (see records).
 
-// The bytes that are locked. Each process has one of the last two kinds, by its number.
+// Offsets of the locked bytes in the lock file. Each process locks a byte of processLocks while it runs, and one of
+// servingLocks while it accepts clients, at the offset of its processNumber in these ranges.
 const (
-	mayCold   = 0 // it may send to cold workers
-	mayWhole  = 1 // it may use more than its part of the limits
-	mayWrite  = 2 // it writes the file of who is out
-	isServing = 1 << 32
-	isHere    = 2 << 32
-	kindSize  = 1 << 32
+	lockColdWorkers = 0 // held by the one process that may send to cold workers
+	lockFullLimits  = 1 // held by a process that uses, or did not yet give back, more than its share of the limits
+	mayWrite        = 2 // held while a process writes the records file
+	servingLocks    = 1 << 32
+	processLocks    = 2 << 32
+	lockRangeSize   = 1 << 32
 )
 
 const (
-	lookEvery = 20.0   // in company: so old may be what a process knows of who is out, for any posting it makes
-	tellFor   = 40.0   // hence a yes waits so long
-	makeRoom  = 2000   // ms for the other to make room; it does within a sweep, and ready is due in 6 s
-	roomEvery = 10     // ms
-	giveFor   = 1000.0 // a message that is half read or written by then stays, and has two seconds more
-	passFor   = 50.0   // what waited in this one's queue before says nothing of the place
-	// A question about a lock that fails for the moment is asked again so often.
-	lockRepeats = 20
-	keptOut     = 300e3 // for so long it is kept when a worker was put back: longer than any is cold
+	// While there are other processes, the records are read again before an event if they were last read longer ago than this, in
+	// ms: it bounds the staleness of what a process knows of the workers out of service whenever it posts.
+	lookEvery           = 20.0
+	recordPropagationMs = 40.0 // above lookEvery, so every process has read the change; see successDelay
+	// How long a new process waits for the other one to reduce its use of the limits. That takes the other one a sweep, and
+	// readiness is due 6 s after the start.
+	roomTimeoutMs = 2000
+	roomPollMs    = 10
+	// How long after the begin of a drain connections are transferred. One that is still in the middle of a message then stays
+	// with the draining process, which has 2 s more.
+	transferTimeoutMs = 1000.0
+	// Connections that arrive within this time after a change of steering may have been queued here before it, and don't tell
+	// whether the steering index is this process's own.
+	steerSettleMs = 50.0
+	lockAttempts  = 20 // of a system call on locks that fails for a transient reason
+	// How long, in ms, the record of a worker is kept after the worker was put back: longer than any worker is cold.
+	keptOut = 300e3
 )
 
-// handover is what one process knows of others of its scheduler.
+// handover is what one process knows of the other processes of its scheduler.
 type handover struct {
-	s      *Scheduler
-	lock   *os.File // nil: there is no such file, and so no company
-	path   string   // of the file of who is out
-	number int64
-	others int     // processes beside this one
-	heir   bool    // one of them takes clients, and this one drains
-	cold   bool    // this one may send to cold workers
-	whole  bool    // and use all of the limits
-	lookAt float64 // when to look for others, or whether the file has changed
-	seen   os.FileInfo
-	place  uint32            // of the address's group, where clients are sent to
-	passed float64           // when that was last told
-	from   *net.UnixListener // where another one passes on what it has open; nil: none can
-	to     int               // where this one does; 0: nowhere
-	giving bool              // give is at work
-	gave   int               // connections of clients passed on, and txns taken
-	got    int
+	s                *Scheduler
+	lock             *os.File          // the lock file; nil: there is none, and other processes are not looked for
+	path             string            // of the records file
+	processNumber    int64             // this process's offset in processLocks and servingLocks
+	others           int               // processes of this scheduler beside this one
+	hasSuccessor     bool              // this process drains and another one accepts clients
+	mayUseCold       bool              // this process holds lockColdWorkers
+	mayUseFullLimits bool              // this process may use all of the limits, not only its share
+	lookAt           float64           // when to look for other processes and changes of the records file next, in ms
+	seen             os.FileInfo       // the records file as it was read last
+	steerIndex       uint32            // index in the SO_REUSEPORT group that connections are directed to
+	steeredAt        float64           // when steerIndex was set, in ms
+	transferListener *net.UnixListener // accepts draining processes that transfer connections; nil: not listening
+	successorFD      int               // socket to the successor's transferListener; 0: not connected
+	transferring     bool              // transferClients is running
+	clientsSent      int               // client connections transferred to the successor
+	txnsReceived     int               // txns taken over from draining processes
 }
 
 func (h *handover) init(s *Scheduler) {
-	*h = handover{s: s, cold: true, whole: true}
+	*h = handover{s: s, mayUseCold: true, mayUseFullLimits: true}
 }
 
-// enter makes this process known, and waits till another one has made room. An address whose port is to be
-// any is shared with nobody.
-func (h *handover) enter() {
+// join registers this process among those of its scheduler, and waits until another one has reduced its use of the limits to
+// its share. A client address with port 0 gets a free port, and so is shared with no other process.
+func (h *handover) join() {
 	if _, port, _ := net.SplitHostPort(h.s.node.Listen); port == "0" {
 		return
 	}
 	base := filepath.Join(os.TempDir(), "shalebeam-"+strings.NewReplacer(":", "-", "[", "", "]", "").Replace(
 		h.s.node.Listen))
-	err := transient.Retry(startFor/2, transient.FileError, func() (err error) {
+	err := transient.Retry(startTimeout/2, transient.FileError, func() (err error) {
 		h.lock, err = os.OpenFile(base+".lock", os.O_RDWR|os.O_CREATE, 0o600)
 		return err
 	})
@@ -85,216 +95,223 @@
 		return
 	}
 	h.path = base + ".out"
-	// Another one's number may be the same where it counts processes on its own.
-	for h.number = int64(os.Getpid()); !h.take(isHere + h.number); h.number++ {
-		if h.number > int64(os.Getpid())+9 {
-			h.s.log.Printf("msg=handover state=off err=%q", "no lock is to be had on "+h.lock.Name())
+	// Process ids of different PID namespaces may be the same: then the next number is taken.
+	for h.processNumber = int64(os.Getpid()); !h.take(processLocks + h.processNumber); h.processNumber++ {
+		if h.processNumber > int64(os.Getpid())+9 {
+			h.s.log.Printf("msg=handover state=off err=%q", "none of 11 process locks is free on "+h.lock.Name())
 			h.lock.Close()
 			h.lock = nil
 			return
 		}
 	}
-	h.cold, h.whole = h.take(mayCold), h.take(mayWhole)
-	h.others = h.count(isHere)
-	for range makeRoom / roomEvery {
-		if h.whole || h.others == 0 || !h.taken(mayWhole) {
+	h.mayUseCold, h.mayUseFullLimits = h.take(lockColdWorkers), h.take(lockFullLimits)
+	h.others = h.countOthers(processLocks)
+	for range roomTimeoutMs / roomPollMs {
+		if h.mayUseFullLimits || h.others == 0 || !h.isLockedByOther(lockFullLimits) {
 			break
 		}
-		time.Sleep(roomEvery * time.Millisecond)
+		time.Sleep(roomPollMs * time.Millisecond)
 	}
 	if h.others > 0 {
-		h.s.log.Printf("msg=handover state=company others=%d room=%t", h.others, !h.taken(mayWhole))
+		h.s.log.Printf("msg=handover state=company others=%d room=%t", h.others, !h.isLockedByOther(lockFullLimits))
 	}
-	if h.whole = h.whole && h.others == 0; h.others > 0 {
-		h.await()
+	if h.mayUseFullLimits = h.mayUseFullLimits && h.others == 0; h.others > 0 {
+		h.listenForTransfers()
 	}
-	if !h.cold {
+	if !h.mayUseCold {
 		h.s.drive.mod.Yields()
 	}
 	h.read()
 }
 
-// serves makes it known that this process takes clients.
-func (h *handover) serves() {
+// markServing tells the other processes that this one accepts clients.
+func (h *handover) markServing() {
 	if h.lock != nil {
-		h.take(isServing + h.number)
+		h.take(servingLocks + h.processNumber)
 	}
 }
 
-// take takes the lock on one byte, and tells whether it got it.
-func (h *handover) take(at int64) bool { return h.set(at, unix.F_WRLCK) }
+// take tries to lock one byte of the lock file, without waiting, and tells whether this process has the lock.
+func (h *handover) take(at int64) bool { return h.setLock(at, unix.F_WRLCK) }
 
-func (h *handover) drop(at int64) { h.set(at, unix.F_UNLCK) }
+// drop unlocks one byte of the lock file.
+func (h *handover) drop(at int64) { h.setLock(at, unix.F_UNLCK) }
 
-func (h *handover) set(at int64, kind int16) bool {
-	return h.control(unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Whence: io.SeekStart, Start: at, Len: 1}) == nil
+func (h *handover) setLock(at int64, kind int16) bool {
+	return h.fcntlLock(unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Whence: io.SeekStart, Start: at, Len: 1}) == nil
 }
 
-// control asks the kernel about locks, again where it was interrupted or short of memory: a lock that is not seen is a process
-// that is not seen.
-func (h *handover) control(command int, l *unix.Flock_t) (err error) {
-	for range lockRepeats {
-		asked := *l
+// fcntlLock makes a system call on locks, and repeats it if it was interrupted or short of memory: a lock that goes unnoticed
+// would hide the process that holds it.
+func (h *handover) fcntlLock(command int, lock *unix.Flock_t) (err error) {
+	for range lockAttempts {
+		asked := *lock
 		if err = unix.FcntlFlock(h.lock.Fd(), command, &asked); err == nil {
-			*l = asked
+			*lock = asked
 			return nil
 		}
 		if err == unix.EAGAIN || err == unix.EACCES || !transient.FileError(err) {
-			return err // another process has it
+			return err // another process has the lock, or the error is permanent
 		}
 	}
 	return err
 }
 
-// other finds the first byte in a range that another process has locked.
-func (h *handover) other(from, to int64) (at int64, ok bool) {
-	l := unix.Flock_t{Type: unix.F_WRLCK, Whence: io.SeekStart, Start: from, Len: to - from}
-	if err := h.control(unix.F_OFD_GETLK, &l); err != nil || l.Type == unix.F_UNLCK {
+// firstLockedByOther finds the first byte in [from, to) that another process has locked, and tells whether there is one.
+func (h *handover) firstLockedByOther(from, to int64) (at int64, ok bool) {
+	lock := unix.Flock_t{Type: unix.F_WRLCK, Whence: io.SeekStart, Start: from, Len: to - from}
+	if err := h.fcntlLock(unix.F_OFD_GETLK, &lock); err != nil || lock.Type == unix.F_UNLCK {
 		return 0, false
 	}
-	return max(l.Start, from), true
+	return max(lock.Start, from), true
 }
 
-func (h *handover) taken(at int64) bool {
-	_, ok := h.other(at, at+1)
+func (h *handover) isLockedByOther(at int64) bool {
+	_, ok := h.firstLockedByOther(at, at+1)
 	return ok
 }
 
-// count is how many other processes have a byte of this kind.
-func (h *handover) count(kind int64) (n int) {
-	for at, ok := h.other(kind, kind+kindSize); ok; at, ok = h.other(at+1, kind+kindSize) {
+// countOthers returns how many bytes other processes have locked in the range that starts at kind, which is processLocks or
+// servingLocks. Each process locks at most one byte of a range.
+func (h *handover) countOthers(kind int64) (n int) {
+	for at, ok := h.firstLockedByOther(kind, kind+lockRangeSize); ok; at, ok = h.firstLockedByOther(at+1, kind+lockRangeSize) {
 		n++
 	}
 	return n
 }
 
-// part is what this process may have of a limit.
-func (h *handover) part(limit int) int {
-	if h.whole {
+// limitShare returns how much of a limit this process may use: all of it, or its equal part among all processes, of which at
+// least one other is assumed.
+func (h *handover) limitShare(limit int) int {
+	if h.mayUseFullLimits {
 		return limit
 	}
 	return limit / (1 + max(h.others, 1))
 }
 
-// sweep looks for others. It comes now and then, and often in company.
+// sweep looks for other processes and adjusts the limits, the right to send to cold workers, and the transfer of connections.
+// It runs every sweepEvery ms, and about every lookEvery ms while there are other processes.
 func (h *handover) sweep(now float64) {
 	if h.lock == nil {
 		return
 	}
-	if n := h.count(isHere); n != h.others {
+	if n := h.countOthers(processLocks); n != h.others {
 		h.s.log.Printf("msg=handover state=company others=%d", n)
 		h.others = n
-		h.bound()
-		if n == 0 && h.from != nil {
-			h.s.log.Printf("msg=handover state=alone txns_taken=%d", h.got)
-			h.from.Close()
-			h.from = nil
+		h.applyLimits()
+		if n == 0 && h.transferListener != nil {
+			h.s.log.Printf("msg=handover state=alone txns_taken=%d", h.txnsReceived)
+			h.transferListener.Close()
+			h.transferListener = nil
 		}
 	}
-	if h.others > 0 && h.whole {
-		h.whole = false
-		h.bound()
+	if h.others > 0 && h.mayUseFullLimits {
+		h.mayUseFullLimits = false
+		h.applyLimits()
 	}
 	switch {
 	case h.others > 0:
-		// The other one waits for this before it begins.
-		if h.s.held() <= h.s.sockets() {
-			h.drop(mayWhole)
+		// The new process waits for this in join before it serves.
+		if h.s.heldDescriptors() <= h.s.sockets() {
+			h.drop(lockFullLimits)
 		}
-	case !h.whole && h.take(mayWhole):
-		h.whole = true
-		h.bound()
+	case !h.mayUseFullLimits && h.take(lockFullLimits):
+		h.mayUseFullLimits = true
+		h.applyLimits()
 	}
 	if h.s.phase == draining {
-		if heir := h.count(isServing) > 0; heir && !h.heir {
+		if hasSuccessor := h.countOthers(servingLocks) > 0; hasSuccessor && !h.hasSuccessor {
 			h.s.log.Printf("msg=handover state=passed")
-			h.heir = true
+			h.hasSuccessor = true
 			h.s.drive.mod.Yields()
-			h.cold = false
-			h.drop(mayCold)
-			h.pass()
-			h.reach()
+			h.mayUseCold = false
+			h.drop(lockColdWorkers)
+			h.steerToNext()
+			h.connectSuccessor()
 		}
-		if h.give(); h.to != 0 && now > h.s.drained+giveFor {
-			h.hangUp()
+		if h.transferClients(); h.successorFD != 0 && now > h.s.drained+transferTimeoutMs {
+			h.disconnectSuccessor()
 		}
-		h.s.hurry()
-	} else if !h.cold && h.take(mayCold) {
-		h.cold = true
+		h.s.applyDrainDeadline()
+	} else if !h.mayUseCold && h.take(lockColdWorkers) {
+		h.mayUseCold = true
 		h.s.drive.mod.Leads(now)
 	}
 }
 
-// wake is when to try again to pass on what could not be.
+// wake returns the time of the next attempt to transfer the remaining connections, in ms, or infinity if none is transferred.
 func (h *handover) wake() float64 {
-	if h.to == 0 {
+	if h.successorFD == 0 {
 		return math.Inf(1)
 	}
 	return h.lookAt
 }
 
-// bound fits all that is bounded to this process's part of the limits.
-func (h *handover) bound() {
+// applyLimits fits clients, worker connections and memory to this process's share of the limits.
+func (h *handover) applyLimits() {
 	s := h.s
-	s.clients.bound()
+	s.clients.applyLimits()
 	s.pool.bound()
 	if mb := s.node.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(h.part(mb<<20)) / 4 * 3)
+		debug.SetMemoryLimit(int64(h.limitShare(mb<<20)) / 4 * 3) // bytes
 	}
 }
 
-// held is about how many descriptors this process holds.
-func (s *Scheduler) held() int {
+// heldDescriptors returns about how many descriptors this process has open.
+func (s *Scheduler) heldDescriptors() int {
 	return ownSockets + len(s.clients.all) + len(s.pool.conns) + s.pool.dials
 }
 
-// drains takes that this process takes no more clients than come by themselves.
-func (h *handover) drains() {
+// beginDrain tells the other processes that this one drains. Clients that still connect here are served.
+func (h *handover) beginDrain() {
 	if h.lock != nil {
-		h.drop(isServing + h.number)
+		h.drop(servingLocks + h.processNumber)
 		h.sweep(h.s.now())
 	}
 }
 
-// pass has new connections, and messages of peers, go to another process's queue: by a program of one line
-// that names a place in the address's group. What waits in this one's queue is still taken. Which place is
-// another's is not told, so one that brings something here is followed by the next; one that is not there
-// leaves the choice to the kernel.
-func (h *handover) pass() {
-	h.place, h.passed = (h.place+1)%uint32(h.others+2), h.s.now()
-	h.steer(h.s.clientsAt)
+// steerToNext directs new client connections and peers' datagrams to the next socket of the address's SO_REUSEPORT group, with
+// a classic BPF program of one instruction that returns the socket's index. What already waits in this process's queues is
+// still handled here. The kernel does not tell which index belongs to which process: if anything still arrives here (see came),
+// the next index is tried. With an index that is out of range the kernel chooses the socket itself.
+func (h *handover) steerToNext() {
+	h.steerIndex, h.steeredAt = (h.steerIndex+1)%uint32(h.others+2), h.s.now()
+	h.steerListener(h.s.clientsAt)
 	if h.s.peers.at != nil {
-		h.steer(h.s.peers.at)
+		h.steerListener(h.s.peers.at)
 	}
 }
 
-func (h *handover) steer(at *eventloop.Listener) {
-	give := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: h.place}
-	err := unix.SetsockoptSockFprog(at.Fd(), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
-		&unix.SockFprog{Len: 1, Filter: &give})
+// steerListener attaches the program for the current index to the SO_REUSEPORT group of a listener.
+func (h *handover) steerListener(listener *eventloop.Listener) {
+	program := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: h.steerIndex}
+	err := unix.SetsockoptSockFprog(listener.Fd(), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
+		&unix.SockFprog{Len: 1, Filter: &program})
 	if err != nil {
-		h.s.log.Printf("msg=handover state=shared addr=%s err=%q", at.Addr(), err)
+		h.s.log.Printf("msg=handover state=shared addr=%s err=%q", listener.Addr(), err)
 	}
 }
 
-// unsteer removes what a process that has drained may have left: it may name any place.
-func (h *handover) unsteer() {
+// removeSteering detaches the program that a draining process may have left on the group: its index may be that of any socket.
+func (h *handover) removeSteering() {
 	if h.others > 0 {
-		_ = unix.SetsockoptInt(h.s.clientsAt.Fd(), unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0) // there may be none
+		_ = unix.SetsockoptInt(h.s.clientsAt.Fd(), unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0) // fails if there is none
 	}
 }
 
-// came takes that a client has connected, or a peer's message has come.
+// came is called when a client has connected or a peer's datagram has arrived. While this process should get neither, the next
+// index is tried.
 func (h *handover) came() {
-	if h.heir && h.s.now() > h.passed+passFor {
-		h.pass()
+	if h.hasSuccessor && h.s.now() > h.steeredAt+steerSettleMs {
+		h.steerToNext()
 	}
 }
 
-// settles is how long a yes has to wait: till no process posts by what was known before.
-func (h *handover) settles() time.Duration {
-	if h.lock == nil || h.count(isHere) == 0 {
+// successDelay returns how long the success of a call that changes the records must be held back: until no process posts by the
+// former records.
+func (h *handover) successDelay() time.Duration {
+	if h.lock == nil || h.countOthers(processLocks) == 0 {
 		return 0
 	}
-	return time.Duration(tellFor * float64(time.Millisecond))
+	return time.Duration(recordPropagationMs * float64(time.Millisecond))
 }
