--- a/scheduler/eventloop/conn.go
+++ b/scheduler/eventloop/conn.go
@@ -8,60 +8,62 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is a stream connection on a loop. Its methods are for the loop's goroutine.
+// Conn is a stream connection on a loop. Its methods may be called on the loop's goroutine only.
 type Conn interface {
-	// Peek returns all bytes that wait to be used. They are good until the next call of Discard, or of the loop.
+	// Peek returns all bytes that were read and not yet discarded. The slice is valid until the next call of Discard, and no
+	// longer than the current callback.
 	Peek() []byte
-	// Discard drops the first n bytes that wait.
+	// Discard drops the first n of the bytes that Peek returns.
 	Discard(n int)
-	// Write sends, or keeps what the system does not take yet. Where the connection turns out to have ended, it is closed within
-	// the call.
+	// Write sends b; bytes that the kernel's send buffer does not take yet are buffered and sent later. If the connection turns
+	// out to have ended, it is closed, and the handler's Closed called, within the call.
 	Write(b []byte) error
-	// Since is the earliest time at which the bytes that were read last may have come.
+	// Since is the earliest time at which the bytes that were read last may have arrived in the kernel.
 	Since() time.Time
-	// SetWriteDeadline ends the connection with os.ErrDeadlineExceeded instead of sending, after that time, what was kept.
+	// SetWriteDeadline sets the time after which buffered bytes are no longer sent: the connection is then closed with
+	// os.ErrDeadlineExceeded as soon as it becomes writable.
 	SetWriteDeadline(t time.Time)
-	// InboundBuffered is how many bytes wait to be used.
+	// InboundBuffered is the number of bytes that Peek returns.
 	InboundBuffered() int
-	// OutboundBuffered is how many bytes the system has not taken yet.
+	// OutboundBuffered is the number of written bytes that the kernel has not taken yet.
 	OutboundBuffered() int
-	// Close ends the connection; the handler is told within the call. A second call does nothing.
+	// Close closes the connection; the handler's Closed is called within the call. A second call does nothing.
 	Close()
-	// Fd is the descriptor, which stays the connection's.
+	// Fd returns the descriptor. The connection still owns it: the caller must not close it.
 	Fd() int
-	// Context is what Dial or Adopt was given, or SetContext last.
+	// Context returns the value given to Dial or Adopt, or to the last call of SetContext.
 	Context() any
-	// SetContext keeps a value with the connection.
+	// SetContext attaches a value to the connection.
 	SetContext(any)
 }
 
 type conn struct {
-	l        *Loop
-	fd       int
-	interest interest
-	context  any
-	open     bool
-	fresh    []byte // in the loop's buffer, for as long as the handler looks at it
-	in       []byte // left from earlier
-	out      []byte // not taken by the system yet
-	sendBy   time.Time
-	paused   *Timer // nothing is read or written until then
+	loop          *Loop
+	fd            int
+	interest      interest
+	context       any
+	open          bool
+	inLoopBuffer  []byte    // the bytes just read, in the loop's shared buffer; valid during the Traffic callback only
+	inbound       []byte    // bytes of earlier reads that were not discarded; they precede inLoopBuffer
+	outbound      []byte    // not taken by the kernel yet
+	writeDeadline time.Time // zero: none
+	pauseTimer    *Timer    // not nil while reads and writes are suspended because a resource is short
 }
 
-// add watches a descriptor as a connection.
-func (l *Loop) add(fd int, context any) *conn {
-	c := &conn{l: l, fd: fd, context: context, open: true, interest: interest{l: l, fd: fd, since: time.Now()}}
-	l.watched[fd] = c
+// addConn creates the connection of a descriptor; epoll does not report it before its interest is set.
+func (l *Loop) addConn(fd int, context any) *conn {
+	c := &conn{loop: l, fd: fd, context: context, open: true, interest: interest{loop: l, fd: fd, earliestArrival: time.Now()}}
+	l.sources[fd] = c
 	return c
 }
 
-// Adopt takes over the descriptor of a connection that is up; Opened follows within the call.
+// Adopt takes ownership of the descriptor of an established connection; the handler's Opened is called within the call.
 func (l *Loop) Adopt(fd int, context any) error {
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return err
 	}
 	unix.CloseOnExec(fd)
-	c := l.add(fd, context)
+	c := l.addConn(fd, context)
 	c.interest.set(unix.EPOLLIN)
 	l.handler.Opened(c)
 	return nil
@@ -70,39 +72,39 @@
 func (c *conn) Fd() int                { return c.fd }
 func (c *conn) Context() any           { return c.context }
 func (c *conn) SetContext(context any) { c.context = context }
-func (c *conn) InboundBuffered() int   { return len(c.in) + len(c.fresh) }
-func (c *conn) OutboundBuffered() int  { return len(c.out) }
-func (c *conn) Since() time.Time       { return c.interest.since }
+func (c *conn) InboundBuffered() int   { return len(c.inbound) + len(c.inLoopBuffer) }
+func (c *conn) OutboundBuffered() int  { return len(c.outbound) }
+func (c *conn) Since() time.Time       { return c.interest.earliestArrival }
 
-func (c *conn) SetWriteDeadline(t time.Time) { c.sendBy = t }
+func (c *conn) SetWriteDeadline(t time.Time) { c.writeDeadline = t }
 
 func (c *conn) Peek() []byte {
-	if len(c.in) == 0 {
-		return c.fresh
+	if len(c.inbound) == 0 {
+		return c.inLoopBuffer
 	}
-	c.keep()
-	return c.in
+	c.saveLoopBuffer()
+	return c.inbound
 }
 
-// keep takes what is fresh out of the loop's buffer.
-func (c *conn) keep() {
-	if len(c.fresh) > 0 {
-		c.in, c.fresh = append(c.in, c.fresh...), nil
+// saveLoopBuffer copies the bytes just read out of the loop's buffer, which the next read overwrites.
+func (c *conn) saveLoopBuffer() {
+	if len(c.inLoopBuffer) > 0 {
+		c.inbound, c.inLoopBuffer = append(c.inbound, c.inLoopBuffer...), nil
 	}
 }
 
 func (c *conn) Discard(n int) {
-	left := len(c.in)
+	left := len(c.inbound)
 	if n < left {
-		c.in = c.in[n:]
+		c.inbound = c.inbound[n:]
 		return
 	}
-	c.in = nil
-	c.fresh = c.fresh[min(n-left, len(c.fresh)):]
+	c.inbound = nil
+	c.inLoopBuffer = c.inLoopBuffer[min(n-left, len(c.inLoopBuffer)):]
 }
 
-// ready reads before it writes: what the other side sent before its end is still taken.
-func (c *conn) ready(events uint32) {
+// handleEvents reads before it writes, so that bytes that the other side sent before it closed are still read.
+func (c *conn) handleEvents(events uint32) {
 	if events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
 		c.interest.readable()
 		c.read()
@@ -113,50 +115,52 @@
 }
 
 func (c *conn) read() {
-	n, err := unix.Read(c.fd, c.l.buffer)
+	n, err := unix.Read(c.fd, c.loop.buffer)
 	switch {
 	case err != nil:
-		c.failed("read", err)
+		c.handleError("read", err)
 	case n == 0:
-		c.end(os.NewSyscallError("read", io.EOF))
+		c.closeWith(os.NewSyscallError("read", io.EOF))
 	default:
-		c.fresh = c.l.buffer[:n]
-		c.l.handler.Traffic(c)
+		c.inLoopBuffer = c.loop.buffer[:n]
+		c.loop.handler.Traffic(c)
 		if c.open {
-			c.keep()
+			c.saveLoopBuffer()
 		}
 	}
 }
 
-// failed takes an error of a read or a write. While a resource is short the connection rests for a moment; otherwise epoll
-// tells when to try again.
-func (c *conn) failed(call string, err error) {
-	switch c.l.failed(call, err) {
+// handleError handles an error of a read or a write. While a resource is short the connection pauses for retryDelay; after an
+// interruption, or where the call would block, epoll reports when to try again; any other error closes the connection.
+func (c *conn) handleError(call string, err error) {
+	switch c.loop.recordFailure(call, err) {
 	case retryNow:
 	case retryLater:
 		c.pause()
 	default:
-		c.end(os.NewSyscallError(call, err))
+		c.closeWith(os.NewSyscallError(call, err))
 	}
 }
 
+// pause suspends reading and writing for retryDelay.
 func (c *conn) pause() {
-	if c.paused != nil {
+	if c.pauseTimer != nil {
 		return
 	}
-	c.paused = c.l.After(retryDelay, func() {
-		c.paused = nil
-		c.arm()
+	c.pauseTimer = c.loop.After(retryDelay, func() {
+		c.pauseTimer = nil
+		c.updateInterest()
 	})
-	c.arm()
+	c.updateInterest()
 }
 
-// arm has epoll report what the connection waits for.
-func (c *conn) arm() {
+// updateInterest has epoll report what the connection waits for: readability always, writability while bytes are buffered, and
+// nothing during a pause.
+func (c *conn) updateInterest() {
 	switch {
-	case c.paused != nil:
+	case c.pauseTimer != nil:
 		c.interest.set(0)
-	case len(c.out) > 0:
+	case len(c.outbound) > 0:
 		c.interest.set(unix.EPOLLIN | unix.EPOLLOUT)
 	default:
 		c.interest.set(unix.EPOLLIN)
@@ -167,60 +171,61 @@
 	if !c.open {
 		return io.ErrClosedPipe
 	}
-	if len(c.out) > 0 || c.paused != nil {
-		c.out = append(c.out, b...)
+	if len(c.outbound) > 0 || c.pauseTimer != nil {
+		c.outbound = append(c.outbound, b...)
 		return nil
 	}
 	n, err := unix.Write(c.fd, b)
 	if n = max(n, 0); n < len(b) {
-		c.out = append(c.out, b[n:]...)
+		c.outbound = append(c.outbound, b[n:]...)
 	}
 	if err != nil {
-		c.failed("write", err)
+		c.handleError("write", err)
 	}
 	if !c.open {
 		return err
 	}
-	if len(c.out) > 0 {
-		c.arm()
+	if len(c.outbound) > 0 {
+		c.updateInterest()
 	}
 	return nil
 }
 
+// flush sends buffered bytes, or closes the connection if their write deadline has passed.
 func (c *conn) flush() {
-	if len(c.out) == 0 {
-		c.arm()
+	if len(c.outbound) == 0 {
+		c.updateInterest()
 		return
 	}
-	if !c.sendBy.IsZero() && time.Now().After(c.sendBy) {
-		c.end(os.ErrDeadlineExceeded)
+	if !c.writeDeadline.IsZero() && time.Now().After(c.writeDeadline) {
+		c.closeWith(os.ErrDeadlineExceeded)
 		return
 	}
-	n, err := unix.Write(c.fd, c.out)
+	n, err := unix.Write(c.fd, c.outbound)
 	if err != nil {
-		c.failed("write", err)
+		c.handleError("write", err)
 		return
 	}
-	if c.out = c.out[n:]; len(c.out) == 0 {
-		c.out = nil
-		c.arm()
+	if c.outbound = c.outbound[n:]; len(c.outbound) == 0 {
+		c.outbound = nil
+		c.updateInterest()
 	}
 }
 
-func (c *conn) Close() { c.end(nil) }
+func (c *conn) Close() { c.closeWith(nil) }
 
-// end closes the connection and tells the handler why.
-func (c *conn) end(why error) {
+// closeWith closes the connection and passes the reason to the handler's Closed; nil means that Close was called.
+func (c *conn) closeWith(reason error) {
 	if !c.open {
 		return
 	}
 	c.open = false
-	delete(c.l.watched, c.fd)
-	c.l.handler.Closed(c, why)
-	if why == nil && len(c.out) > 0 {
-		_, _ = unix.Write(c.fd, c.out) // the handler has shut the connection where this must not be
+	delete(c.loop.sources, c.fd)
+	c.loop.handler.Closed(c, reason)
+	if reason == nil && len(c.outbound) > 0 {
+		_, _ = unix.Write(c.fd, c.outbound) // a handler that doesn't want these bytes sent has shut down the socket in Closed
 	}
-	c.paused.Stop()
+	c.pauseTimer.Stop()
 	c.interest.close()
-	c.fresh, c.in, c.out = nil, nil, nil
+	c.inLoopBuffer, c.inbound, c.outbound = nil, nil, nil
 }
--- a/scheduler/eventloop/dial.go
+++ b/scheduler/eventloop/dial.go
@@ -10,65 +10,69 @@
 )
 
 const (
-	localFor       = 250 * time.Millisecond // for so long a call that fails here is made again before the dial fails
-	connectRepeats = 10                     // of a connect that is interrupted, in one turn
-	sendBuffer     = 128 << 10              // bytes that the system takes at once: a whole request, however far its worker
+	localErrorRetryLimit = 250 * time.Millisecond // for this long a dial is tried again after errors of this machine
+	maxConnectCalls      = 10                     // calls of one connect that is interrupted by signals
+	sendBufferBytes      = 128 << 10              // SO_SNDBUF: a whole request fits, whatever the round-trip time to its worker
 )
 
-// ErrLocal marks an error of this machine: nothing was learned of the other side.
-var ErrLocal = errors.New("a system call failed here")
+// ErrLocal marks an error of this machine, such as a lack of descriptors or ports: it says nothing about the remote side.
+var ErrLocal = errors.New("system call failed on this machine")
 
-// dialer makes one connection. It is watched in place of the connection until that is up.
+// dialer establishes one connection. The loop passes it the descriptor's events until the connection is established.
 type dialer struct {
-	l        *Loop
-	to       netip.AddrPort
-	context  any
-	failed   func(error)
-	fd       int
-	interest interest
-	timeout  *Timer
-	again    *Timer
-	localBy  time.Time
+	loop               *Loop
+	remote             netip.AddrPort
+	context            any
+	onFailure          func(error)
+	fd                 int
+	interest           interest
+	timeout            *Timer
+	retryTimer         *Timer    // of the next try after a local error
+	localRetryDeadline time.Time // after this a local error fails the dial
 }
 
-// Dial makes a connection. Opened follows once it is up, or failed where it does not come up in time; one of them, and neither
-// within the call. An error that says nothing of the other side wraps ErrLocal.
+// Dial establishes a connection. Either the handler's Opened is called once it is established, or failed once it has failed or
+// has timed out; never both, and neither within the call. An error that says nothing about the remote side wraps ErrLocal.
 func (l *Loop) Dial(to netip.AddrPort, timeout time.Duration, context any, failed func(error)) {
-	d := &dialer{l: l, to: to, context: context, failed: failed, fd: -1, localBy: time.Now().Add(min(localFor, timeout))}
+	d := &dialer{loop: l, remote: to, context: context, onFailure: failed, fd: -1,
+		localRetryDeadline: time.Now().Add(min(localErrorRetryLimit, timeout))}
 	d.timeout = l.After(timeout, func() { d.fail(unix.ETIMEDOUT) })
-	d.begin()
+	d.start()
 }
 
-func (d *dialer) begin() {
+// start makes a socket and begins one try.
+func (d *dialer) start() {
 	family := unix.AF_INET
-	if !d.to.Addr().Is4() {
+	if !d.remote.Addr().Is4() {
 		family = unix.AF_INET6
 	}
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, unix.IPPROTO_TCP)
 	if err != nil {
-		d.trouble("socket", err)
+		d.retryOrFail("socket", err)
 		return
 	}
-	d.fd, d.interest = fd, interest{l: d.l, fd: fd, since: time.Now()}
-	// Without these all works: with some delay, and with large requests kept here until the far side acknowledges.
+	d.fd, d.interest = fd, interest{loop: d.loop, fd: fd, earliestArrival: time.Now()}
+	// Errors are ignored: without these options the connection works, but with some delay, and large requests stay in this
+	// process until the other side acknowledges.
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, sendBuffer)
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, sendBufferBytes)
 	switch err := d.connect(); err {
 	case nil, unix.EINPROGRESS:
-		d.l.watched[fd] = d
+		d.loop.sources[fd] = d
 		d.interest.set(unix.EPOLLOUT)
 	default:
-		d.trouble("connect", err)
+		d.retryOrFail("connect", err)
 	}
 }
 
-// connect begins the connection. An interrupted call goes on by itself or never began: asked again, the kernel tells which.
+// connect starts connecting. A call that a signal interrupted (EINTR) either goes on in the kernel or never began: calling again
+// tells which, by EALREADY, EISCONN or a new start.
 func (d *dialer) connect() error {
 	var err error
-	for range connectRepeats {
-		switch err = unix.Connect(d.fd, toSockaddr(d.to)); err {
+	for range maxConnectCalls {
+		switch err = unix.Connect(d.fd, toSockaddr(d.remote)); err {
 		case unix.EINTR:
-			d.l.failed("connect", err)
+			d.loop.recordFailure("connect", err)
 		case unix.EISCONN:
 			return nil
 		case unix.EALREADY:
@@ -80,66 +84,68 @@
 	return err
 }
 
-// ready comes once the connection is up or has failed.
-func (d *dialer) ready(uint32) {
+// handleEvents is called once the connection is established or has failed.
+func (d *dialer) handleEvents(uint32) {
 	code, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
 		err = unix.Errno(code)
 	}
 	if err != nil {
-		d.trouble("connect", err)
+		d.retryOrFail("connect", err)
 		return
 	}
 	peer, err := unix.Getpeername(d.fd)
 	if err != nil {
-		d.trouble("getpeername", err)
+		d.retryOrFail("getpeername", err)
 		return
 	}
-	// Nobody listens there, and the port that this side got is the same one: it is connected to itself.
+	// TCP self-connect: no process listens on the remote port, and the kernel chose that very port as the local one.
 	if own, err := unix.Getsockname(d.fd); err == nil && fromSockaddr(own) == fromSockaddr(peer) {
 		d.fail(unix.ECONNREFUSED)
 		return
 	}
 	d.timeout.Stop()
-	c := d.l.add(d.fd, d.context)
+	c := d.loop.addConn(d.fd, d.context)
 	c.interest = d.interest
 	if retry := d.interest.retry; retry != nil {
 		retry.Stop()
 		c.interest.retry = nil
 	}
-	c.arm()
-	d.l.handler.Opened(c)
+	c.updateInterest()
+	d.loop.handler.Opened(c)
 }
 
-// trouble tries again where the error is of the moment, and fails otherwise.
-func (d *dialer) trouble(call string, err error) {
-	d.l.failed(call, err)
+// retryOrFail handles an error of a system call: a transient one is followed by another try until localRetryDeadline, any other
+// fails the dial.
+func (d *dialer) retryOrFail(call string, err error) {
+	d.loop.recordFailure(call, err)
 	r := connectReaction(err)
-	if r == ended || r == fatal {
+	if r == connectionEnded || r == programError {
 		d.fail(err)
 		return
 	}
-	if d.hangUp(); time.Now().After(d.localBy) {
+	if d.closeSocket(); time.Now().After(d.localRetryDeadline) {
 		d.fail(fmt.Errorf("%w: %s: %w", ErrLocal, call, err))
 		return
 	}
-	d.again = d.l.After(retryDelay, d.begin)
+	d.retryTimer = d.loop.After(retryDelay, d.start)
 }
 
+// fail ends the dial and passes the error to onFailure from a timer, so never within a call of Dial.
 func (d *dialer) fail(err error) {
 	d.timeout.Stop()
-	d.again.Stop()
-	d.hangUp()
-	d.l.After(0, func() { d.failed(err) })
+	d.retryTimer.Stop()
+	d.closeSocket()
+	d.loop.After(0, func() { d.onFailure(err) })
 }
 
-// hangUp closes the socket, if there is one.
-func (d *dialer) hangUp() {
+// closeSocket closes the socket, if there is one.
+func (d *dialer) closeSocket() {
 	if d.fd < 0 {
 		return
 	}
-	delete(d.l.watched, d.fd)
-	pending := d.interest // a close that has to wait outlives this try
+	delete(d.loop.sources, d.fd)
+	pending := d.interest // a copy: a close that has to be retried outlives this try, which may reuse the field
 	pending.retry.Stop()
 	pending.close()
 	d.fd = -1
--- a/scheduler/eventloop/errors.go
+++ b/scheduler/eventloop/errors.go
@@ -8,42 +8,44 @@
 	"shalebeam/scheduler/transient"
 )
 
-// What each error of a system call means to the loop. docs/design/system-calls.md has the same as a table.
+// This file says how the loop reacts to each error of a system call. docs/design/system-calls.md has the same as a table.
 
-// reaction is what follows from an error.
+// reaction is what the loop does after an error.
 type reaction int
 
 const (
-	retryNow   reaction = iota // nothing happened; the same call may succeed at once
-	retryLater                 // a resource is short for a moment
-	nextOne                    // it concerns one connection that nobody holds yet
-	ended                      // the connection has ended
-	fatal                      // the program is wrong
+	retryNow        reaction = iota // the call had no effect; the same call may succeed at once
+	retryLater                      // a resource is short; the call may succeed after retryDelay
+	skipConnection                  // the error concerns one connection that was not accepted yet; go on with the next
+	connectionEnded                 // the connection has ended
+	programError                    // the call was wrong, as with a bad descriptor or argument
 )
 
-// reactionTo tells what an error calls for. Those that are not named tell the end of what the call was for.
+// reactionTo returns the reaction to an error of a call on a connection. Any error not named here ends the connection.
 func reactionTo(err error) reaction {
 	switch err {
 	case unix.EINTR, unix.EAGAIN:
 		return retryNow
 	case unix.EBADF, unix.EFAULT, unix.EINVAL, unix.ENOTSOCK:
-		return fatal
+		return programError
 	}
 	if transient.Error(err) {
 		return retryLater
 	}
-	return ended
+	return connectionEnded
 }
 
-// acceptReaction is that of accept: the kernel passes on errors of the connection that it would have returned.
+// acceptReaction returns the reaction to an error of accept, which also reports errors of the connection that it would have
+// returned.
 func acceptReaction(err error) reaction {
-	if r := reactionTo(err); r != ended {
+	if r := reactionTo(err); r != connectionEnded {
 		return r
 	}
-	return nextOne
+	return skipConnection
 }
 
-// connectReaction is that of socket and connect: a route or a port that is missing here tells nothing of the other side.
+// connectReaction returns the reaction to an error of socket or connect: a missing route or local port says nothing about the
+// remote side, and so is retried.
 func connectReaction(err error) reaction {
 	switch err {
 	case unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENETDOWN, unix.EADDRINUSE, unix.EPERM, unix.EACCES, unix.EAGAIN:
@@ -52,25 +54,28 @@
 	return reactionTo(err)
 }
 
-// Failure is a kind of failed system call.
+// Failure is a kind of failed system call, as counted by Failures.
 type Failure struct {
-	Call  string
+	Call  string // the name of the system call, such as "accept"
 	Errno unix.Errno
 }
 
-// failed counts a failed call and tells what it calls for.
-func (l *Loop) failed(call string, err error) reaction {
+// recordFailure counts a failed call, except with EAGAIN, and returns the reaction to it.
+func (l *Loop) recordFailure(call string, err error) reaction {
 	if errno, ok := err.(unix.Errno); ok && errno != unix.EAGAIN {
 		l.failures[Failure{call, errno}]++
 	}
 	return reactionTo(err)
 }
 
-// Failures counts the system calls that failed, but for those that only had nothing to do.
+// Failures returns how many system calls failed, by call and error. EAGAIN is not counted: it only says that nothing was ready.
 func (l *Loop) Failures() map[Failure]uint64 { return l.failures }
 
-// startFor is how long a call may fail for the moment before a start gives up.
-const startFor = 4 * time.Second
+// startRetryLimit is how long a call that fails with transient errors is repeated before the creation of a loop or of a listener
+// fails.
+const startRetryLimit = 4 * time.Second
 
-// persist makes a call of the start again while it fails for the moment.
-func persist(call func() error) error { return transient.Retry(startFor, transient.Error, call) }
+// retryAtStart repeats a call while it fails with a transient error, for at most startRetryLimit. It blocks.
+func retryAtStart(call func() error) error {
+	return transient.Retry(startRetryLimit, transient.Error, call)
+}
--- a/scheduler/eventloop/listen.go
+++ b/scheduler/eventloop/listen.go
@@ -12,26 +12,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener is a socket at which clients connect, or datagrams come.
+// Listener is a TCP socket that accepts connections, or a UDP socket that receives datagrams.
 type Listener struct {
-	l        *Loop
+	loop     *Loop
 	fd       int
 	addr     netip.AddrPort
 	datagram bool
 	interest interest
 }
 
-// Addr is the address that it got, which tells the port where it was to be any.
+// Addr returns the bound address, with the port that the kernel chose if port 0 was asked for.
 func (s *Listener) Addr() netip.AddrPort { return s.addr }
 
-// Fd is the descriptor, which stays the listener's.
+// Fd returns the descriptor. The listener still owns it: the caller must not close it.
 func (s *Listener) Fd() int { return s.fd }
 
-// ListenTCP accepts connections at an address, which other processes may share (SO_REUSEPORT).
+// ListenTCP accepts connections at an address, which other processes may share (SO_REUSEPORT). It is called before Run.
 func (l *Loop) ListenTCP(addr string) (*Listener, error) {
 	return l.listen(addr, func(config *net.ListenConfig) (syscall.Conn, net.Addr, error) {
 		config.SetMultipathTCP(false)
-		s, err := config.Listen(context.Background(), family("tcp", addr), addr)
+		s, err := config.Listen(context.Background(), networkFor("tcp", addr), addr)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -39,10 +39,10 @@
 	})
 }
 
-// ListenUDP takes datagrams at an address, which other processes may share (SO_REUSEPORT).
+// ListenUDP receives datagrams at an address, which other processes may share (SO_REUSEPORT). It is called before Run.
 func (l *Loop) ListenUDP(addr string) (*Listener, error) {
 	s, err := l.listen(addr, func(config *net.ListenConfig) (syscall.Conn, net.Addr, error) {
-		s, err := config.ListenPacket(context.Background(), family("udp", addr), addr)
+		s, err := config.ListenPacket(context.Background(), networkFor("udp", addr), addr)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -54,22 +54,23 @@
 	return s, err
 }
 
-// family names the network of an address; the standard library would take 0.0.0.0 for both versions of IP.
-func family(network, addr string) string {
+// networkFor returns the network name for an address: with "4" appended for an IPv4 address, since the standard library would
+// take 0.0.0.0 for both versions of IP.
+func networkFor(network, addr string) string {
 	if a, err := netip.ParseAddrPort(addr); err == nil && a.Addr().Is4() {
 		return network + "4"
 	}
 	return network
 }
 
-// listen binds with the standard library, and takes a copy of the descriptor, which that does not watch.
+// listen binds with the standard library and duplicates the descriptor, so that the runtime's poller does not watch it.
 func (l *Loop) listen(addr string, bind func(*net.ListenConfig) (syscall.Conn, net.Addr, error)) (*Listener, error) {
 	config := &net.ListenConfig{KeepAlive: -1, Control: func(network, _ string, raw syscall.RawConn) error {
-		return options(network, raw)
+		return setSocketOptions(network, raw)
 	}}
 	var bound syscall.Conn
 	var at net.Addr
-	err := persist(func() (err error) {
+	err := retryAtStart(func() (err error) {
 		bound, at, err = bind(config)
 		return err
 	})
@@ -77,18 +78,18 @@
 		return nil, fmt.Errorf("%s: %w", addr, err)
 	}
 	defer bound.(interface{ Close() error }).Close()
-	s := &Listener{l: l, addr: addrPort(at)}
-	if err := persist(func() (err error) { s.fd, err = dup(bound); return err }); err != nil {
+	s := &Listener{loop: l, addr: addrPort(at)}
+	if err := retryAtStart(func() (err error) { s.fd, err = dupDescriptor(bound); return err }); err != nil {
 		return nil, fmt.Errorf("%s: %w", addr, err)
 	}
-	s.interest = interest{l: l, fd: s.fd, since: time.Now()}
-	l.watched[s.fd] = s
+	s.interest = interest{loop: l, fd: s.fd, earliestArrival: time.Now()}
+	l.sources[s.fd] = s
 	s.interest.set(unix.EPOLLIN)
 	return s, nil
 }
 
-// options are inherited by the connections that are accepted.
-func options(network string, raw syscall.RawConn) error {
+// setSocketOptions sets options of the listening socket, which accepted connections inherit.
+func setSocketOptions(network string, raw syscall.RawConn) error {
 	var err error
 	failed := raw.Control(func(fd uintptr) {
 		if err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err == nil && network[:3] == "tcp" {
@@ -98,8 +99,8 @@
 	return errors.Join(failed, err)
 }
 
-// dup copies a descriptor of the standard library's.
-func dup(from syscall.Conn) (fd int, err error) {
+// dupDescriptor duplicates the descriptor of a socket of the standard library.
+func dupDescriptor(from syscall.Conn) (fd int, err error) {
 	raw, err := from.SyscallConn()
 	if err != nil {
 		return -1, err
@@ -118,8 +119,8 @@
 	return netip.AddrPort{}
 }
 
-// ready takes one connection or packet. Epoll reports the listener again while there is more.
-func (s *Listener) ready(uint32) {
+// handleEvents takes one connection or datagram. Epoll reports the listener again while there are more.
+func (s *Listener) handleEvents(uint32) {
 	if s.datagram {
 		s.receive()
 	} else {
@@ -131,36 +132,36 @@
 	s.interest.readable()
 	fd, _, err := unix.Accept4(s.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
-		s.l.failed("accept", err)
-		// A connection that ended before it was accepted, or an interruption: the rest comes in the next turn. For want of a
-		// descriptor or of memory, what waits in the queue is left there for a moment.
-		if r := acceptReaction(err); r == retryLater || r == fatal {
-			s.rest()
+		s.loop.recordFailure("accept", err)
+		// After a connection that ended before it was accepted, or an interruption, epoll reports the listener again in the next
+		// iteration. For want of a descriptor or of memory, connections are left in the accept queue for retryDelay.
+		if r := acceptReaction(err); r == retryLater || r == programError {
+			s.pause()
 		}
 		return
 	}
-	c := s.l.add(fd, nil)
-	c.interest.since = s.interest.since // what it brought may have waited with it
+	c := s.loop.addConn(fd, nil)
+	c.interest.earliestArrival = s.interest.earliestArrival // its first bytes may have waited as long as the connection itself
 	c.interest.set(unix.EPOLLIN)
-	s.l.handler.Accepted(c, s)
+	s.loop.handler.Accepted(c, s)
 }
 
-// rest leaves the queue alone for a moment.
-func (s *Listener) rest() {
+// pause takes nothing from the socket for retryDelay.
+func (s *Listener) pause() {
 	s.interest.set(0)
-	s.l.After(retryDelay, func() { s.interest.set(unix.EPOLLIN) })
+	s.loop.After(retryDelay, func() { s.interest.set(unix.EPOLLIN) })
 }
 
 func (s *Listener) receive() {
-	n, from, err := unix.Recvfrom(s.fd, s.l.buffer, unix.MSG_DONTWAIT)
+	n, from, err := unix.Recvfrom(s.fd, s.loop.buffer, unix.MSG_DONTWAIT)
 	if err != nil {
-		// Errors of packets that were sent come here too, and say nothing of what is received.
-		if s.l.failed("recvfrom", err) == retryLater {
-			s.rest()
+		// The socket also reports errors of datagrams that it sent earlier; they say nothing about what it receives.
+		if s.loop.recordFailure("recvfrom", err) == retryLater {
+			s.pause()
 		}
 		return
 	}
-	s.l.handler.Datagram(fromSockaddr(from), s.l.buffer[:n])
+	s.loop.handler.Datagram(fromSockaddr(from), s.loop.buffer[:n])
 }
 
 func fromSockaddr(sa unix.Sockaddr) netip.AddrPort {
@@ -180,18 +181,18 @@
 	return &unix.SockaddrInet6{Addr: a.Addr().As16(), Port: int(a.Port())}
 }
 
-// Send sends a datagram from the listener's address. One that can't be sent is lost, as any may be.
+// Send sends a datagram from the listener's address. One that can't be sent is dropped, as any datagram may be lost.
 func (s *Listener) Send(packet []byte, to netip.AddrPort) {
 	err := unix.Sendto(s.fd, packet, unix.MSG_DONTWAIT, toSockaddr(to))
 	if err == unix.EINTR {
 		err = unix.Sendto(s.fd, packet, unix.MSG_DONTWAIT, toSockaddr(to))
 	}
 	if err != nil {
-		s.l.failed("sendto", err)
+		s.loop.recordFailure("sendto", err)
 	}
 }
 
 func (s *Listener) close() {
-	delete(s.l.watched, s.fd)
+	delete(s.loop.sources, s.fd)
 	s.interest.close()
 }
--- a/scheduler/eventloop/loop.go
+++ b/scheduler/eventloop/loop.go
@@ -1,9 +1,9 @@
-// Package eventloop runs the callbacks of sockets, timers and functions from other goroutines one after another on a single
-// goroutine, with epoll. What it owns needs no locks.
+// Package eventloop is an event loop on epoll. It runs the callbacks of sockets and timers, and functions handed in by other
+// goroutines, one after another on a single goroutine, so that state that only these use needs no locks.
 //
-// Every system call that it makes may fail for a moment (see errors.go). Such a failure neither ends the loop nor a connection:
-// the call is made again, at once where the kernel says when, else after a short wait. Only an error that tells the end of a
-// connection ends that connection.
+// Any system call that it makes may fail transiently (see errors.go). Such a failure ends neither the loop nor a connection: the
+// call is repeated, as soon as epoll reports that it may succeed or, where epoll does not, after a short wait. Only an error that
+// says that a connection has ended closes that connection.
 package eventloop
 
 import (
@@ -17,94 +17,95 @@
 )
 
 const (
-	readSize      = 64 << 10 // bytes taken from a socket in one turn
-	eventsPerTurn = 128
-	retryDelay    = 5 * time.Millisecond  // between two tries of a call that failed for want of a resource
-	heldUp        = 10 * time.Millisecond // by so much no call comes back late, unless the process stood still
-	longestTurn   = time.Second           // a wake-up that got lost is made good after this
+	readBufferBytes       = 64 << 10 // the most that is read from a socket in one iteration
+	maxEventsPerIteration = 128
+	retryDelay            = 5 * time.Millisecond  // between two tries of a call that failed for want of a resource
+	stallThreshold        = 10 * time.Millisecond // an epoll_wait this late after its timeout means a stopped process
+	maxEpollWait          = time.Second           // bounds the delay of a task whose wake-up through the eventfd was lost
 )
 
-// Handler is told of what happens, on the loop's goroutine.
+// Handler receives the events of a loop, on the loop's goroutine.
 type Handler interface {
-	// Accepted takes a connection that a client made to a listener.
+	// Accepted is called with a connection that a listener accepted.
 	Accepted(c Conn, from *Listener)
-	// Opened takes a connection that was dialled, or handed to Adopt.
+	// Opened is called with a connection that was dialled, or handed to Adopt.
 	Opened(c Conn)
-	// Traffic comes when bytes have been read; they wait in the connection.
+	// Traffic is called when bytes have been read; c.Peek returns them.
 	Traffic(c Conn)
-	// Closed comes once, when a connection has ended. err is nil where Close was called, and wraps io.EOF where the other side
-	// ended its sending. The descriptor is still open, and what waits to be sent is tried once more after the call.
+	// Closed is called once, when a connection is closed. err is nil if Close was called, and wraps io.EOF if the other side
+	// closed its sending direction. The descriptor is still open during the call. If err is nil, one more write of the buffered
+	// bytes is tried after it.
 	Closed(c Conn, err error)
-	// Datagram takes a packet; its bytes are good until it returns.
+	// Datagram is called with a datagram; packet is valid until the call returns.
 	Datagram(from netip.AddrPort, packet []byte)
 }
 
-// Loop is an event loop. Its methods are for its own goroutine, but for Execute and those before Run.
+// Loop is an event loop. Its methods may be called on its own goroutine only, except for Execute, and for any of them before Run.
 type Loop struct {
-	handler  Handler
-	epoll    int
-	wake     int // an eventfd, written to by Execute
-	watched  map[int]source
-	buffer   []byte
-	timers   timers
-	failures map[Failure]uint64
-	stopping bool
-	turn     uint64
-	returned time.Time // when epoll last told what is ready
-	quiet    time.Time // what is ready in this turn, and was not in the last one, came no sooner
-	waited   bool      // epoll had to wait before this turn, so that nothing was ready before
-
-	mu       sync.Mutex
-	tasks    []func()
-	signaled bool // a write to wake is on its way
-	released bool // wake is closed
+	handler       Handler
+	epollFD       int
+	wakeFD        int                 // an eventfd, to which Execute writes so that epoll_wait returns
+	sources       map[int]eventSource // by descriptor
+	buffer        []byte              // of readBufferBytes, shared by all reads
+	timers        timers
+	failures      map[Failure]uint64
+	stopping      bool
+	iteration     uint64    // counts the iterations of Run
+	epollReturned time.Time // when epoll_wait last returned
+	earliestReady time.Time // descriptors that became ready since the last iteration did so no earlier than this
+	epollWaited   bool      // nothing was ready at the start of this iteration, so that epoll_wait had to wait
+
+	mu                sync.Mutex
+	tasks             []func()
+	wakePending       bool // wakeFD was written to and not read since
+	descriptorsClosed bool // wakeFD and epollFD may not be used any more
 }
 
-// source is what a watched descriptor belongs to.
-type source interface {
-	ready(events uint32) // what epoll reported
+// eventSource is the owner of a descriptor that epoll watches: a connection, a dialer, a listener or the loop's eventfd.
+type eventSource interface {
+	handleEvents(events uint32) // a set of EPOLLIN and the like, as epoll reported it
 }
 
-// New makes a loop.
+// New creates a loop; Run runs it.
 func New(handler Handler) (*Loop, error) {
-	l := &Loop{handler: handler, epoll: -1, wake: -1, watched: map[int]source{}, buffer: make([]byte, readSize),
+	l := &Loop{handler: handler, epollFD: -1, wakeFD: -1, sources: map[int]eventSource{}, buffer: make([]byte, readBufferBytes),
 		failures: map[Failure]uint64{}}
-	err := persist(func() (err error) {
-		l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+	err := retryAtStart(func() (err error) {
+		l.epollFD, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 		return err
 	})
 	if err != nil {
 		return nil, fmt.Errorf("epoll_create: %w", err)
 	}
-	err = persist(func() (err error) {
-		l.wake, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+	err = retryAtStart(func() (err error) {
+		l.wakeFD, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 		return err
 	})
 	if err == nil {
-		err = persist(func() error { return l.control(unix.EPOLL_CTL_ADD, l.wake, unix.EPOLLIN) })
+		err = retryAtStart(func() error { return l.epollCtl(unix.EPOLL_CTL_ADD, l.wakeFD, unix.EPOLLIN) })
 	}
 	if err != nil {
-		l.release()
+		l.closeAll()
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l.watched[l.wake] = waker{l}
+	l.sources[l.wakeFD] = wakeSource{l}
 	return l, nil
 }
 
-// Run serves until Stop. It then closes all connections and listeners.
+// Run runs the loop until Stop, and then closes all connections and listeners.
 func (l *Loop) Run() error {
-	defer l.release()
-	events := make([]unix.EpollEvent, eventsPerTurn)
-	l.returned = time.Now()
+	defer l.closeAll()
+	events := make([]unix.EpollEvent, maxEventsPerIteration)
+	l.epollReturned = time.Now()
 	for !l.stopping {
 		n, err := l.wait(events)
 		// Any signal ends the wait with EINTR, which is no failure.
-		if err != nil && err != unix.EINTR && l.failed("epoll_wait", err) == fatal {
+		if err != nil && err != unix.EINTR && l.recordFailure("epoll_wait", err) == programError {
 			return fmt.Errorf("epoll_wait: %w", err)
 		}
 		for i := 0; i < n && !l.stopping; i++ {
-			if s, ok := l.watched[int(events[i].Fd)]; ok { // else it was closed earlier in this turn
-				s.ready(events[i].Events)
+			if s, ok := l.sources[int(events[i].Fd)]; ok { // else it was closed earlier in this iteration
+				s.handleEvents(events[i].Events)
 			}
 		}
 		l.runTimers()
@@ -113,43 +114,45 @@
 	return nil
 }
 
-// wait begins a turn: it asks epoll what is ready, and waits where nothing is. It notes since when that may have been so.
+// wait begins an iteration: it asks epoll which descriptors are ready, and waits if none is. It records in earliestReady since
+// when they may have been ready.
 func (l *Loop) wait(events []unix.EpollEvent) (n int, err error) {
-	l.turn++
-	l.waited = false
-	if n, err = unix.EpollWait(l.epoll, events, 0); n != 0 {
-		l.quiet, l.returned = l.returned, time.Now() // it may have come while the last turn ran
+	l.iteration++
+	l.epollWaited = false
+	if n, err = unix.EpollWait(l.epollFD, events, 0); n != 0 {
+		l.earliestReady, l.epollReturned = l.epollReturned, time.Now() // they may be ready since any time in the last iteration
 		return n, err
 	}
-	patience := l.patience()
-	l.waited = true
+	timeoutMs := l.epollTimeoutMs()
+	l.epollWaited = true
 	called := time.Now()
-	n, err = unix.EpollWait(l.epoll, events, patience)
-	l.returned = time.Now()
-	if l.quiet = l.returned; l.returned.Sub(called) > time.Duration(patience)*time.Millisecond+heldUp {
-		l.quiet = called // the process stood still, and it may have come at any time since
+	n, err = unix.EpollWait(l.epollFD, events, timeoutMs)
+	l.epollReturned = time.Now()
+	if l.earliestReady = l.epollReturned; l.epollReturned.Sub(called) > time.Duration(timeoutMs)*time.Millisecond+stallThreshold {
+		l.earliestReady = called // the process was stopped, and they may have become ready at any time since the call
 	}
 	return n, err
 }
 
-// Stop ends Run after the callback that calls it.
+// Stop has Run return after the callback that calls Stop.
 func (l *Loop) Stop() { l.stopping = true }
 
-// Execute runs f on the loop soon, from any goroutine.
+// Execute has the loop's goroutine run f soon. It may be called from any goroutine; after the end of Run, f is not run.
 func (l *Loop) Execute(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.tasks = append(l.tasks, f); l.signaled || l.released {
+	if l.tasks = append(l.tasks, f); l.wakePending || l.descriptorsClosed {
 		return
 	}
 	one := []byte{1, 0, 0, 0, 0, 0, 0, 0}
-	_, err := unix.Write(l.wake, one)
+	_, err := unix.Write(l.wakeFD, one)
 	for err == unix.EINTR {
-		_, err = unix.Write(l.wake, one)
+		_, err = unix.Write(l.wakeFD, one)
 	}
-	l.signaled = err == nil || err == unix.EAGAIN // EAGAIN: it is full of signals already
+	l.wakePending = err == nil || err == unix.EAGAIN // EAGAIN: the eventfd's counter is full, so it is readable already
 }
 
+// runTasks runs the functions handed in by Execute, in order.
 func (l *Loop) runTasks() {
 	l.mu.Lock()
 	tasks := l.tasks
@@ -164,75 +167,77 @@
 	}
 }
 
-// waker takes the signals of Execute.
-type waker struct{ l *Loop }
+// wakeSource reads the eventfd to which Execute writes.
+type wakeSource struct{ loop *Loop }
 
-func (w waker) ready(uint32) {
+func (w wakeSource) handleEvents(uint32) {
 	var count [8]byte
-	if _, err := unix.Read(w.l.wake, count[:]); err != nil && err != unix.EAGAIN {
-		w.l.failed("read", err)
-		return // the signal stays, and comes again in the next turn
+	if _, err := unix.Read(w.loop.wakeFD, count[:]); err != nil && err != unix.EAGAIN {
+		w.loop.recordFailure("read", err)
+		return // the eventfd stays readable, and epoll reports it again in the next iteration
 	}
-	w.l.mu.Lock()
-	w.l.signaled = false
-	w.l.mu.Unlock()
+	w.loop.mu.Lock()
+	w.loop.wakePending = false
+	w.loop.mu.Unlock()
 }
 
 // ---- timers ----
 
-// Timer is a function that waits for its time.
+// Timer is a function that is to run at a given time.
 type Timer struct {
-	at   time.Time
-	f    func()
-	slot int // its place in the heap, -1 once it has run or was stopped
-	l    *Loop
+	due       time.Time
+	callback  func()
+	heapIndex int // in Loop.timers; -1 once it has run or was stopped
+	loop      *Loop
 }
 
 // After runs f once, when d has passed on the monotonic clock.
 func (l *Loop) After(d time.Duration, f func()) *Timer {
-	t := &Timer{at: time.Now().Add(d), f: f, l: l}
+	t := &Timer{due: time.Now().Add(d), callback: f, loop: l}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// Stop keeps a timer that has not run from running.
+// Stop cancels a timer. It does nothing on a nil timer, or on one that has run or was stopped.
 func (t *Timer) Stop() {
-	if t != nil && t.slot >= 0 {
-		heap.Remove(&t.l.timers, t.slot)
+	if t != nil && t.heapIndex >= 0 {
+		heap.Remove(&t.loop.timers, t.heapIndex)
 	}
 }
 
-// patience is how many milliseconds epoll may wait.
-func (l *Loop) patience() int {
-	wait := longestTurn
+// epollTimeoutMs returns how long epoll_wait may wait, in milliseconds: until the next timer is due, and no longer than
+// maxEpollWait.
+func (l *Loop) epollTimeoutMs() int {
+	wait := maxEpollWait
 	if len(l.timers) > 0 {
-		wait = min(wait, max(time.Until(l.timers[0].at), 0))
+		wait = min(wait, max(time.Until(l.timers[0].due), 0))
 	}
 	return int((wait + time.Millisecond - 1) / time.Millisecond)
 }
 
+// runTimers runs the timers that are due.
 func (l *Loop) runTimers() {
 	if len(l.timers) == 0 {
 		return
 	}
-	for now := time.Now(); !l.stopping && len(l.timers) > 0 && !l.timers[0].at.After(now); {
-		heap.Pop(&l.timers).(*Timer).f()
+	for now := time.Now(); !l.stopping && len(l.timers) > 0 && !l.timers[0].due.After(now); {
+		heap.Pop(&l.timers).(*Timer).callback()
 	}
 }
 
-// timers is a heap, the next one first.
+// timers is a container/heap ordered by due time.
 type timers []*Timer
 
 func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].at.Before(t[j].at) }
+func (t timers) Less(i, j int) bool { return t[i].due.Before(t[j].due) }
 func (t timers) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].slot, t[j].slot = i, j
+	t[i].heapIndex, t[j].heapIndex = i, j
 }
 
 func (t *timers) Push(x any) {
 	timer := x.(*Timer)
-	timer.slot = len(*t)
+	timer.heapIndex = len(*t)
 	*t = append(*t, timer)
 }
 
@@ -241,100 +246,103 @@
 	timer := (*t)[last]
 	(*t)[last] = nil
 	*t = (*t)[:last]
-	timer.slot = -1
+	timer.heapIndex = -1
 	return timer
 }
 
 // ---- epoll ----
 
-func (l *Loop) control(operation, fd int, events uint32) error {
-	return unix.EpollCtl(l.epoll, operation, fd, &unix.EpollEvent{Fd: int32(fd), Events: events})
+func (l *Loop) epollCtl(operation, fd int, events uint32) error {
+	return unix.EpollCtl(l.epollFD, operation, fd, &unix.EpollEvent{Fd: int32(fd), Events: events})
 }
 
-// interest is what epoll reports of one descriptor. A change that fails is made later.
+// interest is one descriptor's entry in epoll's interest list. A change of it that fails is retried.
 type interest struct {
-	l      *Loop
-	fd     int
-	in     bool   // epoll knows the descriptor
-	events uint32 // that it reports
-	want   uint32 // that it is to report
-	retry  *Timer
-	turn   uint64    // when there last was something to read, or epoll was first asked for it
-	since  time.Time // the earliest that this may have come
+	loop              *Loop
+	fd                int
+	registered        bool      // epoll has the descriptor
+	applied           uint32    // the events that epoll reports
+	wanted            uint32    // the events that epoll is to report
+	retry             *Timer    // of a change or a close that failed; nil if none is pending
+	readableIteration uint64    // the loop's iteration in which the descriptor was last readable, or EPOLLIN was set
+	earliestArrival   time.Time // the earliest time at which the bytes or connections to be read may have arrived
 }
 
-// readable notes that there is something to read.
+// readable records that the descriptor is readable in this iteration.
 func (i *interest) readable() {
-	if i.l.waited || i.turn+1 != i.l.turn { // epoll was asked in between, and knew of nothing
-		i.since = i.l.quiet
+	// Epoll did not report the descriptor when it was last asked, so what is to be read arrived after that.
+	if i.loop.epollWaited || i.readableIteration+1 != i.loop.iteration {
+		i.earliestArrival = i.loop.earliestReady
 	}
-	i.turn = i.l.turn
+	i.readableIteration = i.loop.iteration
 }
 
+// set changes the events that epoll reports, at once unless a retry is pending, which then applies the newest.
 func (i *interest) set(events uint32) {
-	if i.want = events; i.retry == nil {
+	if i.wanted = events; i.retry == nil {
 		i.apply()
 	}
 }
 
+// apply passes the wanted events to epoll, and tries again after retryDelay if that fails.
 func (i *interest) apply() {
-	if i.retry = nil; i.in && i.events == i.want {
+	if i.retry = nil; i.registered && i.applied == i.wanted {
 		return
 	}
 	operation := unix.EPOLL_CTL_ADD
-	if i.in {
+	if i.registered {
 		operation = unix.EPOLL_CTL_MOD
 	}
-	if err := i.l.control(operation, i.fd, i.want); err != nil {
-		i.l.failed("epoll_ctl", err)
-		i.retry = i.l.After(retryDelay, i.apply)
+	if err := i.loop.epollCtl(operation, i.fd, i.wanted); err != nil {
+		i.loop.recordFailure("epoll_ctl", err)
+		i.retry = i.loop.After(retryDelay, i.apply)
 		return
 	}
-	if i.want&^i.events&unix.EPOLLIN != 0 {
-		i.turn = i.l.turn
+	if i.wanted&^i.applied&unix.EPOLLIN != 0 {
+		i.readableIteration = i.loop.iteration
 	}
-	i.in, i.events = true, i.want
+	i.registered, i.applied = true, i.wanted
 }
 
-// close closes the descriptor. Epoll has to forget it first: a copy may live on in another process, and would go on being
-// reported.
+// close closes the descriptor. It is removed from epoll first: another process may hold a copy of it, which epoll would go on
+// reporting.
 func (i *interest) close() {
 	i.retry.Stop()
-	if i.in {
-		if err := i.l.control(unix.EPOLL_CTL_DEL, i.fd, 0); err != nil {
-			if r := i.l.failed("epoll_ctl", err); r == retryLater && !i.l.stopping {
-				i.retry = i.l.After(retryDelay, i.close)
+	if i.registered {
+		if err := i.loop.epollCtl(unix.EPOLL_CTL_DEL, i.fd, 0); err != nil {
+			if r := i.loop.recordFailure("epoll_ctl", err); r == retryLater && !i.loop.stopping {
+				i.retry = i.loop.After(retryDelay, i.close)
 				return
 			}
 		}
-		i.in = false
+		i.registered = false
 	}
 	// After EINTR, as after any error, the descriptor is closed on Linux.
 	if err := unix.Close(i.fd); err != nil {
-		i.l.failed("close", err)
+		i.loop.recordFailure("close", err)
 	}
 }
 
-// release closes all that the loop holds.
-func (l *Loop) release() {
+// closeAll closes all connections, listeners, dialers and the loop's own descriptors.
+func (l *Loop) closeAll() {
 	l.stopping = true
-	for _, s := range l.watched {
+	for _, s := range l.sources {
 		if c, ok := s.(*conn); ok {
 			c.Close()
 		}
 	}
-	for _, s := range l.watched {
+	for _, s := range l.sources {
 		switch s := s.(type) {
 		case *Listener:
 			s.close()
 		case *dialer:
-			s.hangUp()
+			s.closeSocket()
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.released = true
-	for _, fd := range []int{l.wake, l.epoll} {
+	l.descriptorsClosed = true
+	for _, fd := range []int{l.wakeFD, l.epollFD} {
 		if fd >= 0 {
 			_ = unix.Close(fd)
 		}
--- a/scheduler/eventloop/loop_test.go
+++ b/scheduler/eventloop/loop_test.go
@@ -14,9 +14,9 @@
 	"golang.org/x/sys/unix"
 )
 
-const patienceOfTests = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// recorder is a handler that hands what happens to the test's functions.
+// recorder is a handler that passes each event to a function of the test, if it has one.
 type recorder struct {
 	accepted func(Conn)
 	opened   func(Conn)
@@ -51,7 +51,7 @@
 	}
 }
 
-// run starts a loop with a listener until the test ends.
+// run starts a loop with a TCP listener, which it stops when the test ends, and returns the listener's address.
 func run(t *testing.T, r *recorder) (*Loop, string) {
 	t.Helper()
 	l, err := New(r)
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patienceOfTests))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
@@ -89,19 +89,19 @@
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(patienceOfTests):
-		t.Fatal("it did not come")
+	case <-time.After(testTimeout):
+		t.Fatalf("nothing received within %v", testTimeout)
 		panic("unreachable")
 	}
 }
 
-// Bytes that the handler leaves wait for those that follow, and what is discarded is gone.
-func TestBytesWaitInOrder(t *testing.T) {
+// Bytes that the handler does not discard are returned again before those that follow; discarded ones are not.
+func TestUndiscardedBytesStayInOrder(t *testing.T) {
 	seen := make(chan string, 10)
 	_, addr := run(t, &recorder{traffic: func(c Conn) {
 		all := string(c.Peek())
 		if len(all) != c.InboundBuffered() {
-			t.Errorf("%q, and %d are said to wait", all, c.InboundBuffered())
+			t.Errorf("Peek returns %q, %d bytes, but InboundBuffered is %d", all, len(all), c.InboundBuffered())
 		}
 		c.Discard(1)
 		seen <- all
@@ -110,13 +110,13 @@
 	for _, step := range []struct{ send, want string }{{"abc", "abc"}, {"de", "bcde"}, {"f", "cdef"}} {
 		io.WriteString(c, step.send)
 		if got := get(t, seen); got != step.want {
-			t.Errorf("after %q: %q, want %q", step.send, got, step.want)
+			t.Errorf("after %q was sent: Peek returns %q, want %q", step.send, got, step.want)
 		}
 	}
 }
 
-// What the system does not take at once goes out in order as the other side reads.
-func TestALongAnswerGoesOutInOrder(t *testing.T) {
+// Bytes that the kernel does not take at once are sent in order as the other side reads.
+func TestBufferedWritesAreSentInOrder(t *testing.T) {
 	long := bytes.Repeat([]byte("0123456789abcdef"), 1<<18)
 	_, addr := run(t, &recorder{accepted: func(c Conn) {
 		for rest := long; len(rest) > 0; rest = rest[1<<18:] {
@@ -125,66 +125,66 @@
 			}
 		}
 		if c.OutboundBuffered() == 0 {
-			t.Error("the system took it all, so this shows nothing")
+			t.Error("the kernel took all bytes at once, so buffering was not tested")
 		}
 	}})
 	c := connect(t, addr)
 	time.Sleep(20 * time.Millisecond)
 	got := make([]byte, len(long))
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, long) {
-		t.Errorf("%v, same %t", err, bytes.Equal(got, long))
+		t.Errorf("read error %v, bytes equal to those written: %t", err, bytes.Equal(got, long))
 	}
 }
 
-// What is kept beyond its time is not sent, and the connection ends with it.
-func TestWhatIsKeptTooLongIsNotSent(t *testing.T) {
-	why := make(chan error, 1)
+// Bytes still buffered after the write deadline are not sent, and the connection is closed.
+func TestWriteDeadlineClosesTheConnection(t *testing.T) {
+	reason := make(chan error, 1)
 	sent := make(chan bool)
 	_, addr := run(t, &recorder{
 		accepted: func(c Conn) {
 			c.SetWriteDeadline(time.Now().Add(30 * time.Millisecond))
 			if err := c.Write(make([]byte, 16<<20)); err != nil || c.OutboundBuffered() == 0 {
-				t.Errorf("%v, %d kept", err, c.OutboundBuffered())
+				t.Errorf("error %v, %d bytes buffered", err, c.OutboundBuffered())
 			}
 			close(sent)
 		},
-		closed: func(_ Conn, err error) { why <- err },
+		closed: func(_ Conn, err error) { reason <- err },
 	})
 	c := connect(t, addr)
 	<-sent
 	time.Sleep(60 * time.Millisecond)
-	go io.Copy(io.Discard, c) // from now on the system would take more
-	if err := get(t, why); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error(err)
+	go io.Copy(io.Discard, c) // from now on the kernel would take more
+	if err := get(t, reason); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("closed with error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 }
 
-// A connection is told to have ended once, by whichever side, and why.
-func TestEndsAreToldOnce(t *testing.T) {
-	why := make(chan error, 10)
+// Closed is called once for each connection, whichever side ended it, with the reason.
+func TestClosedIsCalledOnce(t *testing.T) {
+	reason := make(chan error, 10)
 	l, addr := run(t, &recorder{
 		traffic: func(c Conn) { c.Close(); c.Close() },
-		closed:  func(_ Conn, err error) { why <- err },
+		closed:  func(_ Conn, err error) { reason <- err },
 	})
 	io.WriteString(connect(t, addr), "x")
-	if err := get(t, why); err != nil {
-		t.Errorf("closed here: %v", err)
+	if err := get(t, reason); err != nil {
+		t.Errorf("closed by this side: error %v, want nil", err)
 	}
 	connect(t, addr).Close()
-	if err := get(t, why); !errors.Is(err, io.EOF) {
-		t.Errorf("closed there: %v", err)
+	if err := get(t, reason); !errors.Is(err, io.EOF) {
+		t.Errorf("closed by the other side: error %v, want %v", err, io.EOF)
 	}
 	c := connect(t, addr).(*net.TCPConn)
 	c.SetLinger(0)
 	c.Close()
-	if err := get(t, why); !errors.Is(err, unix.ECONNRESET) {
-		t.Errorf("reset there: %v", err)
+	if err := get(t, reason); !errors.Is(err, unix.ECONNRESET) {
+		t.Errorf("reset by the other side: error %v, want %v", err, unix.ECONNRESET)
 	}
-	settled := make(chan bool)
-	l.Execute(func() { close(settled) })
-	<-settled
-	if len(why) > 0 {
-		t.Errorf("once more: %v", <-why)
+	idle := make(chan bool)
+	l.Execute(func() { close(idle) })
+	<-idle
+	if len(reason) > 0 {
+		t.Errorf("Closed was called again, with error %v", <-reason)
 	}
 }
 
@@ -195,16 +195,16 @@
 	var mu sync.Mutex
 	next := map[int]int{}
 	var all sync.WaitGroup
-	for who := range 8 {
+	for goroutine := range 8 {
 		all.Go(func() {
 			for i := range each {
 				l.Execute(func() {
 					mu.Lock()
 					defer mu.Unlock()
-					if next[who] != i {
-						t.Errorf("%d of %d comes when %d is due", i, who, next[who])
+					if next[goroutine] != i {
+						t.Errorf("goroutine %d: function %d runs, want %d", goroutine, i, next[goroutine])
 					}
-					next[who]++
+					next[goroutine]++
 				})
 			}
 		})
@@ -213,14 +213,14 @@
 	done := make(chan bool)
 	l.Execute(func() { close(done) })
 	get(t, done)
-	for who, n := range next {
+	for goroutine, n := range next {
 		if n != each {
-			t.Errorf("%d ran of %d", n, who)
+			t.Errorf("goroutine %d: %d functions ran, want %d", goroutine, n, each)
 		}
 	}
 }
 
-// After the loop has ended, its descriptors are another's: nothing may be written there.
+// After Run has ended, the loop's descriptor numbers may be in use for something else: Execute must not write there.
 func TestExecuteAfterTheEndDoesNothing(t *testing.T) {
 	l, err := New(&recorder{})
 	if err != nil {
@@ -236,10 +236,10 @@
 	}
 	defer unix.Close(pair[0])
 	defer unix.Close(pair[1])
-	l.wake = pair[0]
-	l.Execute(func() { t.Error("it ran") })
+	l.wakeFD = pair[0]
+	l.Execute(func() { t.Error("the function ran after the end of the loop") })
 	if n, err := unix.Read(pair[1], make([]byte, 8)); err != unix.EAGAIN {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("Execute wrote %d bytes to a closed loop's descriptor, read error %v, want %v", n, err, unix.EAGAIN)
 	}
 }
 
@@ -258,59 +258,59 @@
 	})
 	for _, want := range []int{5, 10, 30} {
 		if got := get(t, ran); got != want {
-			t.Errorf("%d runs, and %d is due", got, want)
+			t.Errorf("the timer of %d ms runs, want that of %d ms", got, want)
 		}
 	}
 }
 
-// A dial ends once: with a connection, or with a reason.
+// A dial ends once: with a connection, or with an error.
 func TestDial(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	unheard, err := net.Listen("tcp", "127.0.0.1:0") // has an address, where nobody listens once it is closed
+	closed, err := net.Listen("tcp", "127.0.0.1:0") // gives an address that refuses connections once it is closed
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := unheard.Addr().String()
-	unheard.Close()
+	refusing := closed.Addr().String()
+	closed.Close()
 	ends := make(chan any, 10)
 	l, _ := run(t, &recorder{opened: func(c Conn) {
-		// The system doubles what it is told, and holds a whole request whatever the way to the other side is like.
-		if size, err := unix.GetsockoptInt(c.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF); err != nil || size != 2*sendBuffer {
-			t.Errorf("the system takes %d bytes, %v", size, err)
+		// Linux doubles SO_SNDBUF, and so holds a whole request whatever the round-trip time.
+		if size, err := unix.GetsockoptInt(c.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF); err != nil || size != 2*sendBufferBytes {
+			t.Errorf("SO_SNDBUF is %d bytes, error %v, want %d", size, err, 2*sendBufferBytes)
 		}
 		ends <- c.Context()
 	}})
 	for _, c := range []struct {
 		to   string
 		want any
-	}{{listener.Addr().String(), "up"}, {nobody, unix.ECONNREFUSED}} {
+	}{{listener.Addr().String(), "up"}, {refusing, unix.ECONNREFUSED}} {
 		inCall := true
 		l.Execute(func() {
 			l.Dial(netip.MustParseAddrPort(c.to), time.Second, "up", func(err error) {
 				if inCall {
-					t.Error("it failed within the call")
+					t.Error("the failure was reported within the call of Dial")
 				}
 				ends <- err
 			})
 			inCall = false
 		})
 		if got := get(t, ends); got != c.want {
-			t.Errorf("%s: %v, want %v", c.to, got, c.want)
+			t.Errorf("dial of %s: %v, want %v", c.to, got, c.want)
 		}
 	}
 	time.Sleep(10 * time.Millisecond)
 	if len(ends) > 0 {
-		t.Errorf("a second end: %v", <-ends)
+		t.Errorf("a dial ended twice, the second time with %v", <-ends)
 	}
 }
 
-// A connection knows since when its bytes may have been there: not from before they were sent where the loop was free, and from
-// before they were sent where it was not.
-func TestSinceWhenBytesMayHaveBeenThere(t *testing.T) {
+// Since is the earliest time at which the bytes may have arrived: not before they were sent if the loop was idle, and not after
+// they were sent if a callback kept the loop busy meanwhile.
+func TestSinceBoundsTheArrivalOfBytes(t *testing.T) {
 	since := make(chan time.Time, 10)
 	l, addr := run(t, &recorder{traffic: func(c Conn) {
 		c.Discard(c.InboundBuffered())
@@ -320,28 +320,28 @@
 	time.Sleep(50 * time.Millisecond)
 	sent := time.Now()
 	io.WriteString(c, "x")
-	if at := get(t, since); at.Before(sent.Add(-heldUp)) {
-		t.Errorf("a free loop puts it %v before it was sent", sent.Sub(at))
+	if at := get(t, since); at.Before(sent.Add(-stallThreshold)) {
+		t.Errorf("on an idle loop Since is %v before the bytes were sent, want at most %v", sent.Sub(at), stallThreshold)
 	}
-	held := make(chan bool)
+	busy := make(chan bool)
 	l.Execute(func() {
-		close(held)
+		close(busy)
 		time.Sleep(100 * time.Millisecond)
 	})
-	<-held
-	late := connect(t, addr) // is accepted late, too
+	<-busy
+	late := connect(t, addr) // is accepted only after the callback
 	for _, c := range []net.Conn{c, late} {
 		io.WriteString(c, "x")
 	}
 	sent = time.Now()
 	for range 2 {
 		if at := get(t, since); at.After(sent) {
-			t.Errorf("a loop that was held puts it %v after it was sent", at.Sub(sent))
+			t.Errorf("on a busy loop Since is %v after the bytes were sent", at.Sub(sent))
 		}
 	}
 }
 
-// The reaction to each error that the manuals of accept, connect, read and write document.
+// The reaction to each error that the manual pages of accept, connect, read and write document.
 func TestReactions(t *testing.T) {
 	for _, c := range []struct {
 		errno                   unix.Errno
@@ -354,29 +354,30 @@
 		{unix.EMFILE, retryLater, retryLater, retryLater},
 		{unix.ENFILE, retryLater, retryLater, retryLater},
 		{unix.ENOSPC, retryLater, retryLater, retryLater},
-		{unix.ECONNABORTED, ended, nextOne, ended},
-		{unix.EPROTO, ended, nextOne, ended},
-		{unix.EPERM, ended, nextOne, retryLater},
-		{unix.ENETDOWN, ended, nextOne, retryLater},
-		{unix.ENETUNREACH, ended, nextOne, retryLater},
-		{unix.EADDRNOTAVAIL, ended, nextOne, retryLater},
-		{unix.ETIMEDOUT, ended, nextOne, ended},
-		{unix.EHOSTUNREACH, ended, nextOne, ended},
-		{unix.ECONNREFUSED, ended, nextOne, ended},
-		{unix.ECONNRESET, ended, nextOne, ended},
-		{unix.EPIPE, ended, nextOne, ended},
-		{unix.EIO, ended, nextOne, ended},
-		{unix.EBADF, fatal, fatal, fatal},
-		{unix.EINVAL, fatal, fatal, fatal},
+		{unix.ECONNABORTED, connectionEnded, skipConnection, connectionEnded},
+		{unix.EPROTO, connectionEnded, skipConnection, connectionEnded},
+		{unix.EPERM, connectionEnded, skipConnection, retryLater},
+		{unix.ENETDOWN, connectionEnded, skipConnection, retryLater},
+		{unix.ENETUNREACH, connectionEnded, skipConnection, retryLater},
+		{unix.EADDRNOTAVAIL, connectionEnded, skipConnection, retryLater},
+		{unix.ETIMEDOUT, connectionEnded, skipConnection, connectionEnded},
+		{unix.EHOSTUNREACH, connectionEnded, skipConnection, connectionEnded},
+		{unix.ECONNREFUSED, connectionEnded, skipConnection, connectionEnded},
+		{unix.ECONNRESET, connectionEnded, skipConnection, connectionEnded},
+		{unix.EPIPE, connectionEnded, skipConnection, connectionEnded},
+		{unix.EIO, connectionEnded, skipConnection, connectionEnded},
+		{unix.EBADF, programError, programError, programError},
+		{unix.EINVAL, programError, programError, programError},
 	} {
 		if got := [3]reaction{reactionTo(c.errno), acceptReaction(c.errno), connectReaction(c.errno)}; got !=
 			[3]reaction{c.inIO, c.accepting, c.dialed} {
-			t.Errorf("%v: %v", unix.ErrnoName(c.errno), got)
+			t.Errorf("%v: reactions of I/O, accept and connect are %v, want %v", unix.ErrnoName(c.errno), got,
+				[3]reaction{c.inIO, c.accepting, c.dialed})
 		}
 	}
 }
 
-// Datagrams come with their sender's address, and go out from the listener's.
+// Datagrams are received with their sender's address, and sent from the listener's.
 func TestDatagrams(t *testing.T) {
 	type packet struct {
 		from netip.AddrPort
@@ -387,16 +388,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var at [2]*Listener
-	for i := range at {
-		if at[i], err = l.ListenUDP("127.0.0.1:0"); err != nil {
+	var listeners [2]*Listener
+	for i := range listeners {
+		if listeners[i], err = l.ListenUDP("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	go l.Run()
 	defer l.Execute(l.Stop)
-	l.Execute(func() { at[0].Send([]byte("hello"), at[1].Addr()) })
-	if p := get(t, got); p != (packet{at[0].Addr(), "hello"}) {
-		t.Errorf("%+v, sent by %v", p, at[0].Addr())
+	l.Execute(func() { listeners[0].Send([]byte("hello"), listeners[1].Addr()) })
+	if p := get(t, got); p != (packet{listeners[0].Addr(), "hello"}) {
+		t.Errorf("received %+v, want %q from %v", p, "hello", listeners[0].Addr())
 	}
 }
