--- a/scheduler/transient/listener.go
+++ b/scheduler/transient/listener.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
+// acceptDelay is the wait after a failed Accept, before the next.
 const acceptDelay = 5 * time.Millisecond
 
-// Listener accepts on where Accept fails for a reason other than its own end. The standard library's server ends with each error
-// of accept but a want of descriptors.
+// Listener wraps l so that Accept retries after every error except that l was closed. Without it, the HTTP server of the standard
+// library stops at any error of accept other than a lack of descriptors.
 func Listener(l net.Listener) net.Listener { return &listener{l} }
 
 type listener struct{ net.Listener }
--- a/scheduler/transient/transient.go
+++ b/scheduler/transient/transient.go
@@ -1,5 +1,5 @@
-// Package transient tells errors of system calls that pass by themselves from those that mean something, and makes calls of a
-// start again. It is one place for what the scheduler, its event loop and its command line take for passing.
+// Package transient tells which errors of system calls are transient, so that the same call may soon succeed, and retries calls
+// that fail with them. The scheduler, its event loop and its command line all decide by this package.
 package transient
 
 import (
@@ -10,30 +10,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// ofCalls are interruptions and shortages: the same call may succeed soon.
-var ofCalls = []unix.Errno{unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, unix.ENFILE, unix.ENOSPC}
+// callErrnos are interruptions and shortages of resources, which any system call may report.
+var callErrnos = []unix.Errno{unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, unix.ENFILE, unix.ENOSPC}
 
-// ofFiles are further ones of a disk or a file server that is in trouble.
-var ofFiles = []unix.Errno{unix.EIO, unix.EDQUOT, unix.ETIMEDOUT, unix.ENOLCK, unix.ESTALE}
+// fileErrnos are reported in addition by a disk or a file server with a temporary fault.
+var fileErrnos = []unix.Errno{unix.EIO, unix.EDQUOT, unix.ETIMEDOUT, unix.ENOLCK, unix.ESTALE}
 
-// Error tells whether an error of a system call is of the moment.
+// Error reports whether err wraps a transient error of a system call.
 func Error(err error) bool {
 	var errno unix.Errno
-	return errors.As(err, &errno) && slices.Contains(ofCalls, errno)
+	return errors.As(err, &errno) && slices.Contains(callErrnos, errno)
 }
 
-// FileError tells the same of a call on a file.
+// FileError reports the same for a call on a file, which has more transient errors than other calls.
 func FileError(err error) bool {
 	var errno unix.Errno
-	return Error(err) || errors.As(err, &errno) && slices.Contains(ofFiles, errno)
+	return Error(err) || errors.As(err, &errno) && slices.Contains(fileErrnos, errno)
 }
 
 const retryDelay = 10 * time.Millisecond
 
-// Retry makes a call again while its error passes, for at most so long. It blocks.
-func Retry(most time.Duration, passes func(error) bool, call func() error) error {
-	for end := time.Now().Add(most); ; time.Sleep(retryDelay) {
-		if err := call(); !passes(err) || time.Now().After(end) {
+// Retry repeats a call every retryDelay while isTransient says so of its error, until limit has passed, and returns the last
+// result. It blocks.
+func Retry(limit time.Duration, isTransient func(error) bool, call func() error) error {
+	for deadline := time.Now().Add(limit); ; time.Sleep(retryDelay) {
+		if err := call(); !isTransient(err) || time.Now().After(deadline) {
 			return err
 		}
 	}
--- a/scheduler/transient/transient_test.go
+++ b/scheduler/transient/transient_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestErrorsOfTheMoment(t *testing.T) {
+func TestWhichErrorsAreTransient(t *testing.T) {
 	for _, c := range []struct {
 		err        error
 		call, file bool
@@ -25,7 +25,8 @@
 		{unix.ECONNREFUSED, false, false},
 	} {
 		if Error(c.err) != c.call || FileError(c.err) != c.file {
-			t.Errorf("%v: %t %t", c.err, Error(c.err), FileError(c.err))
+			t.Errorf("%v: transient for a call: %t, want %t; for a file: %t, want %t", c.err, Error(c.err), c.call,
+				FileError(c.err), c.file)
 		}
 	}
 }
@@ -39,32 +40,32 @@
 		return unix.EADDRINUSE
 	})
 	if calls != 3 || err != unix.EADDRINUSE {
-		t.Errorf("%d calls, %v", calls, err)
+		t.Errorf("%d calls, last error %v, want 3 calls, last error %v", calls, err, unix.EADDRINUSE)
 	}
 	if err := Retry(0, Error, func() error { return unix.ENOBUFS }); err != unix.ENOBUFS {
-		t.Errorf("after its time: %v", err)
+		t.Errorf("after its time limit: error %v, want %v", err, unix.ENOBUFS)
 	}
 }
 
-// failing is a listener whose first calls fail.
-type failing struct {
+// failingListener is a listener whose calls of Accept return the given errors in order.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	err := f.errs[0]
 	f.errs = f.errs[1:]
 	return nil, err
 }
 
-func TestAListenerOutlivesItsErrors(t *testing.T) {
-	f := &failing{errs: []error{unix.ENOBUFS, unix.EPROTO, unix.ENOMEM, nil, net.ErrClosed}}
+func TestListenerRetriesAfterErrors(t *testing.T) {
+	f := &failingListener{errs: []error{unix.ENOBUFS, unix.EPROTO, unix.ENOMEM, nil, net.ErrClosed}}
 	l := Listener(f)
 	if _, err := l.Accept(); err != nil || len(f.errs) != 1 {
-		t.Errorf("%v, %d left", err, len(f.errs))
+		t.Errorf("error %v, %d results not used, want no error and 1", err, len(f.errs))
 	}
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("closed listener: error %v, want %v", err, net.ErrClosed)
 	}
 }
