--- a/http1/http1.go
+++ b/http1/http1.go
@@ -1,35 +1,40 @@
-// Package http1 parses HTTP/1.1 messages from bytes as they come. It does no I/O. A parser takes what it can
-// use of the bytes that a connection has buffered and leaves an unfinished line where it is, so however the
-// bytes are split the result is the same. What two readers could frame differently is refused, since behind a
-// front that reads it the other way a second request could hide in the first.
+// Package http1 parses HTTP/1.1 messages incrementally. It does no I/O. A parser consumes what it can of the
+// bytes that a connection has buffered and leaves an unfinished line in that buffer, so that the result is the
+// same however the bytes are split. A message that two parsers could frame differently is refused: behind a
+// proxy that frames it the other way, a second request could be smuggled in the first.
 package http1
 
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"strings"
 )
 
-// Limits bounds one message.
+// Limits bounds one message, in bytes.
 type Limits struct {
-	Head int // of all lines before the body, and of all trailers
-	Body int
+	Head int // of all lines before the body; also of all trailers
+	Body int // of the body without chunk framing
 }
 
-// Error is why a message is refused, with the status that tells a client so.
+// Error says why a message is refused.
 type Error struct {
-	Status int
-	Reason string
+	Status int    // the HTTP status to answer a client with
+	Reason string // goes out as the body of that answer
 }
 
 func (e *Error) Error() string { return e.Reason }
 
-func bad(reason string) error { return &Error{400, reason} }
+// malformed is the error of a message that breaks HTTP's syntax.
+func malformed(reason string) error { return &Error{400, reason} }
 
 // Field is one header field, its name in lower case.
-type Field struct{ Name, Value string }
+type Field struct {
+	Name  string `json:"Name"` // the tags keep the stored form of a response
+	Value string `json:"Value"`
+}
 
-// Fields are those of one message, in order.
+// Fields are the header fields of one message, in order.
 type Fields []Field
 
 // Get returns the first value of a field, by its name in lower case.
@@ -42,7 +47,7 @@
 	return "", false
 }
 
-// Has tells whether a field that is a list of words holds this one.
+// Has reports whether a field whose value is a comma-separated list contains this word, in any case.
 func (f Fields) Has(name, word string) bool {
 	for _, x := range f {
 		if x.Name != name {
@@ -57,113 +62,117 @@
 	return false
 }
 
+// state is the part of a message that the parser expects next. Its numbers go into the saved form of a
+// response, so they must not change.
 type state int
 
 const (
-	start     state = iota // the first line
-	head                   // header fields
-	sized                  // a body of known length
-	chunkSize              // the line before a chunk
-	chunk
-	chunkEnd // the line end after a chunk
-	trailer
-	untilEnd // a body that ends with the connection
+	firstLine state = iota // the request line or status line
+	headerFields
+	sizedBody // a body with a Content-Length
+	chunkSize // the line with a chunk's size
+	chunkData
+	chunkEnd // the CRLF after a chunk's data
+	trailers
+	bodyUntilClose // a body that ends where the connection does
 	done
 )
 
 // message is what requests and responses have in common.
 type message struct {
-	limits Limits
-	state  state
-	seen   int // bytes of the unfinished line that were looked at before
-	lines  int // bytes of lines so far
-	left   int // bytes of the body or chunk still to come
-	size   int // of the body so far
-	minor  int // HTTP/1.minor
-	fields Fields
-	body   []byte
+	limits       Limits
+	state        state
+	scanned      int // bytes of the unfinished line in which no LF was found yet
+	headBytes    int // bytes of lines since the start of the message, or of the last chunk size
+	remaining    int // bytes of the sized body or chunk still to come
+	bodyBytes    int // bytes of the body so far
+	minorVersion int // the x of HTTP/1.x
+	fields       Fields
+	body         []byte
 }
 
 // Fields returns the header fields.
 func (m *message) Fields() Fields { return m.fields }
 
-// Body returns what has come of the body and was not taken.
+// Body returns the bytes of the body that were parsed and not dropped by Response.Take.
 func (m *message) Body() []byte { return m.body }
 
-// HeadDone tells whether all header fields have come.
-func (m *message) HeadDone() bool { return m.state > head }
+// HeadDone reports whether all header fields were parsed.
+func (m *message) HeadDone() bool { return m.state > headerFields }
 
-// Done tells whether the message is whole.
+// Done reports whether the message is complete.
 func (m *message) Done() bool { return m.state == done }
 
-// Begun tells whether anything of the message has come.
-func (m *message) Begun() bool { return m.state != start || m.seen > 0 }
+// Begun reports whether any byte of the message was seen.
+func (m *message) Begun() bool { return m.state != firstLine || m.scanned > 0 }
 
 func (m *message) reset(l Limits) { *m = message{limits: l} }
 
-// close tells whether the connection ends after this message.
-func (m *message) close() bool {
-	return m.fields.Has("connection", "close") || m.minor == 0
+// closesConnection reports whether the connection is to be closed after this message: it says so, or it is
+// HTTP/1.0.
+func (m *message) closesConnection() bool {
+	return m.fields.Has("connection", "close") || m.minorVersion == 0
 }
 
-// line takes one line, ended by CRLF. A bare LF or CR is refused: readers differ on whether it ends a line.
-func (m *message) line(buf []byte) (text []byte, n int, err error) {
-	i := bytes.IndexByte(buf[min(m.seen, len(buf)):], '\n')
+// readLine returns the first line of buf without its CRLF and the number of bytes it takes with it, or n = 0 if
+// the line is not complete. A bare LF or CR is refused: parsers differ on whether it ends a line.
+func (m *message) readLine(buf []byte) (text []byte, n int, err error) {
+	i := bytes.IndexByte(buf[min(m.scanned, len(buf)):], '\n')
 	if i < 0 {
-		if m.seen = len(buf); m.lines+m.seen > m.limits.Head {
+		if m.scanned = len(buf); m.headBytes+m.scanned > m.limits.Head {
 			return nil, 0, &Error{431, "head too large"}
 		}
 		return nil, 0, nil
 	}
-	n = m.seen + i + 1
-	m.seen = 0
-	if m.lines += n; m.lines > m.limits.Head {
+	n = m.scanned + i + 1
+	m.scanned = 0
+	if m.headBytes += n; m.headBytes > m.limits.Head {
 		return nil, 0, &Error{431, "head too large"}
 	}
 	if n < 2 || buf[n-2] != '\r' {
-		return nil, 0, bad("line ended by a bare LF")
+		return nil, 0, malformed("line ended by a bare LF")
 	}
 	text = buf[:n-2]
 	for _, c := range text {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return nil, 0, bad("control character in the head")
+			return nil, 0, malformed("control character in the head")
 		}
 	}
 	return text, n, nil
 }
 
-// feed takes what it can of buf and returns how much. first reads the first line, framing what the head says
-// of the body.
-func (m *message) feed(buf []byte, first func(string) error, framing func() error) (used int, err error) {
+// feed parses what it can of buf and returns how many bytes it used. parseFirstLine handles the first line;
+// startBody is called at the end of the header fields and sets the state for the body that they announce.
+func (m *message) feed(buf []byte, parseFirstLine func(string) error, startBody func() error) (used int, err error) {
 	for m.state != done {
 		rest := buf[used:]
 		switch m.state {
-		case sized, chunk, untilEnd:
+		case sizedBody, chunkData, bodyUntilClose:
 			k := len(rest)
-			if m.state != untilEnd {
-				k = min(k, m.left)
+			if m.state != bodyUntilClose {
+				k = min(k, m.remaining)
 			}
-			if m.size += k; m.size > m.limits.Body {
+			if m.bodyBytes += k; m.bodyBytes > m.limits.Body {
 				return used, &Error{413, "body too large"}
 			}
 			m.body = append(m.body, rest[:k]...)
 			used += k
-			m.left -= k
-			if m.state == untilEnd || m.left > 0 {
+			m.remaining -= k
+			if m.state == bodyUntilClose || m.remaining > 0 {
 				return used, nil
 			}
-			if m.state == chunk {
+			if m.state == chunkData {
 				m.state = chunkEnd
 			} else {
 				m.state = done
 			}
 		default:
-			text, n, err := m.line(rest)
+			text, n, err := m.readLine(rest)
 			if err != nil || n == 0 {
 				return used, err
 			}
 			used += n
-			if err := m.take(string(text), first, framing); err != nil {
+			if err := m.parseLine(string(text), parseFirstLine, startBody); err != nil {
 				return used, err
 			}
 		}
@@ -171,39 +180,40 @@
 	return used, nil
 }
 
-func (m *message) take(text string, first func(string) error, framing func() error) error {
+// parseLine handles one line outside of body data.
+func (m *message) parseLine(text string, parseFirstLine func(string) error, startBody func() error) error {
 	switch m.state {
-	case start:
-		if text == "" && m.lines <= 4 {
-			return nil // some clients end a body with a line end too many
+	case firstLine:
+		if text == "" && m.headBytes <= 4 {
+			return nil // some clients send an extra CRLF after a body
 		}
-		m.state = head
-		return first(text)
-	case head:
+		m.state = headerFields
+		return parseFirstLine(text)
+	case headerFields:
 		if text == "" {
-			return framing()
+			return startBody()
 		}
-		return m.field(text)
+		return m.parseField(text)
 	case chunkSize:
 		size, _, _ := strings.Cut(text, ";")
-		n, ok := number(strings.TrimRight(size, " \t"), 16)
+		n, ok := parseDigits(strings.TrimRight(size, " \t"), 16)
 		if !ok {
-			return bad("bad chunk size")
+			return malformed("bad chunk size")
 		}
-		if n > m.limits.Body-m.size {
+		if n > m.limits.Body-m.bodyBytes {
 			return &Error{413, "body too large"}
 		}
-		// Chunks of any number are fine as long as the body is, so their lines do not add up.
-		m.lines = 0
-		if m.left, m.state = n, chunk; n == 0 {
-			m.state = trailer
+		// The number of chunks is bounded by the body limit alone: their size lines don't add up towards the head limit.
+		m.headBytes = 0
+		if m.remaining, m.state = n, chunkData; n == 0 {
+			m.state = trailers
 		}
 	case chunkEnd:
 		if text != "" {
-			return bad("chunk longer than its size")
+			return malformed("chunk longer than its size")
 		}
 		m.state = chunkSize
-	case trailer:
+	case trailers:
 		if text == "" {
 			m.state = done
 		}
@@ -211,22 +221,24 @@
 	return nil
 }
 
-const tokenMarks = "!#$%&'*+-.^_`|~"
+// tokenPunctuation are the characters other than letters and digits that a token may have (RFC 9110, 5.6.2).
+const tokenPunctuation = "!#$%&'*+-.^_`|~"
 
-func token(s string) bool {
+// isToken reports whether s is a token, as methods and field names must be.
+func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
-			strings.IndexByte(tokenMarks, c) >= 0) {
+			strings.IndexByte(tokenPunctuation, c) >= 0) {
 			return false
 		}
 	}
 	return s != ""
 }
 
-// number reads digits alone: no sign and no space, which strconv's readers take. One beyond all limits stays
-// there.
-func number(s string, base int) (n int, ok bool) {
+// parseDigits parses a number of base 10 or 16 made of digits alone: a sign, which strconv accepts, and spaces
+// are refused. The result is capped at 1<<40, above all limits, instead of overflowing.
+func parseDigits(s string, base int) (n int, ok bool) {
 	for i := range len(s) {
 		d := strings.IndexByte("0123456789abcdef", s[i]|0x20)
 		if d < 0 || d >= base || s[i] < '0' {
@@ -237,193 +249,209 @@
 	return n, s != ""
 }
 
-func (m *message) field(text string) error {
+// parseField adds one header field.
+func (m *message) parseField(text string) error {
 	name, value, ok := strings.Cut(text, ":")
-	if !ok || !token(name) { // so a folded line and a space before the colon are refused too
-		return bad("bad header field")
+	if !ok || !isToken(name) { // this also refuses a folded line, and a space before the colon
+		return malformed("bad header field")
 	}
 	m.fields = append(m.fields, Field{strings.ToLower(name), strings.Trim(value, " \t")})
 	return nil
 }
 
-// length works out how the body is framed: 0 or more bytes, or in chunks, or (-1) not told.
-func (m *message) length() (n int, chunked bool, err error) {
+// bodyLength returns how the header fields frame the body: its length in bytes, or chunked, or n = -1 if they
+// don't say.
+func (m *message) bodyLength() (n int, chunked bool, err error) {
 	n = -1
-	coded := false
+	hasTransferEncoding := false
 	for _, f := range m.fields {
 		switch f.Name {
 		case "content-length":
-			v, ok := number(f.Value, 10)
+			v, ok := parseDigits(f.Value, 10)
 			if !ok || n >= 0 {
-				return 0, false, bad("bad or repeated Content-Length")
+				return 0, false, malformed("bad or repeated Content-Length")
 			}
 			n = v
 		case "transfer-encoding":
-			if coded {
-				return 0, false, bad("repeated Transfer-Encoding")
+			if hasTransferEncoding {
+				return 0, false, malformed("repeated Transfer-Encoding")
 			}
-			if coded = true; !strings.EqualFold(f.Value, "chunked") {
+			if hasTransferEncoding = true; !strings.EqualFold(f.Value, "chunked") {
 				return 0, false, &Error{501, "transfer coding is not known"}
 			}
 		}
 	}
-	if coded && (n >= 0 || m.minor == 0) {
-		return 0, false, bad("both Content-Length and Transfer-Encoding, or chunks in HTTP/1.0")
+	if hasTransferEncoding && (n >= 0 || m.minorVersion == 0) {
+		return 0, false, malformed("both Content-Length and Transfer-Encoding, or chunks in HTTP/1.0")
 	}
-	return n, coded, nil
+	return n, hasTransferEncoding, nil
 }
 
-// expect sets the state for a body framed so.
-func (m *message) expect(n int, chunked bool, none state) error {
+// expectBody sets the state for a body of n bytes or in chunks; for n = -1 the state becomes unframed.
+func (m *message) expectBody(n int, chunked bool, unframed state) error {
 	switch {
 	case chunked:
-		m.state, m.lines = chunkSize, 0
+		m.state, m.headBytes = chunkSize, 0
 	case n > m.limits.Body:
 		return &Error{413, "body too large"}
 	case n > 0:
-		m.state, m.left = sized, n
+		m.state, m.remaining = sizedBody, n
 	case n == 0:
 		m.state = done
 	default:
-		m.state = none
+		m.state = unframed
 	}
 	return nil
 }
 
-func (m *message) version(v string) error {
+// parseVersion parses the HTTP version of a request line or status line.
+func (m *message) parseVersion(v string) error {
 	switch v {
 	case "HTTP/1.1":
-		m.minor = 1
+		m.minorVersion = 1
 	case "HTTP/1.0":
-		m.minor = 0
+		m.minorVersion = 0
 	default:
 		if strings.HasPrefix(v, "HTTP/") && len(v) == len("HTTP/1.1") {
 			return &Error{505, "version is not spoken here"}
 		}
-		return bad("bad version")
+		return malformed("bad version")
 	}
 	return nil
 }
 
-// Request is a request as it comes in.
+// Request is the incremental parser of a request, and the part of it that was parsed.
 type Request struct {
 	message
 	Method, Target string
 }
 
-// Reset makes the parser ready for the next request.
+// Reset prepares the parser for the next request.
 func (r *Request) Reset(l Limits) {
 	r.reset(l)
 	r.Method, r.Target = "", ""
 }
 
-// Feed takes what it can of buf and returns how much; the rest is to be given again, with more behind it.
-func (r *Request) Feed(buf []byte) (int, error) { return r.feed(buf, r.first, r.framing) }
+// Feed parses what it can of buf and returns how many bytes it used. The caller passes the rest again, followed
+// by the bytes that came since.
+func (r *Request) Feed(buf []byte) (int, error) { return r.feed(buf, r.parseFirstLine, r.startBody) }
 
-// Close tells whether the client wants the connection closed after the answer.
-func (r *Request) Close() bool { return r.close() }
+// Close reports whether the connection is to be closed after the answer: the client asked for it, or speaks
+// HTTP/1.0.
+func (r *Request) Close() bool { return r.closesConnection() }
 
-func (r *Request) first(text string) error {
-	part := strings.Split(text, " ")
-	if len(part) != 3 || !token(part[0]) || part[1] == "" || part[1][0] != '/' && part[1] != "*" ||
-		strings.ContainsFunc(part[1], func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return bad("bad request line") // a target of other bytes is one that workers can't read
+func (r *Request) parseFirstLine(text string) error {
+	parts := strings.Split(text, " ")
+	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" || parts[1][0] != '/' && parts[1] != "*" ||
+		strings.ContainsFunc(parts[1], func(c rune) bool { return c <= ' ' || c > '~' }) {
+		return malformed("bad request line") // workers can't parse a target with bytes other than printable ASCII
 	}
-	r.Method, r.Target = part[0], part[1]
-	return r.version(part[2])
+	r.Method, r.Target = parts[0], parts[1]
+	return r.parseVersion(parts[2])
 }
 
-func (r *Request) framing() error {
+func (r *Request) startBody() error {
 	hosts := 0
 	for _, f := range r.fields {
 		if f.Name == "host" {
 			hosts++
 		}
 	}
-	if hosts > 1 || hosts == 0 && r.minor == 1 {
-		return bad("Host is missing or repeated")
+	if hosts > 1 || hosts == 0 && r.minorVersion == 1 {
+		return malformed("Host is missing or repeated")
 	}
-	n, chunked, err := r.length()
+	n, chunked, err := r.bodyLength()
 	if err != nil {
 		return err
 	}
-	return r.expect(n, chunked, done)
+	return r.expectBody(n, chunked, done)
 }
 
-// Response is a response as it comes in. Its body may be taken piece by piece.
+// Response is the incremental parser of a response, and the part of it that was parsed. Its body may be consumed
+// piece by piece.
 type Response struct {
 	message
 	Status int
 }
 
-// Reset makes the parser ready for the next response.
+// Reset prepares the parser for the next response.
 func (r *Response) Reset(l Limits) {
 	r.reset(l)
 	r.Status = 0
 }
 
-// Feed takes what it can of buf and returns how much.
-func (r *Response) Feed(buf []byte) (int, error) { return r.feed(buf, r.first, r.framing) }
+// Feed parses what it can of buf and returns how many bytes it used, as Request.Feed does.
+func (r *Response) Feed(buf []byte) (int, error) { return r.feed(buf, r.parseFirstLine, r.startBody) }
 
-// Take drops the first n bytes of the body that has come.
+// Take drops the first n bytes of Body.
 func (r *Response) Take(n int) { r.body = append(r.body[:0], r.body[n:]...) }
 
-// End tells that the connection has ended, and returns whether the response is whole.
+// End is called when the connection has ended, and reports whether the response is complete.
 func (r *Response) End() bool {
-	if r.state == untilEnd {
+	if r.state == bodyUntilClose {
 		r.state = done
 	}
 	return r.state == done
 }
 
-// Reusable tells whether another request may follow on the connection.
-func (r *Response) Reusable() bool { return r.Done() && !r.close() }
-
-// saved is what a parser has taken in, but for an unfinished line: that is still where it came from.
-type saved struct {
-	State, Lines, Left, Size, Minor, Status int
-	Fields                                  Fields
-	Body                                    []byte
+// Reusable reports whether another request may be sent on the connection.
+func (r *Response) Reusable() bool { return r.Done() && !r.closesConnection() }
+
+// savedResponse is the stored form of a Response, read by another process, possibly of another build. An
+// unfinished line is not part of it: that is still in the connection's buffer.
+type savedResponse struct {
+	State        int    `json:"State"` // a state
+	HeadBytes    int    `json:"Lines"`
+	Remaining    int    `json:"Left"`
+	BodyBytes    int    `json:"Size"`
+	MinorVersion int    `json:"Minor"`
+	Status       int    `json:"Status"`
+	Fields       Fields `json:"Fields"`
+	Body         []byte `json:"Body"`
 }
 
-// Save gives all that the parser has taken in, for another process to go on with.
+// Save encodes the parser's state as JSON, so that another process can parse the rest of the response.
 func (r *Response) Save() ([]byte, error) {
-	return json.Marshal(saved{int(r.state), r.lines, r.left, r.size, r.minor, r.Status, r.fields, r.body})
+	return json.Marshal(savedResponse{int(r.state), r.headBytes, r.remaining, r.bodyBytes, r.minorVersion, r.Status,
+		r.fields, r.body})
 }
 
-// Restore makes the parser go on from there.
+// Restore sets the parser to a state that Save encoded.
 func (r *Response) Restore(raw []byte, l Limits) error {
-	var in saved
-	if err := json.Unmarshal(raw, &in); err != nil {
+	var saved savedResponse
+	if err := json.Unmarshal(raw, &saved); err != nil {
 		return err
 	}
-	if in.State < int(start) || in.State > int(done) || in.Lines < 0 || in.Left < 0 || in.Size < 0 {
-		return bad("no parser was in such a state")
+	if saved.State < int(firstLine) || saved.State > int(done) || saved.HeadBytes < 0 || saved.Remaining < 0 ||
+		saved.BodyBytes < 0 {
+		return malformed(fmt.Sprintf("saved response: state %d, want %d to %d; Lines, Left and Size %d, %d and %d bytes, want at least 0",
+			saved.State, firstLine, done, saved.HeadBytes, saved.Remaining, saved.BodyBytes))
 	}
 	r.Reset(l)
-	r.state, r.lines, r.left, r.size, r.minor = state(in.State), in.Lines, in.Left, in.Size, in.Minor
-	r.Status, r.fields, r.body = in.Status, in.Fields, in.Body
+	r.state, r.headBytes, r.remaining, r.bodyBytes, r.minorVersion =
+		state(saved.State), saved.HeadBytes, saved.Remaining, saved.BodyBytes, saved.MinorVersion
+	r.Status, r.fields, r.body = saved.Status, saved.Fields, saved.Body
 	return nil
 }
 
-func (r *Response) first(text string) error {
+func (r *Response) parseFirstLine(text string) error {
 	version, rest, _ := strings.Cut(text, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	n, ok := number(code, 10)
+	n, ok := parseDigits(code, 10)
 	if !ok || len(code) != 3 || n < 100 {
-		return bad("bad status line")
+		return malformed("bad status line")
 	}
 	r.Status = n
-	return r.version(version)
+	return r.parseVersion(version)
 }
 
-func (r *Response) framing() error {
-	n, chunked, err := r.length()
+func (r *Response) startBody() error {
+	n, chunked, err := r.bodyLength()
 	if err != nil {
 		return err
 	}
 	if r.Status < 200 {
-		r.Reset(r.limits) // an interim response: the real one follows
+		r.Reset(r.limits) // an interim response: the final one follows
 		return nil
 	}
 	if r.Status == 204 || r.Status == 304 {
@@ -433,5 +461,5 @@
 	if n < 0 && !chunked {
 		r.fields = append(r.fields, Field{"connection", "close"})
 	}
-	return r.expect(n, chunked, untilEnd)
+	return r.expectBody(n, chunked, bodyUntilClose)
 }
