--- a/cmd/shalebeam/main.go
+++ b/cmd/shalebeam/main.go
@@ -1,4 +1,4 @@
-// Command shalebeam is one scheduler on sockets.
+// Command shalebeam runs one scheduler, checks its configuration or prints the version.
 package main
 
 import (
@@ -17,28 +17,31 @@
 	"shalebeam/scheduler/transient"
 )
 
-type file struct {
-	Path string `name:"config" env:"BALANCER_CONFIG" placeholder:"FILE" help:"What the scheduler is told."`
+// configFlag is the flag that names the configuration file.
+type configFlag struct {
+	Path string `name:"config" env:"BALANCER_CONFIG" placeholder:"FILE" help:"The scheduler's configuration file."`
 }
 
-type serve struct {
-	file
-	Mgmt string `env:"BALANCER_MGMT" placeholder:"ADDR" help:"The second address, where the file names none."`
+// serveCommand is the command serve. Kong makes flags of its fields.
+type serveCommand struct {
+	configFlag
+	Mgmt string `env:"BALANCER_MGMT" placeholder:"ADDR" help:"Management address, used if the file names none."`
 }
 
-func (c *serve) Run(hup chan os.Signal) error {
+// Run runs the scheduler until SIGTERM or SIGINT has stopped it. Each signal on hup has it read its configuration again.
+func (c *serveCommand) Run(hup chan os.Signal) error {
 	n, err := c.loadAtStart()
 	if err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGPIPE) // nobody reads the log any more: that is no reason to end
+	signal.Ignore(syscall.SIGPIPE) // a log whose reader has closed the pipe must not end the process
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	l := log.New(os.Stderr, "", log.LstdFlags|log.Lmicroseconds)
 	s := scheduler.New(n, l)
 	go func() {
 		for range hup {
-			if n, err := c.loadAgain(l); err != nil {
+			if n, err := c.loadForReload(l); err != nil {
 				l.Printf("msg=reload state=refused err=%q", err)
 			} else {
 				s.Reload(n)
@@ -49,35 +52,37 @@
 }
 
 const (
-	loadDelay = 20 * time.Millisecond // between two tries of a file that can't be read for the moment
-	loadFor   = 4 * time.Second       // at a start
+	reloadRetryDelay = 20 * time.Millisecond // between two tries of a reload whose file has a transient read error
+	startRetryLimit  = 4 * time.Second       // how long a start retries transient read errors of the file
 )
 
-// loadAtStart reads the file, for some seconds where it can't be read for the moment.
-func (c *serve) loadAtStart() (n *scheduler.Node, err error) {
-	err = transient.Retry(loadFor, transient.FileError, func() (err error) {
+// loadAtStart reads the configuration, and retries transient read errors for up to startRetryLimit.
+func (c *serveCommand) loadAtStart() (n *scheduler.Node, err error) {
+	err = transient.Retry(startRetryLimit, transient.FileError, func() (err error) {
 		n, err = scheduler.Load(c.Path, c.Mgmt)
 		return err
 	})
 	return n, err
 }
 
-// loadAgain reads the file at a reload, until it can be read: the change is owed.
-func (c *serve) loadAgain(l *log.Logger) (*scheduler.Node, error) {
+// loadForReload reads the configuration at a reload. It retries transient read errors without limit, so that a change that was
+// signalled is not dropped.
+func (c *serveCommand) loadForReload(l *log.Logger) (*scheduler.Node, error) {
 	for tries := 1; ; tries++ {
-		n, err := c.load()
+		n, err := c.loadConsistent()
 		if !transient.FileError(err) {
 			return n, err
 		}
 		if tries == 1 {
 			l.Printf("msg=reload state=waits err=%q", err)
 		}
-		time.Sleep(loadDelay)
+		time.Sleep(reloadRetryDelay)
 	}
 }
 
-// load reads the file again, and once more if it was replaced or written to while it was read.
-func (c *serve) load() (n *scheduler.Node, err error) {
+// loadConsistent reads the configuration, and repeats that, up to four times, if it is invalid and the file was replaced or
+// written to while it was read.
+func (c *serveCommand) loadConsistent() (n *scheduler.Node, err error) {
 	for range 5 {
 		before, _ := os.Stat(c.Path)
 		n, err = scheduler.Load(c.Path, c.Mgmt)
@@ -90,9 +95,11 @@
 	return n, err
 }
 
-type check struct{ file }
+// checkCommand is the command check.
+type checkCommand struct{ configFlag }
 
-func (c *check) Run() error {
+// Run reports whether the configuration is valid.
+func (c *checkCommand) Run() error {
 	n, err := scheduler.Load(c.Path, "")
 	if err == nil {
 		fmt.Printf("%s: ok, name=%s listen=%s\n", c.Path, n.Name, n.Listen)
@@ -100,9 +107,11 @@
 	return err
 }
 
-type version struct{}
+// versionCommand is the command version.
+type versionCommand struct{}
 
-func (version) Run() error {
+// Run prints the module version that the program was built from.
+func (versionCommand) Run() error {
 	v := "unknown"
 	if b, ok := debug.ReadBuildInfo(); ok {
 		v = b.Main.Version
@@ -112,14 +121,14 @@
 }
 
 func main() {
-	// Before all else, since SIGHUP would end the program. One that comes while a file is read waits for its
-	// turn, and any more of them tell nothing new.
+	// First of all, since SIGHUP would end the process. The channel holds one signal that comes while the configuration is
+	// read; further ones meanwhile can be dropped, since the file is read once more anyway.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	var cli struct {
-		Serve   serve   `cmd:"" help:"Serve until SIGTERM, then answer all and exit."`
-		Check   check   `cmd:"" help:"Check a configuration and exit."`
-		Version version `cmd:"" help:"Print the version."`
+		Serve   serveCommand   `cmd:"" help:"Serve until SIGTERM, then answer all and exit."`
+		Check   checkCommand   `cmd:"" help:"Check a configuration and exit."`
+		Version versionCommand `cmd:"" help:"Print the version."`
 	}
 	k := kong.Parse(&cli, kong.Bind(hup), kong.Name("shalebeam"),
 		kong.Description("A scheduler that pushes txns to workers."))
