--- a/cmd/shalebeam/faults_test.go
+++ b/cmd/shalebeam/faults_test.go
@@ -19,8 +19,8 @@
 	"shalebeam/lab/sysfault"
 )
 
-// Each case makes system calls of a running process fail for a moment. Requests that are open then and those that come
-// meanwhile get their answers, and the process serves on.
+// Each case makes system calls of a running process fail transiently. Requests that are open then and those that come meanwhile
+// get their answers, and the process goes on serving.
 func TestServesWhileSystemCallsFail(t *testing.T) {
 	t.Parallel()
 	for name, rule := range map[string]sysfault.Rule{
@@ -54,72 +54,72 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			underFault(t, rule)
+			runUnderFault(t, rule)
 		})
 	}
 }
 
-// underFault has requests open before, during and after a fault, on connections that stay and on new ones.
-func underFault(t *testing.T, rule sysfault.Rule) {
-	s := newStage(t)
-	s.traced = []sysfault.Call{rule.Call}
-	s.start(members(1, true, s.worker("w1"), s.worker("w2")), nil)
-	s.healthy()
-	resting := s.keep()
-	resting.send("/look", "rest0")
-	s.call().settle("rest0")
-	resting.gets(200, "rest0")
+// runUnderFault has requests open before, during and after a fault, on keep-alive connections and on new ones.
+func runUnderFault(t *testing.T, rule sysfault.Rule) {
+	s := newTestbed(t)
+	s.tracedCalls = []sysfault.Call{rule.Call}
+	s.start(workerList(1, true, s.startWorker("w1"), s.startWorker("w2")), nil)
+	s.waitUntilHealthy()
+	idle := s.openKeptConnection()
+	idle.sendRequest("/look", "rest0")
+	s.nextPosting().settle("rest0")
+	idle.expectAnswer(200, "rest0")
 
-	open := s.keep()
-	open.send("/buy", "open")
-	held := s.call()
+	busy := s.openKeptConnection()
+	busy.sendRequest("/buy", "open")
+	openPosting := s.nextPosting()
 	s.faults.Set(rule)
 	answering := make(chan struct{})
 	go func() {
 		defer close(answering)
 		for {
 			select {
-			case c := <-s.calls:
+			case c := <-s.postings:
 				c.settle(c.id())
 			case <-t.Context().Done():
 				return
 			}
 		}
 	}()
-	var news []chan answer
-	s.cmd.Process.Signal(unix.SIGHUP) // wakes the loop from another thread
+	var newRequests []chan answer
+	s.cmd.Process.Signal(unix.SIGHUP) // wakes the event loop from another thread
 	for i := range 8 {
-		resting.send("/look", fmt.Sprint("rest", i+1))
-		resting.gets(200, fmt.Sprint("rest", i+1))
+		idle.sendRequest("/look", fmt.Sprint("rest", i+1))
+		idle.expectAnswer(200, fmt.Sprint("rest", i+1))
 		scheme := []string{"/look", "/buy"}[i%2]
-		news = append(news, s.ask(scheme, fmt.Sprint("new", i)))
+		newRequests = append(newRequests, s.sendRequest(scheme, fmt.Sprint("new", i)))
 		time.Sleep(10 * time.Millisecond)
 	}
-	for i, c := range news {
-		s.gets(c, 200, fmt.Sprint("new", i))
+	for i, c := range newRequests {
+		s.expectAnswer(c, 200, fmt.Sprint("new", i))
 	}
-	held.settle("open")
-	open.gets(200, "open")
+	openPosting.settle("open")
+	busy.expectAnswer(200, "open")
 	if s.faults.Failed() == 0 {
-		t.Error("no call failed, so the case shows nothing")
+		t.Error("no system call failed, so the fault was not tested")
 	}
 	s.faults.Set()
-	s.gets(s.ask("/look", "after"), 200, "after")
-	for _, c := range []*kept{resting, open} {
+	s.expectAnswer(s.sendRequest("/look", "after"), 200, "after")
+	for _, c := range []*keptConnection{idle, busy} {
 		c.conn.Close()
 	}
-	s.stop()
-	s.ended()
+	s.terminate()
+	s.expectCleanExit()
 }
 
-// A process comes up while the calls that its start needs fail for a moment.
+// A process starts although system calls that its start needs fail transiently.
 func TestStartsWhileSystemCallsFail(t *testing.T) {
 	t.Parallel()
 	for name, rule := range map[string]sysfault.Rule{
 		"socket ENFILE":  {Call: sysfault.Socket, Errno: unix.ENFILE, Most: 20},
 		"socket ENOBUFS": {Call: sysfault.Socket, Errno: unix.ENOBUFS, Most: 20},
 		"dup EMFILE":     {Call: sysfault.Dup, Errno: unix.EMFILE, Most: 5},
-		// Of the runtime's own descriptors it would end any Go program, before main.
+		// Sockets only: failing for the Go runtime's own descriptors, it would end any Go program before main.
 		"epoll_ctl ENOMEM":       {Call: sysfault.EpollCtl, Kind: sysfault.Sockets, Errno: unix.ENOMEM, Most: 5},
 		"configuration ENFILE":   {Call: sysfault.Open, Path: "config.json", Errno: unix.ENFILE, Most: 20},
 		"configuration EIO":      {Call: sysfault.Open, Path: "config.json", Errno: unix.EIO, Most: 20},
@@ -127,49 +127,50 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t)
-			s.traced, s.early = []sysfault.Call{rule.Call}, []sysfault.Rule{rule}
-			s.start(members(1, true, s.worker("w1")), nil)
-			s.healthy()
-			s.serves()
+			s := newTestbed(t)
+			s.tracedCalls, s.startFaults = []sysfault.Call{rule.Call}, []sysfault.Rule{rule}
+			s.start(workerList(1, true, s.startWorker("w1")), nil)
+			s.waitUntilHealthy()
+			s.expectService()
 			if s.faults.Failed() == 0 {
-				t.Error("no call failed, so the case shows nothing")
+				t.Error("no system call failed, so the fault was not tested")
 			}
-			s.stop()
-			s.ended()
+			s.terminate()
+			s.expectCleanExit()
 		})
 	}
 }
 
-// A configuration that can't be read for a moment at SIGHUP is read once it can be: the change is not dropped.
+// If reading the configuration fails transiently after SIGHUP, it is read once that is possible: the reload is not dropped.
 func TestReloadsWhileTheFileCannotBeRead(t *testing.T) {
 	t.Parallel()
-	s := newStage(t)
-	s.traced = []sysfault.Call{sysfault.Open}
-	s.start(members(1, true, s.worker("w1")), nil)
-	s.healthy()
-	raw, err := os.ReadFile(s.path)
+	s := newTestbed(t)
+	s.tracedCalls = []sysfault.Call{sysfault.Open}
+	s.start(workerList(1, true, s.startWorker("w1")), nil)
+	s.waitUntilHealthy()
+	raw, err := os.ReadFile(s.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.faults.Set(sysfault.Rule{Call: sysfault.Open, Path: "config.json", Errno: unix.EIO, Most: 30})
 	s.reload([]byte(strings.ReplaceAll(string(raw), `"look"`, `"see"`)))
-	s.logged("msg=reload state=taken")
-	s.gets(s.ask("/look", "old"), 404, "")
-	c := s.ask("/see", "new")
-	s.call().settle("new")
-	s.gets(c, 200, "new")
+	s.waitForLog("msg=reload state=taken")
+	s.expectAnswer(s.sendRequest("/look", "old"), 404, "")
+	c := s.sendRequest("/see", "new")
+	s.nextPosting().settle("new")
+	s.expectAnswer(c, 200, "new")
 }
 
-// Who is out is kept in a file. What can't be written there is answered with a no and changes nothing; what can't be read is
-// not written over.
-func TestWhoIsOutIsKeptWhileTheDiskFails(t *testing.T) {
+// Which workers are out is stored in a file. A call whose change can't be written there is answered 503 and changes nothing; a
+// file that can't be read is not overwritten.
+func TestOutWorkersArePersistedDespiteDiskFailures(t *testing.T) {
 	t.Parallel()
-	s := newStage(t)
-	s.traced = []sysfault.Call{sysfault.Open, sysfault.Write, sysfault.Rename}
-	addr := s.withMgmt(members(1, true, s.worker("w1"), s.worker("w2"), s.worker("w3")), map[string]any{"listen": free(t)})
-	if got := opsCall(t, addr, put("/ops/workers/down", "w1")); got != 200 {
-		t.Fatalf("w1 down: %d", got)
+	s := newTestbed(t)
+	s.tracedCalls = []sysfault.Call{sysfault.Open, sysfault.Write, sysfault.Rename}
+	addr := s.startWithMgmt(workerList(1, true, s.startWorker("w1"), s.startWorker("w2"), s.startWorker("w3")),
+		map[string]any{"listen": freeAddress(t)})
+	if got := callOps(t, addr, postText("/ops/workers/down", "w1")); got != 200 {
+		t.Fatalf("taking w1 out: got status %d, want 200", got)
 	}
 	for name, rule := range map[string]sysfault.Rule{
 		"no space for a file":   {Call: sysfault.Open, Path: ".out.new", Errno: unix.ENOSPC},
@@ -180,42 +181,43 @@
 		"no descriptor":         {Call: sysfault.Open, Path: ".out", Errno: unix.EMFILE},
 	} {
 		s.faults.Set(rule)
-		if got := opsCall(t, addr, put("/ops/workers/down", "w2")); got != 503 {
-			t.Errorf("%s: w2 down: %d", name, got)
+		if got := callOps(t, addr, postText("/ops/workers/down", "w2")); got != 503 {
+			t.Errorf("%s: taking w2 out: got status %d, want 503", name, got)
 		}
 		if s.faults.Failed() == 0 {
-			t.Errorf("%s: no call failed, so the case shows nothing", name)
+			t.Errorf("%s: no system call failed, so the fault was not tested", name)
 		}
 	}
 	s.faults.Set()
-	if got := opsCall(t, addr, put("/ops/workers/down", "w3")); got != 200 {
-		t.Errorf("w3 down: %d", got)
+	if got := callOps(t, addr, postText("/ops/workers/down", "w3")); got != 200 {
+		t.Errorf("taking w3 out: got status %d, want 200", got)
 	}
 	for i := range 4 {
-		c := s.ask("/look", fmt.Sprint("r", i))
-		if to := s.settles(c, "ok"); !slices.Equal(to, []string{"w2"}) {
-			t.Errorf("sent to %v, and w2 alone is in", to)
+		c := s.sendRequest("/look", fmt.Sprint("r", i))
+		if to := s.settleUntilAnswered(c, "ok"); !slices.Equal(to, []string{"w2"}) {
+			t.Errorf("posted to %v, want w2 alone", to)
 		}
 	}
-	files, err := filepath.Glob(filepath.Join(s.tmp, "*.out"))
+	files, err := filepath.Glob(filepath.Join(s.tmpDir, "*.out"))
 	if err != nil || len(files) != 1 {
-		t.Fatalf("%v %v", files, err)
+		t.Fatalf("files of workers that are out: %v, error %v, want one file", files, err)
 	}
 	raw, err := os.ReadFile(files[0])
 	if text := string(raw); err != nil || !strings.Contains(text, `"w1"`) || !strings.Contains(text, `"w3"`) ||
 		strings.Contains(text, `"w2"`) {
-		t.Errorf("kept is %s %v", raw, err)
+		t.Errorf("stored are %s, error %v, want w1 and w3", raw, err)
 	}
 }
 
-// A call of staff's gets all of its answer, also where the system takes it piece by piece; and the counts say so.
-func TestAnswersToStaffComeWhole(t *testing.T) {
+// A management call gets its complete answer, also if the kernel takes it piece by piece; here it is the metrics, which count the
+// one request that was done.
+func TestManagementAnswersAreComplete(t *testing.T) {
 	t.Parallel()
-	s := newStage(t)
-	s.traced = []sysfault.Call{sysfault.Write}
-	addr := s.withMgmt(members(1, true, s.worker("w1")), nil)
-	s.healthy()
-	s.serves()
+	s := newTestbed(t)
+	s.tracedCalls = []sysfault.Call{sysfault.Write}
+	addr := s.startWithMgmt(workerList(1, true, s.startWorker("w1")), nil)
+	s.waitUntilHealthy()
+	s.expectService()
 	s.faults.Set(sysfault.Rule{Call: sysfault.Write, Kind: sysfault.Sockets, Errno: unix.EINTR, Every: 2},
 		sysfault.Rule{Call: sysfault.Write, Kind: sysfault.Sockets, Short: 100})
 	conn, err := net.Dial("tcp", addr)
@@ -223,7 +225,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, "GET /ops/metrics HTTP/1.1\r\nHost: h\r\n\r\n")
 	w, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -232,19 +234,19 @@
 	text, err := io.ReadAll(w.Body)
 	if err != nil || !strings.HasSuffix(string(text), "# EOF\n") ||
 		!strings.Contains(string(text), "shalebeam_requests_total{result=\"done\"} 1\n") {
-		t.Errorf("%v\n%s", err, text)
+		t.Errorf("error %v, want one request done and a last line # EOF in:\n%s", err, text)
 	}
 }
 
-// A limit on descriptors that is lowered under a running process fails accept, socket and dup for real.
+// Lowering RLIMIT_NOFILE of a running process has the kernel itself fail accept, socket and dup.
 func TestServesWhileDescriptorsAreShort(t *testing.T) {
 	t.Parallel()
-	s := newStage(t)
-	s.start(members(1, true, s.worker("w1"), s.worker("w2")), nil)
-	s.healthy()
-	open := s.keep()
-	open.send("/buy", "open")
-	held := s.call()
+	s := newTestbed(t)
+	s.start(workerList(1, true, s.startWorker("w1"), s.startWorker("w2")), nil)
+	s.waitUntilHealthy()
+	busy := s.openKeptConnection()
+	busy.sendRequest("/buy", "open")
+	openPosting := s.nextPosting()
 	var before unix.Rlimit
 	if err := unix.Prlimit(s.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &before); err != nil {
 		t.Fatal(err)
@@ -252,41 +254,41 @@
 	if err := unix.Prlimit(s.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 4, Max: before.Max}, nil); err != nil {
 		t.Fatal(err)
 	}
-	var news []chan answer
+	var newRequests []chan answer
 	for i := range 8 {
-		news = append(news, s.ask("/look", fmt.Sprint("new", i)))
+		newRequests = append(newRequests, s.sendRequest("/look", fmt.Sprint("new", i)))
 	}
 	time.Sleep(300 * time.Millisecond)
 	if err := unix.Prlimit(s.cmd.Process.Pid, unix.RLIMIT_NOFILE, &before, nil); err != nil {
 		t.Fatal(err)
 	}
-	for got := 0; got < len(news); {
+	for got := 0; got < len(newRequests); {
 		select {
-		case c := <-s.calls:
+		case c := <-s.postings:
 			c.settle("ok")
-		case a := <-news[got]:
+		case a := <-newRequests[got]:
 			if a.err != nil || a.status != 200 {
-				t.Errorf("new%d got %d %v", got, a.status, a.err)
+				t.Errorf("new%d got status %d, error %v, want 200", got, a.status, a.err)
 			}
 			got++
-		case <-time.After(patience):
-			t.Fatal("an answer did not come")
+		case <-time.After(testTimeout):
+			t.Fatalf("no answer for new%d within %v", got, testTimeout)
 		}
 	}
-	held.settle("open")
-	open.gets(200, "open")
-	open.conn.Close()
-	s.stop()
-	s.ended()
+	openPosting.settle("open")
+	busy.expectAnswer(200, "open")
+	busy.conn.Close()
+	s.terminate()
+	s.expectCleanExit()
 }
 
-// A limit on descriptors that is lower for a moment, just as the bounds are reckoned anew, bounds nothing for good.
-func TestABoundOutlivesALimitOfTheMoment(t *testing.T) {
+// If RLIMIT_NOFILE is low for a moment, just when a process computes its bound on clients, the bound is not low for good.
+func TestClientBoundRecoversAfterDescriptorLimit(t *testing.T) {
 	t.Parallel()
-	h := newHouse(t)
-	first := h.start()
-	second := h.start()
-	h.logs("company others=1", 2)
+	h := newUpgradeTestbed(t)
+	first := h.startProcess()
+	second := h.startProcess()
+	h.waitForLogCount("company others=1", 2)
 	var before unix.Rlimit
 	if err := unix.Prlimit(first.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &before); err != nil {
 		t.Fatal(err)
@@ -297,59 +299,62 @@
 	}
 	second.cmd.Process.Kill()
 	<-second.exit
-	h.logs("company others=0", 1)
+	h.waitForLogCount("company others=0", 1)
 	time.Sleep(200 * time.Millisecond)
 	if err := unix.Prlimit(first.cmd.Process.Pid, unix.RLIMIT_NOFILE, &before, nil); err != nil {
 		t.Fatal(err)
 	}
-	h.load(40)
+	h.startClients(40)
 	time.Sleep(500 * time.Millisecond)
-	close(h.done)
-	h.busy.Wait()
-	if h.answered.Load() < 100 || h.lost.Load()+h.refused.Load() > 0 {
-		t.Errorf("answered %d, lost %d, refused, reset or unread %d: %v", h.answered.Load(), h.lost.Load(), h.refused.Load(),
-			h.last.Load())
+	close(h.stopClients)
+	h.clientsRunning.Wait()
+	if h.answered.Load() < 100 || h.lostAnswers.Load()+h.refusedConnections.Load() > 0 {
+		t.Errorf("answered %d, want at least 100; lost %d, refused, reset or unread %d, want 0; last failure: %v",
+			h.answered.Load(), h.lostAnswers.Load(), h.refusedConnections.Load(),
+			h.lastFailure.Load())
 	}
 }
 
-// Connections pass to a process that may not have another descriptor just then: they wait for it. (They were gone.)
-func TestConnectionsPassWhileDescriptorsAreShort(t *testing.T) {
+// Connections that are handed over to a process that may not open another descriptor just then wait until it may. Formerly they
+// were lost.
+func TestConnectionHandoverWhileDescriptorsAreShort(t *testing.T) {
 	t.Parallel()
-	h := newHouse(t)
-	old := h.start()
-	h.load(12)
-	long := h.once("long", 1500)
-	fresh := h.start()
+	h := newUpgradeTestbed(t)
+	oldProcess := h.startProcess()
+	h.startClients(12)
+	longTxn := h.sendOnceOnly("long", 1500)
+	newProcess := h.startProcess()
 	var before unix.Rlimit
-	if err := unix.Prlimit(fresh.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &before); err != nil {
+	if err := unix.Prlimit(newProcess.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &before); err != nil {
 		t.Fatal(err)
 	}
-	// One is for the way from the old process, a few are for connections.
-	low := unix.Rlimit{Cur: fresh.limitFor(4), Max: before.Max}
-	if err := unix.Prlimit(fresh.cmd.Process.Pid, unix.RLIMIT_NOFILE, &low, nil); err != nil {
+	// One descriptor is for the handover socket, a few are for connections.
+	low := unix.Rlimit{Cur: newProcess.descriptorLimitFor(4), Max: before.Max}
+	if err := unix.Prlimit(newProcess.cmd.Process.Pid, unix.RLIMIT_NOFILE, &low, nil); err != nil {
 		t.Fatal(err)
 	}
-	old.cmd.Process.Signal(syscall.SIGTERM)
+	oldProcess.cmd.Process.Signal(syscall.SIGTERM)
 	time.Sleep(300 * time.Millisecond)
-	if err := unix.Prlimit(fresh.cmd.Process.Pid, unix.RLIMIT_NOFILE, &before, nil); err != nil {
+	if err := unix.Prlimit(newProcess.cmd.Process.Pid, unix.RLIMIT_NOFILE, &before, nil); err != nil {
 		t.Fatal(err)
 	}
-	if err := within(t, long, "the answer of a long request"); err != nil {
+	if err := await(t, longTxn, "the answer of a long request"); err != nil {
 		t.Error(err)
 	}
-	if err := within(t, old.exit, "the old process's end"); err != nil {
+	if err := await(t, oldProcess.exit, "the exit of the old process"); err != nil {
 		t.Error(err)
 	}
-	close(h.done)
-	h.busy.Wait()
-	if h.answered.Load() < 50 || h.lost.Load()+h.refused.Load() > 0 {
-		t.Errorf("answered %d, lost %d, refused, reset or unread %d: %v", h.answered.Load(), h.lost.Load(), h.refused.Load(),
-			h.last.Load())
+	close(h.stopClients)
+	h.clientsRunning.Wait()
+	if h.answered.Load() < 50 || h.lostAnswers.Load()+h.refusedConnections.Load() > 0 {
+		t.Errorf("answered %d, want at least 50; lost %d, refused, reset or unread %d, want 0; last failure: %v",
+			h.answered.Load(), h.lostAnswers.Load(), h.refusedConnections.Load(),
+			h.lastFailure.Load())
 	}
 }
 
-// limitFor is the limit on descriptors that leaves the process so many more.
-func (p *process) limitFor(more int) (limit uint64) {
+// descriptorLimitFor is the RLIMIT_NOFILE with which the process may open more further descriptors.
+func (p *schedulerProcess) descriptorLimitFor(more int) (limit uint64) {
 	for ; more >= 0; limit++ {
 		if _, err := os.Lstat(fmt.Sprintf("/proc/%d/fd/%d", p.cmd.Process.Pid, limit)); err != nil {
 			more--
@@ -358,46 +363,49 @@
 	return limit - 1
 }
 
-// logs waits until the processes' log has a text so many times.
-func (h *house) logs(text string, n int) {
+// waitForLogCount waits until the processes' log has text at least n times.
+func (h *upgradeTestbed) waitForLogCount(text string, n int) {
 	h.t.Helper()
-	for end := time.Now().Add(patience); strings.Count(h.log.String(), text) < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); strings.Count(h.log.String(), text) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			h.t.Fatalf("the log never has %q %d times", text, n)
+			h.t.Fatalf("the log has %q %d times after %v, want %d", text, strings.Count(h.log.String(), text), testTimeout, n)
 		}
 	}
 }
 
-// kept is a client's connection that stays.
-type kept struct {
-	s    *stage
-	conn net.Conn
-	in   *bufio.Reader
+// keptConnection is a client's keep-alive connection.
+type keptConnection struct {
+	testbed *testbed
+	conn    net.Conn
+	reader  *bufio.Reader
 }
 
-func (s *stage) keep() *kept {
+// openKeptConnection opens a keep-alive connection to the scheduler.
+func (s *testbed) openKeptConnection() *keptConnection {
 	s.t.Helper()
-	c := s.dial("")
-	return &kept{s, c, bufio.NewReader(c)}
+	c := s.openConnection("")
+	return &keptConnection{s, c, bufio.NewReader(c)}
 }
 
-func (k *kept) send(target, id string) {
-	k.s.t.Helper()
+// sendRequest sends a txn with this request id.
+func (k *keptConnection) sendRequest(target, id string) {
+	k.testbed.t.Helper()
 	_, err := fmt.Fprintf(k.conn, "POST %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Timeout: 20000m\r\n"+
 		"Work-Hint: 1000\r\nContent-Length: 4\r\n\r\nbody", target, id)
 	if err != nil {
-		k.s.t.Errorf("%s could not be sent: %v", id, err)
+		k.testbed.t.Errorf("%s could not be sent: %v", id, err)
 	}
 }
 
-func (k *kept) gets(status int, body string) {
-	k.s.t.Helper()
-	w, err := http.ReadResponse(k.in, nil)
+// expectAnswer reads an answer and checks its status and that its body contains body.
+func (k *keptConnection) expectAnswer(status int, body string) {
+	k.testbed.t.Helper()
+	w, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
-		k.s.t.Fatalf("no answer for %s: %v", body, err)
+		k.testbed.t.Fatalf("no answer for %s: %v", body, err)
 	}
 	got, err := io.ReadAll(w.Body)
 	if err != nil || w.StatusCode != status || !strings.Contains(string(got), body) {
-		k.s.t.Errorf("got %d %q %v, want %d %q", w.StatusCode, got, err, status, body)
+		k.testbed.t.Errorf("got status %d, body %q, error %v, want %d, %q", w.StatusCode, got, err, status, body)
 	}
 }
--- a/cmd/shalebeam/helpers_test.go
+++ b/cmd/shalebeam/helpers_test.go
@@ -22,101 +22,106 @@
 	"shalebeam/lab/sysfault"
 )
 
-// The stand-ins are small: a worker hands each request to the test and does as that says, discovery answers
-// with the list it was given, a peer is a socket. Nothing waits for a time to pass; patience only bounds a
-// test that fails.
-const patience = 20 * time.Second
+// The program under test talks to fakes in the test process: a worker passes each posting to the test, which decides on the
+// answer; discovery serves the list that the test published; a peer is a UDP socket. testTimeout only bounds tests that fail.
+const testTimeout = 20 * time.Second
 
-const asProgram = "SHALEBEAM_TEST_MAIN"
+// runAsProgramEnv is the environment variable that has the test binary run as the program.
+const runAsProgramEnv = "SHALEBEAM_TEST_MAIN"
 
-// TestMain is the program itself where a test has started it: one built beside the tests would be no part
-// of what their cached results are kept by.
+// TestMain runs main instead of the tests if a test started this binary as the program. A program that the tests build would
+// not be an input of go test's result cache, so that a stale result could be reported.
 func TestMain(m *testing.M) {
 	sysfault.Launch()
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
+// program returns a command that runs this test binary as the program.
 func program(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	return cmd
 }
 
-// call is one posting as a worker gets it.
-type call struct {
-	to   string
-	w    http.ResponseWriter
-	r    *http.Request
-	body string
-	over chan struct{}
+// posting is one posting as a worker received it.
+type posting struct {
+	worker string
+	w      http.ResponseWriter
+	r      *http.Request
+	body   string
+	done   chan struct{}
 }
 
-func (c *call) id() string { return c.r.Header.Get("Request-Id") }
+func (c *posting) id() string { return c.r.Header.Get("Request-Id") }
 
-// note sends one line of the answer.
-func (c *call) note(state, more string) {
-	fmt.Fprintf(c.w, "{\"id\":%q,\"from\":%q,\"state\":%q%s}\n", c.id(), c.to, state, more)
+// sendNote sends one line of the answer: a JSON object with the txn's state, to which more adds fields.
+func (c *posting) sendNote(state, more string) {
+	fmt.Fprintf(c.w, "{\"id\":%q,\"from\":%q,\"state\":%q%s}\n", c.id(), c.worker, state, more)
 	c.w.(http.Flusher).Flush()
 }
 
-func (c *call) end() { close(c.over) }
+// finish ends the worker's answer.
+func (c *posting) finish() { close(c.done) }
 
-func (c *call) settle(result string) {
-	c.note("started", "")
-	c.note("done", fmt.Sprintf(",\"result\":%q", result))
-	c.end()
+// settle answers that the txn started and is done with this result.
+func (c *posting) settle(result string) {
+	c.sendNote("started", "")
+	c.sendNote("done", fmt.Sprintf(",\"result\":%q", result))
+	c.finish()
 }
 
-func (c *call) status(code int, notStarted string) {
+// respond answers with an HTTP status alone, and the Not-Started header if that is not empty.
+func (c *posting) respond(code int, notStarted string) {
 	if notStarted != "" {
 		c.w.Header().Set("Not-Started", notStarted)
 	}
 	c.w.WriteHeader(code)
-	c.end()
+	c.finish()
 }
 
-// raw answers with these bytes and breaks the connection.
-func (c *call) raw(text string) {
+// sendRawAndClose sends these bytes on the connection and closes it.
+func (c *posting) sendRawAndClose(text string) {
 	conn, _, err := c.w.(http.Hijacker).Hijack()
 	if err == nil {
 		io.WriteString(conn, text)
 		conn.Close()
 	}
-	c.end()
+	c.finish()
 }
 
-// stage is one scheduler with all that it talks to.
-type stage struct {
-	t     *testing.T
-	calls chan *call
-	pings chan string
-	asks  chan int // the versions that discovery was asked for news after
-	addr  string
-	cmd   *exec.Cmd
-	pid   chan int
-	path  string // of the configuration; start writes one where there is none
-	log   *bytes.Buffer
-	exit  chan error
-	peer  *net.UDPConn
+// testbed is one scheduler process and the fakes that it talks to.
+type testbed struct {
+	t            *testing.T
+	postings     chan *posting
+	probes       chan string
+	listRequests chan int // the after parameter of each list request to discovery: the version that the scheduler has
+	addr         string
+	cmd          *exec.Cmd
+	startedPID   chan int
+	configPath   string // of the configuration; start writes one if this is empty
+	log          *bytes.Buffer
+	exit         chan error
+	peer         *net.UDPConn
 
-	traced []sysfault.Call  // calls that the test can make fail
-	early  []sysfault.Rule  // those that fail from the start
-	faults *sysfault.Tracer // makes them fail
+	tracedCalls []sysfault.Call  // system calls that the test can make fail
+	startFaults []sysfault.Rule  // in force from the program's start
+	faults      *sysfault.Tracer // sets further faults
 
-	tmp         string // the program's folder
-	descriptors int    // a limit that the system keeps, where it is above 0
+	tmpDir          string // the program's TMPDIR
+	descriptorLimit int    // RLIMIT_NOFILE of the program, if above 0
 
-	mu      sync.Mutex
-	list    []byte // what discovery answers; nil: it is down
-	seq     int
-	changed chan struct{}
-	down    bool // at the start; else what the scheduler begins with is the list, where the test tells none
+	mu            sync.Mutex
+	listBody      []byte // what discovery answers; nil: status 503
+	listSeq       int
+	listChanged   chan struct{} // closed, and replaced, at each new list
+	discoveryDown bool          // start publishes no list; else it publishes the known workers if the test published none
 }
 
+// serveHTTP serves h on a loopback port until the test ends, and returns its address.
 func serveHTTP(t *testing.T, h http.HandlerFunc) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,22 +133,22 @@
 	return l.Addr().String()
 }
 
-// worker starts one and returns its entry in the list.
-func (s *stage) worker(id string) string {
-	return entry(id, serveHTTP(s.t, func(w http.ResponseWriter, r *http.Request) {
+// startWorker starts a fake worker and returns its entry in the list.
+func (s *testbed) startWorker(id string) string {
+	return listEntry(id, serveHTTP(s.t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/ping" {
-			s.pings <- id
+			s.probes <- id
 			return
 		}
 		body, _ := io.ReadAll(r.Body)
-		c := &call{id, w, r, string(body), make(chan struct{})}
-		s.calls <- c
-		<-c.over
+		c := &posting{id, w, r, string(body), make(chan struct{})}
+		s.postings <- c
+		<-c.done
 	}), "in_service")
 }
 
-// bound makes a socket that has an address and does not listen there.
-func bound(t *testing.T) (fd int, addr string) {
+// boundSocket makes a socket that is bound to an address and does not listen.
+func boundSocket(t *testing.T) (fd int, addr string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -160,8 +165,8 @@
 	return fd, fmt.Sprint("127.0.0.1:", sa.(*syscall.SockaddrInet4).Port)
 }
 
-// fill knocks at a socket that accepts nothing until its queue is full, and the system drops what knocks.
-func fill(t *testing.T, addr string) {
+// fillAcceptQueue connects to a socket that accepts nothing until its accept queue is full and the kernel drops further SYNs.
+func fillAcceptQueue(t *testing.T, addr string) {
 	t.Helper()
 	for {
 		c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
@@ -172,55 +177,59 @@
 	}
 }
 
-func entry(id, addr, health string) string {
+// listEntry is one worker's entry in discovery's list.
+func listEntry(id, addr, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","class":"k","block":0,"health":%q,"share":1,
 "born_ms":0}`, id, addr, health)
 }
 
-func members(seq int, whole bool, entries ...string) []byte {
+// workerList is an answer of discovery: all workers if whole is true, else those that changed.
+func workerList(seq int, whole bool, entries ...string) []byte {
 	return fmt.Appendf(nil, `{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
 }
 
-// tell changes what discovery answers to those that have not seen this version.
-func (s *stage) tell(seq int, list []byte) {
+// publishList sets what discovery answers to schedulers that have an older version than seq.
+func (s *testbed) publishList(seq int, list []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seq, s.list = seq, list
-	close(s.changed)
-	s.changed = make(chan struct{})
+	s.listSeq, s.listBody = seq, list
+	close(s.listChanged)
+	s.listChanged = make(chan struct{})
 }
 
-// told waits until the scheduler asks for what is newer than a version: it has taken that one.
-func (s *stage) told(seq int) {
+// awaitListTaken waits until the scheduler asks for changes after version seq, which shows that it has taken that version.
+func (s *testbed) awaitListTaken(seq int) {
 	s.t.Helper()
 	for {
-		if got := within(s.t, s.asks, "a call for the list"); got == seq {
+		if got := await(s.t, s.listRequests, "a list request"); got == seq {
 			return
 		}
 	}
 }
 
-func (s *stage) discovery(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
+// serveDiscovery answers a long poll: with the list once its version is above the after parameter, or after wait_ms with an empty
+// one.
+func (s *testbed) serveDiscovery(w http.ResponseWriter, r *http.Request) {
+	afterSeq, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	over := time.After(time.Duration(wait) * time.Millisecond)
-	s.asks <- after
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
+	s.listRequests <- afterSeq
 	for {
 		s.mu.Lock()
-		list, seq, changed := s.list, s.seq, s.changed
+		list, seq, changed := s.listBody, s.listSeq, s.listChanged
 		s.mu.Unlock()
 		switch {
 		case list == nil:
 			w.WriteHeader(503)
 			return
-		case seq > after:
+		case seq > afterSeq:
 			w.Write(list)
 			return
 		}
 		select {
 		case <-changed:
-		case <-over:
-			w.Write(members(after, false))
+		case <-timeout:
+			w.Write(workerList(afterSeq, false))
 			return
 		case <-r.Context().Done():
 			return
@@ -228,7 +237,7 @@
 	}
 }
 
-const settings = `{"my_number":0,"peers_total":2,"tick":2000,"zone":0,"zones":["z"],"kinds":["k"],
+const settingsJSON = `{"my_number":0,"peers_total":2,"tick":2000,"zone":0,"zones":["z"],"kinds":["k"],
 "domain":{"tells_start":true},"guarantees":{"cold":20000000,"cold_from":0.2,"fall":2000000,
 "fall_multiple":4.0,"must_ask_in":60000000},"policy_limits":{"cancel":true,"conn_idle":10000000,
 "connect_timeout":1000000,"max_postings":6,"max_retry_after":2000000,"parallel_tries":true,"peers":true,
@@ -236,10 +245,11 @@
 {"name":"look","effect":"retryable","expiry":20000000,"gain":1.0,"sla_time":9000000,"tardy_gain":0.2},
 {"name":"buy","effect":"fragile","expiry":20000000,"gain":1.0,"sla_time":9000000,"tardy_gain":0.2}]}`
 
-// newStage makes all but the scheduler.
-func newStage(t *testing.T) *stage {
-	s := &stage{t: t, tmp: t.TempDir(), calls: make(chan *call, 100), pings: make(chan string, 100), asks: make(chan int, 1000),
-		log: &bytes.Buffer{}, exit: make(chan error, 1), pid: make(chan int, 2), changed: make(chan struct{})}
+// newTestbed makes a testbed without starting the scheduler.
+func newTestbed(t *testing.T) *testbed {
+	s := &testbed{t: t, tmpDir: t.TempDir(), postings: make(chan *posting, 100), probes: make(chan string, 100),
+		listRequests: make(chan int, 1000), log: &bytes.Buffer{}, exit: make(chan error, 1), startedPID: make(chan int, 2),
+		listChanged: make(chan struct{})}
 	peer, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -249,14 +259,14 @@
 	return s
 }
 
-// config is what the scheduler is told; more replaces parts of it.
-func (s *stage) config(known []byte, more map[string]any) string {
+// writeConfig writes a configuration file, in which more replaces keys, and returns its path.
+func (s *testbed) writeConfig(known []byte, more map[string]any) string {
 	c := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "seed": "1f",
 		"limits":    map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256},
-		"discovery": serveHTTP(s.t, s.discovery), "peer_listen": "127.0.0.1:0",
+		"discovery": serveHTTP(s.t, s.serveDiscovery), "peer_listen": "127.0.0.1:0",
 		"peers":     []string{"127.0.0.2:1", s.peer.LocalAddr().String()},
 		"peers_all": s.peer.LocalAddr().String(), "known": json.RawMessage(known),
-		"settings": json.RawMessage(settings)}
+		"settings": json.RawMessage(settingsJSON)}
 	for k, v := range more {
 		c[k] = v
 	}
@@ -271,38 +281,38 @@
 	return path
 }
 
-var listening = regexp.MustCompile(`msg=listening name=n0 addr=(\S+)`)
+var listeningLine = regexp.MustCompile(`msg=listening name=n0 addr=(\S+)`)
 
-// start runs the program until the test ends.
-func (s *stage) start(known []byte, more map[string]any) {
+// start runs the program until the test ends, and waits until it listens.
+func (s *testbed) start(known []byte, more map[string]any) {
 	s.t.Helper()
 	s.cmd = program("serve")
-	if s.descriptors > 0 {
+	if s.descriptorLimit > 0 {
 		s.cmd.Path = "/bin/sh"
-		s.cmd.Args = []string{"sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s serve", s.descriptors, os.Args[0])}
+		s.cmd.Args = []string{"sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s serve", s.descriptorLimit, os.Args[0])}
 	}
-	if s.path == "" {
-		s.path = s.config(known, more)
+	if s.configPath == "" {
+		s.configPath = s.writeConfig(known, more)
 	}
 	s.mu.Lock()
-	if s.list == nil && !s.down {
-		s.seq, s.list = 1, known
+	if s.listBody == nil && !s.discoveryDown {
+		s.listSeq, s.listBody = 1, known
 	}
 	s.mu.Unlock()
-	s.cmd.Env = append(s.cmd.Env, "BALANCER_CONFIG="+s.path, "TMPDIR="+s.tmp)
+	s.cmd.Env = append(s.cmd.Env, "BALANCER_CONFIG="+s.configPath, "TMPDIR="+s.tmpDir)
 	out, err := s.cmd.StderrPipe()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if s.traced == nil {
+	if s.tracedCalls == nil {
 		err = s.cmd.Start()
 	} else {
-		s.faults, err = sysfault.Start(s.cmd, os.Args[0], s.traced, s.early...)
+		s.faults, err = sysfault.Start(s.cmd, os.Args[0], s.tracedCalls, s.startFaults...)
 	}
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.pid <- s.cmd.Process.Pid
+	s.startedPID <- s.cmd.Process.Pid
 	addr := make(chan string, 1)
 	go func() {
 		lines := bufio.NewScanner(out)
@@ -310,7 +320,7 @@
 			s.mu.Lock()
 			fmt.Fprintln(s.log, lines.Text())
 			s.mu.Unlock()
-			if m := listening.FindStringSubmatch(lines.Text()); m != nil {
+			if m := listeningLine.FindStringSubmatch(lines.Text()); m != nil {
 				addr <- m[1]
 			}
 		}
@@ -321,19 +331,19 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if text := s.log.String(); strings.Contains(text, "panic:") || strings.Contains(text, "DATA RACE") {
-			s.t.Error("the program has a fault")
+			s.t.Error("the program's log reports a panic or a data race")
 		}
 		if s.t.Failed() {
 			s.t.Logf("log:\n%s", s.log)
 		}
 	})
-	s.addr = within(s.t, addr, "the program's address")
+	s.addr = await(s.t, addr, "the program's address")
 }
 
-// logs waits for a line of the program's log that holds this, n times.
-func (s *stage) logs(text string, n int) {
+// waitForLogCount waits until the program's log has text n times.
+func (s *testbed) waitForLogCount(text string, n int) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
 		got := strings.Count(s.log.String(), text)
 		s.mu.Unlock()
@@ -341,15 +351,15 @@
 			return
 		}
 		if got > n || time.Now().After(end) {
-			s.t.Fatalf("%d log lines have %q, want %d", got, text, n)
+			s.t.Fatalf("the log has %q %d times, want %d", text, got, n)
 		}
 	}
 }
 
-// logged waits for a line of the program's log that holds this.
-func (s *stage) logged(text string) {
+// waitForLog waits until the program's log has text.
+func (s *testbed) waitForLog(text string) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
 		got := strings.Contains(s.log.String(), text)
 		s.mu.Unlock()
@@ -357,17 +367,17 @@
 			return
 		}
 		if time.Now().After(end) {
-			s.t.Fatalf("no log line has %q", text)
+			s.t.Fatalf("the log has no %q after %v", text, testTimeout)
 		}
 	}
 }
 
-// reload has the program read a file of these bytes, or none, as its configuration.
-func (s *stage) reload(raw []byte) {
+// reload replaces the configuration file by these bytes, or removes it if raw is nil, and has the program reload it.
+func (s *testbed) reload(raw []byte) {
 	s.t.Helper()
-	err := os.Remove(s.path)
+	err := os.Remove(s.configPath)
 	if raw != nil {
-		err = os.WriteFile(s.path, raw, 0o600)
+		err = os.WriteFile(s.configPath, raw, 0o600)
 	}
 	if err != nil {
 		s.t.Fatal(err)
@@ -375,27 +385,28 @@
 	s.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-func (s *stage) stop() { s.cmd.Process.Signal(syscall.SIGTERM) }
+func (s *testbed) terminate() { s.cmd.Process.Signal(syscall.SIGTERM) }
 
-// ended waits for the program's end, which must be a clean one.
-func (s *stage) ended() {
+// expectCleanExit waits until the program exits, and checks that it does so with status 0.
+func (s *testbed) expectCleanExit() {
 	s.t.Helper()
-	if err := within(s.t, s.exit, "the program's end"); err != nil {
-		s.t.Errorf("it ended with %v", err)
+	if err := await(s.t, s.exit, "the exit of the program"); err != nil {
+		s.t.Errorf("the program exited with %v, want status 0", err)
 	}
 }
 
-func within[T any](t *testing.T, c <-chan T, what string) (v T) {
+// await receives a value from c, and fails the test if none comes in time.
+func await[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
-		t.Fatalf("%s did not come", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("%s: nothing within %v", what, testTimeout)
 	}
 	return v
 }
 
-// answer is what a client gets.
+// answer is what a client received.
 type answer struct {
 	status int
 	body   string
@@ -403,8 +414,9 @@
 	err    error
 }
 
-// ask sends one request of a scheme on a connection of its own and returns where the answer will come.
-func (s *stage) ask(target, id string, header ...string) chan answer {
+// sendRequest sends one txn on a connection of its own and returns a channel for the answer. target is a scheme's path; header
+// has further header fields, names and values in turn.
+func (s *testbed) sendRequest(target, id string, header ...string) chan answer {
 	c := make(chan answer, 1)
 	go func() {
 		r, err := http.NewRequest("POST", "http://"+s.addr+target, strings.NewReader("body of "+id))
@@ -431,80 +443,81 @@
 	return c
 }
 
-func (s *stage) call() *call { s.t.Helper(); return within(s.t, s.calls, "a posting") }
+// nextPosting waits for the next posting at any worker.
+func (s *testbed) nextPosting() *posting { s.t.Helper(); return await(s.t, s.postings, "a posting") }
 
-// gets checks a client's answer.
-func (s *stage) gets(c chan answer, status int, body string) answer {
+// expectAnswer waits for a client's answer and checks its status and, if body is not empty, its body.
+func (s *testbed) expectAnswer(c chan answer, status int, body string) answer {
 	s.t.Helper()
-	a := within(s.t, c, "an answer")
+	a := await(s.t, c, "an answer")
 	if a.err != nil || a.status != status || body != "" && a.body != body {
 		s.t.Errorf("got %d %q %v, want %d %q", a.status, a.body, a.err, status, body)
 	}
 	return a
 }
 
-// serves checks that a txn still goes through.
-func (s *stage) serves() {
+// expectService checks that a txn is still settled.
+func (s *testbed) expectService() {
 	s.t.Helper()
-	s.settles(s.ask("/look", fmt.Sprint("check", time.Now().UnixNano())), "fine")
+	s.settleUntilAnswered(s.sendRequest("/look", fmt.Sprint("check", time.Now().UnixNano())), "fine")
 }
 
-// settles has each posting settled that comes until a client has its answer, and checks that answer. A posting
-// that begins late, as on a busy machine, is called off and made again elsewhere: a test that settles only the
-// first one that it sees may settle the one called off, and wait in vain. It returns where they went.
-func (s *stage) settles(c chan answer, result string) (to []string) {
+// settleUntilAnswered settles each posting until a client has its answer, checks that, and returns the workers that got the
+// postings. A posting that starts late, as on a busy machine, is cancelled and made again at another worker: a test that settled
+// only the first one could settle the cancelled one and wait in vain.
+func (s *testbed) settleUntilAnswered(c chan answer, result string) (workers []string) {
 	s.t.Helper()
-	for late := time.After(patience); ; {
+	for timeout := time.After(testTimeout); ; {
 		select {
-		case p := <-s.calls:
+		case p := <-s.postings:
 			p.settle(result)
-			to = append(to, p.to)
+			workers = append(workers, p.worker)
 		case a := <-c:
 			c <- a
-			s.gets(c, 200, result)
-			return to
-		case <-late:
-			s.t.Fatal("an answer did not come")
+			s.expectAnswer(c, 200, result)
+			return workers
+		case <-timeout:
+			s.t.Fatalf("no answer within %v", testTimeout)
 		}
 	}
 }
 
-// dial opens a connection that stays, and sends this on it.
-func (s *stage) dial(text string) net.Conn {
+// openConnection opens a connection that stays open until the test ends, and sends text on it.
+func (s *testbed) openConnection(text string) net.Conn {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, text)
 	return conn
 }
 
-// healthy waits until a connection is taken and the scheduler says that it serves.
-func (s *stage) healthy() {
+// waitUntilHealthy waits until the scheduler's health check answers 200.
+func (s *testbed) waitUntilHealthy() {
 	s.t.Helper()
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		w, err := http.Get("http://" + s.addr + "/_health")
 		if err == nil && w.Body.Close() == nil && w.StatusCode == 200 {
 			return
 		}
 		if time.Now().After(end) {
-			s.t.Fatal("it serves no more")
+			s.t.Fatalf("/_health did not answer 200 within %v: last error %v", testTimeout, err)
 		}
 	}
 }
 
-// raw sends bytes on a new connection and returns all that comes back until that is closed.
-func (s *stage) raw(pieces ...string) string {
+// exchangeRaw sends pieces on a new connection, one write each, and returns all bytes received until the scheduler closes it.
+func (s *testbed) exchangeRaw(pieces ...string) string {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	for _, p := range pieces {
 		if _, err := io.WriteString(conn, p); err != nil {
 			break
@@ -512,7 +525,7 @@
 	}
 	all, err := io.ReadAll(conn)
 	if err != nil {
-		s.t.Errorf("after %.60q: %v", all, err)
+		s.t.Errorf("read error after %.60q was received: %v", all, err)
 	}
 	return string(all)
 }
--- a/cmd/shalebeam/upgrade_test.go
+++ b/cmd/shalebeam/upgrade_test.go
@@ -21,28 +21,29 @@
 	"time"
 )
 
-// house is one scheduler whose processes follow one another at one address, under load.
-type house struct {
-	t      *testing.T
-	s      *stage // its list; its workers are the house's own
-	addr   string
-	tmp    string
-	known  []byte
-	log    lockedBuffer
-	starts int
+// upgradeTestbed is one scheduler under load whose processes replace one another at one address.
+type upgradeTestbed struct {
+	t         *testing.T
+	testbed   *testbed // for discovery and configuration files; the workers are those of upgradeTestbed
+	addr      string
+	tmpDir    string
+	knownList []byte
+	log       lockedBuffer
+	starts    int
 
-	out      sync.Map // workers that were out when a yes was given: id -> time
-	runs     sync.Map // of txns that are waited for: id -> closed when it begins
-	posted   atomic.Int64
-	wrong    atomic.Int64 // postings to a worker that is out
-	answered atomic.Int64
-	lost     atomic.Int64 // taken, and ended with no answer
-	refused  atomic.Int64 // connections refused, reset, or closed with a request unread
-	last     atomic.Value // why
-	done     chan struct{}
-	busy     sync.WaitGroup
+	outSince             sync.Map // worker id -> time at which a call that took it out was answered 200
+	startSignals         sync.Map // txn id -> channel that is closed when a worker starts the txn
+	postings             atomic.Int64
+	postingsToOutWorkers atomic.Int64 // after the call that took the worker out was answered
+	answered             atomic.Int64
+	lostAnswers          atomic.Int64 // requests that got a part of an answer, or a wrong one
+	refusedConnections   atomic.Int64 // connections refused, reset, or closed without an answer to a request
+	lastFailure          atomic.Value // string: the last of these failures
+	stopClients          chan struct{}
+	clientsRunning       sync.WaitGroup
 }
 
+// lockedBuffer is a bytes.Buffer that several goroutines may use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -60,14 +61,15 @@
 	return b.b.String()
 }
 
-type process struct {
+// schedulerProcess is one process of a scheduler.
+type schedulerProcess struct {
 	cmd  *exec.Cmd
 	mgmt string
 	exit chan error
 }
 
-// free is an address that nobody has. What dials on loopback has another one, so it stays free.
-func free(t *testing.T) string {
+// freeAddress returns an address with a free port. It stays free: dialling sockets on loopback use 127.0.0.1, not this address.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.77.1:0")
 	if err != nil {
@@ -77,22 +79,22 @@
 	return l.Addr().String()
 }
 
-func newHouse(t *testing.T) *house {
-	h := &house{t: t, s: newStage(t), tmp: t.TempDir(), done: make(chan struct{})}
-	h.addr = free(t)
+func newUpgradeTestbed(t *testing.T) *upgradeTestbed {
+	h := &upgradeTestbed{t: t, testbed: newTestbed(t), tmpDir: t.TempDir(), stopClients: make(chan struct{})}
+	h.addr = freeAddress(t)
 	var entries []string
 	for i := range 3 {
 		id := fmt.Sprint("w", i)
-		entries = append(entries, entry(id, serveHTTP(t, func(w http.ResponseWriter, r *http.Request) { h.work(id, w, r) }),
+		entries = append(entries, listEntry(id, serveHTTP(t, func(w http.ResponseWriter, r *http.Request) { h.serveWorker(id, w, r) }),
 			"in_service"))
 	}
-	h.known = members(1, true, entries...)
-	h.s.tell(1, h.known)
-	go func() { // nobody looks at what discovery was asked
+	h.knownList = workerList(1, true, entries...)
+	h.testbed.publishList(1, h.knownList)
+	go func() { // drains the list requests, which these tests don't check
 		for {
 			select {
-			case <-h.s.asks:
-			case <-h.done:
+			case <-h.testbed.listRequests:
+			case <-h.stopClients:
 				return
 			}
 		}
@@ -105,18 +107,18 @@
 	return h
 }
 
-// work is a worker: it runs for as many milliseconds as the body says.
-func (h *house) work(id string, w http.ResponseWriter, r *http.Request) {
+// serveWorker is a fake worker: it runs each txn for the number of milliseconds that its body says.
+func (h *upgradeTestbed) serveWorker(id string, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if r.URL.Path == "/ping" || err != nil {
 		return
 	}
-	h.posted.Add(1)
-	if began, ok := h.runs.LoadAndDelete(r.Header.Get("Request-Id")); ok {
-		close(began.(chan struct{}))
+	h.postings.Add(1)
+	if started, ok := h.startSignals.LoadAndDelete(r.Header.Get("Request-Id")); ok {
+		close(started.(chan struct{}))
 	}
-	if at, ok := h.out.Load(id); ok && time.Since(at.(time.Time)) > 0 {
-		h.wrong.Add(1)
+	if at, ok := h.outSince.Load(id); ok && time.Since(at.(time.Time)) > 0 {
+		h.postingsToOutWorkers.Add(1)
 	}
 	ms, _ := strconv.Atoi(string(body))
 	fmt.Fprintf(w, "{\"id\":%q,\"state\":\"started\"}\n", r.Header.Get("Request-Id"))
@@ -128,96 +130,97 @@
 	}
 }
 
-// start begins a process and waits until it takes clients.
-func (h *house) start() *process {
+// startProcess starts a process and waits until it is ready for clients.
+func (h *upgradeTestbed) startProcess() *schedulerProcess {
 	h.t.Helper()
 	h.starts++
-	p := &process{mgmt: free(h.t), exit: make(chan error, 1)}
-	path := h.s.config(h.known, map[string]any{"listen": h.addr, "mgmt": p.mgmt, "peer_listen": "",
+	p := &schedulerProcess{mgmt: freeAddress(h.t), exit: make(chan error, 1)}
+	path := h.testbed.writeConfig(h.knownList, map[string]any{"listen": h.addr, "mgmt": p.mgmt, "peer_listen": "",
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}})
 	p.cmd = program("serve")
-	p.cmd.Env = append(p.cmd.Env, "BALANCER_CONFIG="+path, "TMPDIR="+h.tmp)
+	p.cmd.Env = append(p.cmd.Env, "BALANCER_CONFIG="+path, "TMPDIR="+h.tmpDir)
 	p.cmd.Stderr = &h.log
 	if err := p.cmd.Start(); err != nil {
 		h.t.Fatal(err)
 	}
 	go func() { p.exit <- p.cmd.Wait() }()
 	h.t.Cleanup(func() { p.cmd.Process.Kill() })
-	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(2 * time.Millisecond) {
 		w, err := http.Get("http://" + p.mgmt + "/ops/readiness")
 		if err == nil && w.Body.Close() == nil && w.StatusCode == 200 {
 			return p
 		}
 		if time.Now().After(end) {
-			h.t.Fatal("a process does not get ready")
+			h.t.Fatalf("the new process is not ready after %v", testTimeout)
 		}
 	}
 }
 
-// takeOut has staff take a worker out at a process: from the yes on nothing may be posted there.
-func (h *house) takeOut(p *process, id string) {
+// takeWorkerOut has an operator take a worker out at a process: once that is answered 200, nothing may be posted to it.
+func (h *upgradeTestbed) takeWorkerOut(p *schedulerProcess, id string) {
 	h.t.Helper()
-	if opsCall(h.t, p.mgmt, put("/ops/workers/down", id)) != 200 {
-		h.t.Fatal("no yes to a call out")
+	if callOps(h.t, p.mgmt, postText("/ops/workers/down", id)) != 200 {
+		h.t.Fatalf("the call that takes %s out was not answered 200", id)
 	}
-	h.out.Store(id, time.Now())
+	h.outSince.Store(id, time.Now())
 }
 
-// load has clients ask on kept connections, each a request after the other, until the test is done.
-func (h *house) load(clients int) {
+// startClients starts clients that send one request after the other on keep-alive connections until stopClients is closed.
+func (h *upgradeTestbed) startClients(clients int) {
 	for i := range clients {
-		h.busy.Add(1)
+		h.clientsRunning.Add(1)
 		go func() {
-			defer h.busy.Done()
-			h.client(i)
+			defer h.clientsRunning.Done()
+			h.runClient(i)
 		}()
 	}
 }
 
-func (h *house) fails(n *atomic.Int64, what string, err error) {
-	n.Add(1)
-	h.last.Store(fmt.Sprint(what, ": ", err))
+// recordFailure counts a failure of a client in n and keeps its description.
+func (h *upgradeTestbed) recordFailure(counter *atomic.Int64, what string, err error) {
+	counter.Add(1)
+	h.lastFailure.Store(fmt.Sprint(what, ": ", err))
 }
 
-func (h *house) client(no int) {
+func (h *upgradeTestbed) runClient(number int) {
 	var conn net.Conn
-	var in *bufio.Reader
-	chance := rand.New(rand.NewSource(int64(no)))
+	var reader *bufio.Reader
+	random := rand.New(rand.NewSource(int64(number)))
 	for i := 0; ; i++ {
 		select {
-		case <-h.done:
+		case <-h.stopClients:
 			return
 		default:
 		}
-		fresh := conn == nil
-		if fresh {
+		newConnection := conn == nil
+		if newConnection {
 			var err error
 			if conn, err = net.Dial("tcp", h.addr); err != nil {
-				h.fails(&h.refused, "dial", err)
+				h.recordFailure(&h.refusedConnections, "dial", err)
 				time.Sleep(time.Millisecond)
 				continue
 			}
-			in = bufio.NewReader(conn)
+			reader = bufio.NewReader(conn)
 		} else {
-			time.Sleep(time.Duration(chance.Intn(10)) * time.Millisecond) // it rests between two
+			time.Sleep(time.Duration(random.Intn(10)) * time.Millisecond) // idle between two requests
 		}
-		conn.SetDeadline(time.Now().Add(patience))
-		ms := strconv.Itoa(5 + chance.Intn(40))
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		ms := strconv.Itoa(5 + random.Intn(40))
 		_, err := fmt.Fprintf(conn, "POST /look HTTP/1.1\r\nHost: h\r\nRequest-Id: c%d-%d\r\nRequest-Timeout: 20000m\r\n"+
-			"Work-Hint: %s000\r\nContent-Length: %d\r\n\r\n%s", no, i, ms, len(ms), ms)
-		if _, err2 := in.Peek(1); err != nil || err2 != nil {
-			h.fails(&h.refused, "unread", err2)
+			"Work-Hint: %s000\r\nContent-Length: %d\r\n\r\n%s", number, i, ms, len(ms), ms)
+		if _, readErr := reader.Peek(1); err != nil || readErr != nil {
+			h.recordFailure(&h.refusedConnections, "unread", readErr)
 			conn.Close()
 			conn = nil
 			continue
 		}
-		w, err := http.ReadResponse(in, nil)
+		w, err := http.ReadResponse(reader, nil)
 		var body []byte
 		if err == nil {
 			body, err = io.ReadAll(w.Body)
 		}
 		if err != nil || w.StatusCode != 503 && string(body) != ms {
-			h.fails(&h.lost, fmt.Sprintf("answer %q", body), err)
+			h.recordFailure(&h.lostAnswers, fmt.Sprintf("answer %q", body), err)
 			conn.Close()
 			conn = nil
 			continue
@@ -230,12 +233,13 @@
 	}
 }
 
-// once asks for a once-only txn of so many milliseconds, waits until it runs, and gives what was wrong with its answer.
-func (h *house) once(id string, ms int) chan error {
+// sendOnceOnly sends a once-only txn that runs for ms milliseconds and waits until it starts. The channel gets nil for the right
+// answer, else an error.
+func (h *upgradeTestbed) sendOnceOnly(id string, ms int) chan error {
 	h.t.Helper()
 	c := make(chan error, 1)
-	began := make(chan struct{})
-	h.runs.Store(id, began)
+	started := make(chan struct{})
+	h.startSignals.Store(id, started)
 	go func() {
 		text := strconv.Itoa(ms)
 		r, err := http.NewRequest("POST", "http://"+h.addr+"/buy", strings.NewReader(text))
@@ -254,22 +258,22 @@
 		defer w.Body.Close()
 		body, err := io.ReadAll(w.Body)
 		if err != nil || w.StatusCode != 200 || string(body) != text {
-			err = fmt.Errorf("%s: got %d %q %v", id, w.StatusCode, body, err)
+			err = fmt.Errorf("%s: got status %d, body %q, error %v; want 200 and %q", id, w.StatusCode, body, err, text)
 		}
 		c <- err
 	}()
-	within(h.t, began, "its beginning")
+	await(h.t, started, "the start of the txn at a worker")
 	return c
 }
 
-// descriptors is how many a process holds.
-func (p *process) descriptors() int {
+// descriptorCount is the number of open descriptors of the process.
+func (p *schedulerProcess) descriptorCount() int {
 	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	return len(all)
 }
 
-// resident is how much memory it has, in megabytes.
-func (p *process) resident() (mb int) {
+// privateMemoryMB is the private dirty memory of the process, in MiB.
+func (p *schedulerProcess) privateMemoryMB() (mb int) {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/smaps_rollup", p.cmd.Process.Pid))
 	for line := range strings.SplitSeq(string(raw), "\n") {
 		if n, ok := strings.CutPrefix(line, "Private_Dirty:"); ok {
@@ -280,178 +284,180 @@
 	return mb
 }
 
-// rounds is how often a test upgrades: few in CI, as many as SHALEBEAM_UPGRADES says elsewhere.
-func rounds() int {
+// upgradeRounds is the number of upgrades in a test: 3, or as many as the environment variable SHALEBEAM_UPGRADES says.
+func upgradeRounds() int {
 	if n, err := strconv.Atoi(os.Getenv("SHALEBEAM_UPGRADES")); err == nil {
 		return n
 	}
 	return 3
 }
 
-// A new version takes over under load: no client meets a refused, reset or unread connection, no answer is
-// lost, a worker that is out stays out, and both processes together hold one scheduler's limits.
+// A new process takes over under load (hot restart): no client sees a refused or reset connection or an unread request, no answer
+// is lost, a worker that is out stays out, and both processes together stay within one scheduler's limits.
 func TestUpgradeUnderLoad(t *testing.T) {
 	t.Parallel()
-	h := newHouse(t)
-	old := h.start()
-	h.takeOut(old, "w1")
-	h.load(12)
-	most, memory := 0, 0
-	for range rounds() {
+	h := newUpgradeTestbed(t)
+	oldProcess := h.startProcess()
+	h.takeWorkerOut(oldProcess, "w1")
+	h.startClients(12)
+	maxDescriptors, maxMemoryMB := 0, 0
+	for range upgradeRounds() {
 		before := h.answered.Load()
-		// One that may not run twice, and runs for longer than the old process has.
-		long := h.once(fmt.Sprint("long", before), 4500)
-		fresh := h.start()
-		if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		// A once-only txn that runs for longer than the old process may take to drain.
+		longTxn := h.sendOnceOnly(fmt.Sprint("long", before), 4500)
+		newProcess := h.startProcess()
+		if err := oldProcess.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 		for ended := false; !ended; {
 			select {
-			case err := <-old.exit:
+			case err := <-oldProcess.exit:
 				if ended = true; err != nil {
-					t.Errorf("the old process: %v", err)
+					t.Errorf("the old process exited with %v, want status 0", err)
 				}
 			case <-time.After(20 * time.Millisecond):
-				most = max(most, old.descriptors()+fresh.descriptors())
-				memory = max(memory, old.resident()+fresh.resident())
+				maxDescriptors = max(maxDescriptors, oldProcess.descriptorCount()+newProcess.descriptorCount())
+				maxMemoryMB = max(maxMemoryMB, oldProcess.privateMemoryMB()+newProcess.privateMemoryMB())
 			}
 		}
-		old = fresh
+		oldProcess = newProcess
 		if h.answered.Load() == before {
-			t.Error("nothing was answered meanwhile")
+			t.Error("no request was answered during the upgrade")
 		}
-		if err := within(t, long, "the answer of a long txn"); err != nil {
+		if err := await(t, longTxn, "the answer of a long txn"); err != nil {
 			t.Error(err)
 		}
 	}
-	close(h.done)
-	h.busy.Wait()
+	close(h.stopClients)
+	h.clientsRunning.Wait()
 	t.Logf("%d upgrades: answered %d, lost %d, refused, reset or unread %d, postings %d, to a worker that is out %d, "+
-		"descriptors %d of 256, memory %d of 64 MB", rounds(), h.answered.Load(), h.lost.Load(), h.refused.Load(),
-		h.posted.Load(), h.wrong.Load(), most, memory)
-	// On a machine that stands still for a second an idle connection may have to be closed instead of passed on.
-	if h.lost.Load() > 0 || h.refused.Load() > int64(rounds()) || h.wrong.Load() > 0 {
-		t.Errorf("the last that failed: %v", h.last.Load())
+		"descriptors %d of 256, memory %d of 64 MB", upgradeRounds(), h.answered.Load(), h.lostAnswers.Load(), h.refusedConnections.Load(),
+		h.postings.Load(), h.postingsToOutWorkers.Load(), maxDescriptors, maxMemoryMB)
+	// If the machine stalls for a second, an idle connection may have to be closed instead of handed over.
+	if h.lostAnswers.Load() > 0 || h.refusedConnections.Load() > int64(upgradeRounds()) || h.postingsToOutWorkers.Load() > 0 {
+		t.Errorf("lost answers %d, want 0; refused, reset or unread %d, want at most %d; postings to a worker that is out %d, "+
+			"want 0; last failure: %v", h.lostAnswers.Load(), h.refusedConnections.Load(), upgradeRounds(), h.postingsToOutWorkers.Load(),
+			h.lastFailure.Load())
 	}
-	if most > 256 || memory > 64 {
-		t.Error("over a limit")
+	if maxDescriptors > 256 || maxMemoryMB > 64 {
+		t.Errorf("%d descriptors, want at most 256; %d MB of memory, want at most 64", maxDescriptors, maxMemoryMB)
 	}
-	// Put back at the newest process, it is used again.
-	if opsCall(t, old.mgmt, put("/ops/workers/up", "w1")) != 200 {
-		t.Error("what was out before the upgrades is not known any more")
+	// The newest process knows which worker is out, and can put it back.
+	if callOps(t, oldProcess.mgmt, postText("/ops/workers/up", "w1")) != 200 {
+		t.Error("the newest process doesn't put back w1, which was out before the upgrades")
 	}
 }
 
-// The old process is killed at a point that chance names: the service goes on, and what is out stays out.
-func TestUpgradeWithAKill(t *testing.T) {
+// The old process is killed at a random point of an upgrade: service continues, and a worker that is out stays out.
+func TestUpgradeWithKilledProcess(t *testing.T) {
 	t.Parallel()
-	h := newHouse(t)
-	old := h.start()
-	h.takeOut(old, "w1")
-	h.load(6)
-	for i := range rounds() {
-		kill := time.AfterFunc(time.Duration(rand.Intn(300))*time.Millisecond, func() { old.cmd.Process.Kill() })
-		fresh := h.start()
+	h := newUpgradeTestbed(t)
+	oldProcess := h.startProcess()
+	h.takeWorkerOut(oldProcess, "w1")
+	h.startClients(6)
+	for i := range upgradeRounds() {
+		kill := time.AfterFunc(time.Duration(rand.Intn(300))*time.Millisecond, func() { oldProcess.cmd.Process.Kill() })
+		newProcess := h.startProcess()
 		if i%2 == 1 {
-			old.cmd.Process.Signal(syscall.SIGTERM)
+			oldProcess.cmd.Process.Signal(syscall.SIGTERM)
 		}
-		within(t, old.exit, "its end")
+		await(t, oldProcess.exit, "the exit of the process")
 		kill.Stop()
-		old = fresh
+		oldProcess = newProcess
 		before := h.answered.Load()
-		for end := time.Now().Add(patience); h.answered.Load() < before+20; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); h.answered.Load() < before+20; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("after a kill the service does not go on")
+				t.Fatalf("fewer than 20 answers within %v of a kill", testTimeout)
 			}
 		}
 	}
-	close(h.done)
-	h.busy.Wait()
-	t.Logf("%d kills: answered %d, to a worker that is out %d", rounds(), h.answered.Load(), h.wrong.Load())
-	if h.wrong.Load() > 0 {
-		t.Error("a worker that is out was posted to")
+	close(h.stopClients)
+	h.clientsRunning.Wait()
+	t.Logf("%d kills: answered %d, to a worker that is out %d", upgradeRounds(), h.answered.Load(), h.postingsToOutWorkers.Load())
+	if h.postingsToOutWorkers.Load() > 0 {
+		t.Errorf("%d postings to a worker that is out", h.postingsToOutWorkers.Load())
 	}
 }
 
-// What staff did at one process holds at the other before the yes is given, whichever was told.
-func TestStaffTellsEitherProcess(t *testing.T) {
+// An operator's call at either process of an upgrade is in force at the other one too before it is answered 200.
+func TestOperatorCallsAtEitherProcess(t *testing.T) {
 	t.Parallel()
-	h := newHouse(t)
-	os.WriteFile(filepath.Join(h.tmp, "shalebeam-"+strings.ReplaceAll(h.addr, ":", "-")+".out"), []byte(`{"torn`), 0o600)
-	a, b := h.start(), h.start()
-	h.load(8)
+	h := newUpgradeTestbed(t)
+	os.WriteFile(filepath.Join(h.tmpDir, "shalebeam-"+strings.ReplaceAll(h.addr, ":", "-")+".out"), []byte(`{"torn`), 0o600)
+	a, b := h.startProcess(), h.startProcess()
+	h.startClients(8)
 	for i := range 6 {
-		told, id := []*process{a, b}[i%2], fmt.Sprint("w", i%3)
-		h.takeOut(told, id)
+		process, id := []*schedulerProcess{a, b}[i%2], fmt.Sprint("w", i%3)
+		h.takeWorkerOut(process, id)
 		before := h.answered.Load()
-		for end := time.Now().Add(patience); h.answered.Load() < before+50 && time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); h.answered.Load() < before+50 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		h.out.Delete(id)
-		told = []*process{a, b}[i/2%2]
-		if opsCall(t, told.mgmt, put("/ops/workers/up", id)) != 200 {
-			t.Error("a call back at the other process is no yes")
+		h.outSince.Delete(id)
+		process = []*schedulerProcess{a, b}[i/2%2]
+		if callOps(t, process.mgmt, postText("/ops/workers/up", id)) != 200 {
+			t.Errorf("the call that puts %s back was not answered 200", id)
 		}
 	}
-	close(h.done)
-	h.busy.Wait()
-	if h.wrong.Load() > 0 {
-		t.Errorf("%d postings to workers that were out", h.wrong.Load())
+	close(h.stopClients)
+	h.clientsRunning.Wait()
+	if h.postingsToOutWorkers.Load() > 0 {
+		t.Errorf("%d postings to workers that were out", h.postingsToOutWorkers.Load())
 	}
 	var kept struct{ Workers map[string]json.RawMessage }
-	raw, err := os.ReadFile(filepath.Join(h.tmp, "shalebeam-"+strings.ReplaceAll(h.addr, ":", "-")+".out"))
+	raw, err := os.ReadFile(filepath.Join(h.tmpDir, "shalebeam-"+strings.ReplaceAll(h.addr, ":", "-")+".out"))
 	if err != nil || json.Unmarshal(raw, &kept) != nil || len(kept.Workers) != 3 {
-		t.Errorf("kept: %s %v", raw, err)
+		t.Errorf("the file of workers that are out: %s, error %v, want JSON with three workers", raw, err)
 	}
 }
 
-// A third process starts beside the two, one fails its configuration, and those before it end in any order: the
-// service goes on, each end leaves room to the others, and the last one has all of it.
+// Three processes serve at one address, a fourth fails for want of a configuration, and two end in any order: service continues,
+// each end returns its share of the limits to the others, and the last process has all of them.
 func TestThreeProcesses(t *testing.T) {
 	t.Parallel()
-	h := newHouse(t)
-	a := h.start()
-	h.load(6)
-	bad := program("serve", "--config", filepath.Join(h.tmp, "none.json"))
-	bad.Env = append(bad.Env, "TMPDIR="+h.tmp)
-	if err := bad.Run(); err == nil {
-		t.Error("a process without a configuration serves")
+	h := newUpgradeTestbed(t)
+	a := h.startProcess()
+	h.startClients(6)
+	misconfigured := program("serve", "--config", filepath.Join(h.tmpDir, "none.json"))
+	misconfigured.Env = append(misconfigured.Env, "TMPDIR="+h.tmpDir)
+	if err := misconfigured.Run(); err == nil {
+		t.Error("a process without a configuration exited with status 0")
 	}
-	b, c := h.start(), h.start()
-	h.takeOut(c, "w2")
-	goesOn := func(what string) {
+	b, c := h.startProcess(), h.startProcess()
+	h.takeWorkerOut(c, "w2")
+	expectService := func(what string) {
 		t.Helper()
 		before := h.answered.Load()
-		for end := time.Now().Add(patience); h.answered.Load() < before+30; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); h.answered.Load() < before+30; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: the service does not go on", what)
+				t.Fatalf("%s: fewer than 30 answers within %v", what, testTimeout)
 			}
 		}
 	}
-	goesOn("three of them")
+	expectService("three processes")
 	b.cmd.Process.Kill()
-	within(t, b.exit, "its end")
-	goesOn("the second killed")
+	await(t, b.exit, "the exit of the process")
+	expectService("the second killed")
 	a.cmd.Process.Signal(syscall.SIGTERM)
-	if err := within(t, a.exit, "its end"); err != nil {
+	if err := await(t, a.exit, "the exit of the process"); err != nil {
 		t.Error(err)
 	}
-	goesOn("the first stopped")
-	for end := time.Now().Add(patience); !strings.Contains(h.log.String(), "state=company others=0"); {
+	expectService("the first stopped")
+	for end := time.Now().Add(testTimeout); !strings.Contains(h.log.String(), "state=company others=0"); {
 		if time.Sleep(time.Millisecond); time.Now().After(end) {
-			t.Fatal("the last one never has the limits to itself")
+			t.Fatalf("the last process does not have the limits to itself after %v", testTimeout)
 		}
 	}
-	close(h.done)
-	h.busy.Wait()
-	if h.wrong.Load() > 0 {
-		t.Errorf("%d postings to a worker that is out", h.wrong.Load())
+	close(h.stopClients)
+	h.clientsRunning.Wait()
+	if h.postingsToOutWorkers.Load() > 0 {
+		t.Errorf("%d postings to a worker that is out", h.postingsToOutWorkers.Load())
 	}
 	c.cmd.Process.Signal(syscall.SIGTERM)
-	if err := within(t, c.exit, "its end"); err != nil {
+	if err := await(t, c.exit, "the exit of the process"); err != nil {
 		t.Error(err)
 	}
 	if !strings.Contains(h.log.String(), "state=company others=2") {
-		t.Error("three never knew of each other")
+		t.Error("no process logged that it knows two others")
 	}
 }
