--- a/fleet/carrier.go
+++ b/fleet/carrier.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	doEach     = 100.0 // how soon an agent is asked again how far it is
-	sampleEach = 500.0
-	askMost    = 3000.0 // after which a command that nothing came of is asked for again
-	grantEach  = 500.0  // after a grant that was refused
-	lostMost   = 2      // where the file names none
-	backMost   = 20000  // for a scheduler whose new process was ready to be seen in service
+	agentPollMs      = 100.0 // how soon an agent is asked again how far it is
+	sampleIntervalMs = 500.0
+	commandRetryMs   = 3000.0 // after which a command that nothing came of is asked for again
+	grantRetryMs     = 500.0  // after a grant that was refused
+	defaultMaxLost   = 2      // where the file names none
+	returnTimeoutMs  = 20000  // for a scheduler whose new process was ready to be seen in service
 )
 
 // Do is a call to make at a member's agent. It is the same call until its step has moved on.
 type Do struct {
-	Op     string `json:"op"`
-	Member string `json:"member"`
-	Call   string `json:"call"` // stop, run, command
-	No     uint64 `json:"no"`   // of the step
-	Fence  uint64 `json:"fence"`
-	Start  string `json:"start,omitempty"` // of the agent that it is meant for, where it is not safe twice
-	Agent  Member `json:"-"`
+	Op         string `json:"op"`
+	Member     string `json:"member"`
+	Call       string `json:"call"` // stop, run, command
+	No         uint64 `json:"no"`   // of the step
+	Fence      uint64 `json:"fence"`
+	AgentStart string `json:"start,omitempty"` // of the agent that it is meant for, where it is not safe twice
+	Agent      Member `json:"-"`
 }
 
 // Did is what came of it.
@@ -42,88 +42,88 @@
 	Reversed int `json:"reversed"`
 }
 
-type try struct {
-	no     uint64
-	busy   bool
-	at     float64
-	since  float64
-	done   bool
-	failed string
-	agent  string  // the life of its agent
-	down   float64 // until when its agent's word that it is down is taken
-	grant  float64
-	asked  float64 // until when a command for it counts as under way
+type memberAttempt struct {
+	stepNo              uint64
+	callPending         bool
+	nextCallAt          float64
+	stepSince           float64
+	callDone            bool
+	failure             string
+	agentStart          string  // the life of its agent
+	downUntil           float64 // until when its agent's word that it is down is taken
+	nextGrantAt         float64
+	commandPendingUntil float64 // until when a command for it counts as under way
 }
 
 // Carrier is what the owner of an operation knows beside the record. It begins with nothing: what a predecessor did stands
 // in the record, and at the agents.
 type Carrier struct {
-	ID, Owner string
-	Fence     uint64
-	Bug       string // one planted by a test of what finds it
-	rec       *Record
-	op        *Op
-	tries     map[string]*try
-	wave      int
-	waveAt    float64
-	movedAt   float64 // when a member last moved on
-	watchAt   float64 // 0: not watching
-	figures   figures
-	lost      map[string]bool
-	samples   map[string]float64 // when each scheduler was asked last
-	refused   map[Member]bool    // of this record: members like these have no room
-	refusedNo uint64
-	asked     float64 // the same of a command for the whole
-	granting  map[string]bool
+	ID, Owner           string
+	Fence               uint64
+	Bug                 string // one planted by a test of what finds it
+	record              *Record
+	operation           *Op
+	attempts            map[string]*memberAttempt
+	wave                int
+	waveStartedAt       float64
+	lastProgressAt      float64 // when a member last moved on
+	watchStartedAt      float64 // 0: not watching
+	comparison          txnComparison
+	leftService         map[string]bool
+	sampledAt           map[string]float64 // when each scheduler was asked last
+	refusedAlike        map[Member]bool    // of this record: members like these have no room
+	refusedRecordNo     uint64
+	commandPendingUntil float64 // the same of a command for the whole
+	grantsPending       map[string]bool
 }
 
 // NewCarrier begins an ownership.
 func NewCarrier(id, owner string, fence uint64) *Carrier {
-	return &Carrier{ID: id, Owner: owner, Fence: fence, tries: map[string]*try{}, wave: -1, lost: map[string]bool{},
-		samples: map[string]float64{}, granting: map[string]bool{}}
+	return &Carrier{ID: id, Owner: owner, Fence: fence, attempts: map[string]*memberAttempt{}, wave: -1, leftService: map[string]bool{},
+		sampledAt: map[string]float64{}, grantsPending: map[string]bool{}}
 }
 
 // Follow takes the record as it now is.
 func (c *Carrier) Follow(now float64, r *Record) {
-	c.rec, c.op = r, r.Ops[c.ID]
-	if c.op == nil {
+	c.record, c.operation = r, r.Ops[c.ID]
+	if c.operation == nil {
 		return
 	}
-	for id, s := range c.op.Steps {
-		if t := c.tries[id]; t == nil || t.no != s.No {
-			c.tries[id] = &try{no: s.No, since: now}
-			c.movedAt = now
-			delete(c.granting, id)
+	for id, step := range c.operation.Steps {
+		if attempt := c.attempts[id]; attempt == nil || attempt.stepNo != step.No {
+			c.attempts[id] = &memberAttempt{stepNo: step.No, stepSince: now}
+			c.lastProgressAt = now
+			delete(c.grantsPending, id)
 		}
 	}
-	if wave := c.op.Wave; wave != c.wave || c.halted() != "" || c.op.Back {
-		c.wave, c.waveAt = wave, now
+	if wave := c.operation.Wave; wave != c.wave || c.haltReason() != "" || c.operation.Back {
+		c.wave, c.waveStartedAt = wave, now
 	}
-	if !c.arrived() || c.op.Back || c.halted() != "" {
-		c.watchAt = 0
-	} else if c.watchAt == 0 {
-		c.watchAt, c.figures = now, figures{}
-		clear(c.samples)
+	if !c.allArrived() || c.operation.Back || c.haltReason() != "" {
+		c.watchStartedAt = 0
+	} else if c.watchStartedAt == 0 {
+		c.watchStartedAt, c.comparison = now, txnComparison{}
+		clear(c.sampledAt)
 	}
-	for _, id := range c.op.now() {
-		if s := c.op.Steps[id]; s.At == In && !c.op.Back && c.op.Kind == "release" {
+	for _, id := range c.operation.begunMembers() {
+		if step := c.operation.Steps[id]; step.At == StepInService && !c.operation.Back && c.operation.Kind == "release" {
 			if _, out := r.IsOut(id); out {
-				c.lost[id] = true
+				c.leftService[id] = true
 			}
 		}
 	}
 }
 
-func (c *Carrier) halted() string {
-	if h, ok := c.rec.Halts[c.ID]; ok {
+func (c *Carrier) haltReason() string {
+	if h, ok := c.record.Halts[c.ID]; ok {
 		return h.Why + " "
 	}
 	return ""
 }
 
-func (c *Carrier) arrived() bool {
-	for _, id := range c.op.now() {
-		if s := c.op.Steps[id]; !c.op.Arrived(s) && !(c.op.Back && s.Why != "") {
+func (c *Carrier) allArrived() bool {
+	for _, id := range c.operation.begunMembers() {
+		if step := c.operation.Steps[id]; !c.operation.Arrived(step) && !(c.operation.Back && step.Why != "") {
 			return false
 		}
 	}
@@ -131,91 +131,91 @@
 }
 
 // Over tells whether there is nothing left to carry.
-func (c *Carrier) Over() bool { return c.op != nil && !c.op.Open() }
+func (c *Carrier) Over() bool { return c.operation != nil && !c.operation.Open() }
 
 // NextDo decides the next call at an agent.
 func (c *Carrier) NextDo(now float64) (Do, bool) {
-	if c.op == nil || !c.op.Open() {
+	if c.operation == nil || !c.operation.Open() {
 		return Do{}, false
 	}
-	for _, id := range c.op.now() {
-		m, s, t := c.rec.Members[id], c.op.Steps[id], c.tries[id]
-		w := c.op.stepOf(m, s)
-		if w == nil || w.call == "" || t.busy || t.done || t.failed != "" || now < t.at ||
-			w.till == "pause" && now < t.since+c.op.Pause {
+	for _, id := range c.operation.begunMembers() {
+		member, step, attempt := c.record.Members[id], c.operation.Steps[id], c.attempts[id]
+		transition := c.operation.nextTransition(member, step)
+		if transition == nil || transition.agentCall == "" || attempt.callPending || attempt.callDone || attempt.failure != "" || now < attempt.nextCallAt ||
+			transition.condition == "pause" && now < attempt.stepSince+c.operation.Pause {
 			continue
 		}
-		agent, known := c.rec.Members[m.Agent]
+		agent, known := c.record.Members[member.Agent]
 		if !known {
-			t.failed = "its agent " + m.Agent + " is not on record"
+			attempt.failure = "its agent " + member.Agent + " is not on record"
 			continue
 		}
-		t.busy, t.at = true, now+doEach
-		return Do{Op: c.ID, Member: id, Call: w.call, No: s.No, Fence: c.Fence, Start: s.Start, Agent: agent}, true
+		attempt.callPending, attempt.nextCallAt = true, now+agentPollMs
+		return Do{Op: c.ID, Member: id, Call: transition.agentCall, No: step.No, Fence: c.Fence, AgentStart: step.AgentStart, Agent: agent}, true
 	}
 	return Do{}, false
 }
 
 // Did takes what came of a call.
-func (c *Carrier) Did(now float64, d Do, r Did) {
-	t := c.tries[d.Member]
-	if t == nil || t.no != d.No {
+func (c *Carrier) Did(now float64, call Do, result Did) {
+	attempt := c.attempts[call.Member]
+	if attempt == nil || attempt.stepNo != call.No {
 		return
 	}
-	t.busy, t.at = false, now+doEach
+	attempt.callPending, attempt.nextCallAt = false, now+agentPollMs
 	switch {
-	case !r.Reached:
-	case r.State == "done":
-		t.done = true
-	case r.State == "failed" || r.State == "unknown":
-		t.failed = d.Member + ": " + r.State + ": " + r.Why
+	case !result.Reached:
+	case result.State == "done":
+		attempt.callDone = true
+	case result.State == "failed" || result.State == "unknown":
+		attempt.failure = call.Member + ": " + result.State + ": " + result.Why
 	}
-	if r.Reached {
-		t.agent = r.Start
+	if result.Reached {
+		attempt.agentStart = result.Start
 	}
-	if t.down = 0; r.Reached && r.Down {
-		t.down = now + doEach*2
+	if attempt.downUntil = 0; result.Reached && result.Down {
+		attempt.downUntil = now + agentPollMs*2
 	}
 }
 
 // NextSample decides which scheduler to ask for its figures, while a wave is watched.
 func (c *Carrier) NextSample(now float64) (Member, bool) {
-	if c.op == nil || c.watchAt == 0 || c.op.Kind != "release" || c.op.Watch == 0 {
+	if c.operation == nil || c.watchStartedAt == 0 || c.operation.Kind != "release" || c.operation.Watch == 0 {
 		return Member{}, false
 	}
-	for _, m := range c.rec.Of("scheduler") {
-		if at, asked := c.samples[m.ID]; !asked || now >= at+sampleEach {
-			c.samples[m.ID] = now
-			return m, true
+	for _, scheduler := range c.record.Of("scheduler") {
+		if at, asked := c.sampledAt[scheduler.ID]; !asked || now >= at+sampleIntervalMs {
+			c.sampledAt[scheduler.ID] = now
+			return scheduler, true
 		}
 	}
 	return Member{}, false
 }
 
 // Sampled takes a scheduler's figures.
-func (c *Carrier) Sampled(id string, n Txns) {
-	if c.watchAt > 0 {
-		c.figures.add(id, n)
+func (c *Carrier) Sampled(id string, counts Txns) {
+	if c.watchStartedAt > 0 {
+		c.comparison.addSample(id, counts)
 	}
 }
 
 // NextCommand decides what to put on record next: one at a time for a member, and one for the whole. Commanded takes what
 // came of it.
 func (c *Carrier) NextCommand(now float64) (Command, bool) {
-	if c.op == nil || !c.op.Open() {
+	if c.operation == nil || !c.operation.Open() {
 		return Command{}, false
 	}
-	cmd, ok := c.next(now)
+	cmd, ok := c.nextCommand(now)
 	if !ok {
 		return cmd, false
 	}
 	if cmd.Do != "step" {
-		c.asked = now + askMost
+		c.commandPendingUntil = now + commandRetryMs
 		return cmd, true
 	}
-	c.tries[cmd.ID].asked = now + askMost
+	c.attempts[cmd.ID].commandPendingUntil = now + commandRetryMs
 	if cmd.To == Granted {
-		c.granting[cmd.ID] = true
+		c.grantsPending[cmd.ID] = true
 	}
 	return cmd, true
 }
@@ -223,145 +223,145 @@
 // Commanded takes that something came of a command, or that nobody knows.
 func (c *Carrier) Commanded(cmd Command) {
 	if cmd.Do != "step" {
-		c.asked = 0
-	} else if t := c.tries[cmd.ID]; t != nil && t.no == cmd.Renewed {
-		t.asked = 0
+		c.commandPendingUntil = 0
+	} else if attempt := c.attempts[cmd.ID]; attempt != nil && attempt.stepNo == cmd.Renewed {
+		attempt.commandPendingUntil = 0
 	}
-	delete(c.granting, cmd.ID)
+	delete(c.grantsPending, cmd.ID)
 }
 
-func (c *Carrier) next(now float64) (Command, bool) {
-	mine := Command{Matter: OpOf(c.ID), Owner: c.Owner, Fence: c.Fence, By: OpOf(c.ID)}
-	if why := c.trouble(now); why != "" && c.halted() == "" && !c.op.Back && now >= c.asked {
-		cmd := mine
-		if cmd.Do, cmd.ID, cmd.Why = "halt", c.ID, brief(why); c.op.AutoBack {
+func (c *Carrier) nextCommand(now float64) (Command, bool) {
+	base := Command{Matter: OpOf(c.ID), Owner: c.Owner, Fence: c.Fence, By: OpOf(c.ID)}
+	if why := c.haltCause(now); why != "" && c.haltReason() == "" && !c.operation.Back && now >= c.commandPendingUntil {
+		cmd := base
+		if cmd.Do, cmd.ID, cmd.Why = "halt", c.ID, truncateReason(why); c.operation.AutoBack {
 			cmd.Then = "back"
 		}
 		return cmd, true
 	}
-	for _, id := range c.op.now() {
-		if now < c.tries[id].asked {
+	for _, id := range c.operation.begunMembers() {
+		if now < c.attempts[id].commandPendingUntil {
 			continue
 		}
-		if cmd, ok := c.move(now, id); ok {
-			cmd.Matter, cmd.Owner, cmd.Fence, cmd.By, cmd.Do, cmd.ID = mine.Matter, mine.Owner, mine.Fence, mine.By, "step", id
+		if cmd, ok := c.nextStep(now, id); ok {
+			cmd.Matter, cmd.Owner, cmd.Fence, cmd.By, cmd.Do, cmd.ID = base.Matter, base.Owner, base.Fence, base.By, "step", id
 			return cmd, true
 		}
 	}
-	for _, id := range c.op.now() {
-		s, t := c.op.Steps[id], c.tries[id]
+	for _, id := range c.operation.begunMembers() {
+		step, attempt := c.operation.Steps[id], c.attempts[id]
 		// What can't go back may keep others from it for ever, as by the room that it takes: they are named too, and it ends.
-		if c.op.Back && !c.op.Arrived(s) && s.Why == "" && now >= t.asked && now > max(t.since, c.movedAt)+2*backMost && c.rec.Halted(c.op, c.rec.Members[id].Zone) == "" {
-			cmd := mine
-			cmd.Do, cmd.ID, cmd.Renewed = "step", id, s.No
-			cmd.Why = brief(fmt.Sprintf("can't go back: %s for long, seen %s; %s", s.At, c.rec.Health[id].State, c.rec.Grant(c.op, id)))
+		if c.operation.Back && !c.operation.Arrived(step) && step.Why == "" && now >= attempt.commandPendingUntil && now > max(attempt.stepSince, c.lastProgressAt)+2*returnTimeoutMs && c.record.HaltReason(c.operation, c.record.Members[id].Zone) == "" {
+			cmd := base
+			cmd.Do, cmd.ID, cmd.Renewed = "step", id, step.No
+			cmd.Why = truncateReason(fmt.Sprintf("can't go back: %s for long, seen %s; %s", step.At, c.record.Health[id].State, c.record.Grant(c.operation, id)))
 			return cmd, true
 		}
 	}
-	if now < c.asked || !c.arrived() || c.watchAt > 0 && now < c.watchAt+c.op.Watch || c.halted() != "" && !c.op.Back {
+	if now < c.commandPendingUntil || !c.allArrived() || c.watchStartedAt > 0 && now < c.watchStartedAt+c.operation.Watch || c.haltReason() != "" && !c.operation.Back {
 		return Command{}, false
 	}
-	cmd := mine
-	cmd.Do, cmd.Renewed = "wave", uint64(c.op.Wave)
+	cmd := base
+	cmd.Do, cmd.Renewed = "wave", uint64(c.operation.Wave)
 	return cmd, true
 }
 
-func brief(why string) string { return why[:min(len(why), mostWhy)] }
+func truncateReason(why string) string { return why[:min(len(why), maxReasonBytes)] }
 
 // move is a member's next step, once it has what that waits for.
-func (c *Carrier) move(now float64, id string) (Command, bool) {
-	m, s, t := c.rec.Members[id], c.op.Steps[id], c.tries[id]
-	w := c.op.stepOf(m, s)
-	if w == nil {
+func (c *Carrier) nextStep(now float64, id string) (Command, bool) {
+	member, step, attempt := c.record.Members[id], c.operation.Steps[id], c.attempts[id]
+	transition := c.operation.nextTransition(member, step)
+	if transition == nil {
 		return Command{}, false
 	}
-	cmd := Command{To: w.to, Renewed: s.No}
-	seen := c.rec.Health[id]
+	cmd := Command{To: transition.to, Renewed: step.No}
+	health := c.record.Health[id]
 	switch {
-	case c.op.Back && s.At == Waits && c.rec.Permits[id].Op != "" && c.rec.Permits[id].Op != c.ID:
-		if s.Why != "" {
+	case c.operation.Back && step.At == Waits && c.record.Permits[id].Op != "" && c.record.Permits[id].Op != c.ID:
+		if step.Why != "" {
 			return cmd, false
 		}
-		return Command{Renewed: s.No, Why: "can't go back: it is out for " + c.rec.Permits[id].Op}, true
-	case c.op.Back && t.failed != "" && s.Why == "":
-		return Command{Renewed: s.No, Why: brief("can't go back: " + t.failed)}, true
-	case s.At == Granted && !s.Undo && !c.op.Back && c.rec.Halted(c.op, m.Zone) != "" && !t.done:
-		return Command{To: "undo", Renewed: s.No}, true
-	case w.call != "" && !t.done:
+		return Command{Renewed: step.No, Why: "can't go back: it is out for " + c.record.Permits[id].Op}, true
+	case c.operation.Back && attempt.failure != "" && step.Why == "":
+		return Command{Renewed: step.No, Why: truncateReason("can't go back: " + attempt.failure)}, true
+	case step.At == Granted && !step.Undo && !c.operation.Back && c.record.HaltReason(c.operation, member.Zone) != "" && !attempt.callDone:
+		return Command{To: "undo", Renewed: step.No}, true
+	case transition.agentCall != "" && !attempt.callDone:
 		return cmd, false
-	case w.till == "room":
+	case transition.condition == "room":
 		// Thousands may wait, and a count goes over all: those that count alike are refused alike.
-		if c.refusedNo != c.rec.No || c.refused == nil {
-			c.refused, c.refusedNo = map[Member]bool{}, c.rec.No
+		if c.refusedRecordNo != c.record.No || c.refusedAlike == nil {
+			c.refusedAlike, c.refusedRecordNo = map[Member]bool{}, c.record.No
 		}
-		_, out := c.rec.IsOut(id)
-		if c.op.Raises(m) && out && now < t.down {
-			return Command{To: Gone, Then: isDown, Renewed: s.No}, true
+		_, out := c.record.IsOut(id)
+		if c.operation.StartsDownSchedulers(member) && out && now < attempt.downUntil {
+			return Command{To: Gone, Then: downByAgent, Renewed: step.No}, true
 		}
-		like := Member{Kind: m.Kind, Zone: m.Zone, Labels: m.Labels, Capacity: m.Capacity}
-		if now < t.grant || !out && c.refused[like] {
+		sameCount := Member{Kind: member.Kind, Zone: member.Zone, Labels: member.Labels, Capacity: member.Capacity}
+		if now < attempt.nextGrantAt || !out && c.refusedAlike[sameCount] {
 			return cmd, false
 		}
-		if c.rec.grant(c.op, id, c.granting) != "" {
-			c.refused[like] = c.refused[like] || !out && c.rec.room(id, c.granting) != ""
+		if c.record.grantRefusal(c.operation, id, c.grantsPending) != "" {
+			c.refusedAlike[sameCount] = c.refusedAlike[sameCount] || !out && c.record.limitRefusal(id, c.grantsPending) != ""
 			return cmd, false
 		}
-		t.grant = now + grantEach // refused all the same, it is asked for again, not at once
-	case w.till == "out" && (seen.State != "out" || seen.Of < s.No),
-		w.till == "in" && (seen.State != InService || seen.Of < s.No),
-		w.till == "pause" && now < t.since+c.op.Pause:
+		attempt.nextGrantAt = now + grantRetryMs // refused all the same, it is asked for again, not at once
+	case transition.condition == "out" && (health.State != "out" || health.RecordNo < step.No),
+		transition.condition == "in" && (health.State != InService || health.RecordNo < step.No),
+		transition.condition == "pause" && now < attempt.stepSince+c.operation.Pause:
 		return cmd, false
 	}
-	if w.to == Acting {
+	if transition.to == StepCommand {
 		// Which life of its agent is meant: one that was started again may have begun it, and have lost its note of that.
-		if t.agent == "" {
+		if attempt.agentStart == "" {
 			return cmd, false
 		}
-		cmd.Start = t.agent
+		cmd.AgentStart = attempt.agentStart
 	}
 	return cmd, true
 }
 
 // NextLook decides which agent to ask for the name of its life, before it is to do what is not safe twice.
 func (c *Carrier) NextLook(now float64) (Do, bool) {
-	if c.op == nil || !c.op.Open() {
+	if c.operation == nil || !c.operation.Open() {
 		return Do{}, false
 	}
-	for _, id := range c.op.now() {
-		m, s, t := c.rec.Members[id], c.op.Steps[id], c.tries[id]
-		_, out := c.rec.IsOut(id)
-		w := c.op.stepOf(m, s)
-		if w == nil || t.busy || now < t.at || !(w.to == Acting && t.agent == "" || s.At == Waits && out && c.op.Raises(m)) {
+	for _, id := range c.operation.begunMembers() {
+		member, step, attempt := c.record.Members[id], c.operation.Steps[id], c.attempts[id]
+		_, out := c.record.IsOut(id)
+		transition := c.operation.nextTransition(member, step)
+		if transition == nil || attempt.callPending || now < attempt.nextCallAt || !(transition.to == StepCommand && attempt.agentStart == "" || step.At == Waits && out && c.operation.StartsDownSchedulers(member)) {
 			continue
 		}
-		t.busy, t.at = true, now+doEach
-		return Do{Op: c.ID, Member: id, Call: "look", No: s.No, Fence: c.Fence, Agent: c.rec.Members[m.Agent]}, true
+		attempt.callPending, attempt.nextCallAt = true, now+agentPollMs
+		return Do{Op: c.ID, Member: id, Call: "look", No: step.No, Fence: c.Fence, Agent: c.record.Members[member.Agent]}, true
 	}
 	return Do{}, false
 }
 
 // trouble is why the operation is to be halted, "" for nothing.
-func (c *Carrier) trouble(now float64) string {
-	for _, id := range c.op.now() {
-		if t := c.tries[id]; t.failed != "" && !c.op.Arrived(c.op.Steps[id]) {
-			return t.failed
+func (c *Carrier) haltCause(now float64) string {
+	for _, id := range c.operation.begunMembers() {
+		if attempt := c.attempts[id]; attempt.failure != "" && !c.operation.Arrived(c.operation.Steps[id]) {
+			return attempt.failure
 		}
-		if s := c.op.Steps[id]; s.At == Acted && !s.Undo && c.rec.Members[id].Kind == "scheduler" && now > c.tries[id].since+backMost {
-			return fmt.Sprintf("%s was not seen in service for %g s after its new process was ready: %s", id, backMost/1000.0, c.rec.Health[id].State)
+		if step := c.operation.Steps[id]; step.At == StepReturning && !step.Undo && c.record.Members[id].Kind == "scheduler" && now > c.attempts[id].stepSince+returnTimeoutMs {
+			return fmt.Sprintf("%s was not seen in service for %g s after its new process was ready: %s", id, returnTimeoutMs/1000.0, c.record.Health[id].State)
 		}
 	}
-	most := c.op.Gates.Lost
-	if most == 0 {
-		most = lostMost
+	maxLost := c.operation.Gates.Lost
+	if maxLost == 0 {
+		maxLost = defaultMaxLost
 	}
-	if len(c.lost) >= most && len(c.lost) > 0 {
-		return fmt.Sprintf("%d members left service after they were released: %v", len(c.lost), slices.Sorted(maps.Keys(c.lost)))
+	if len(c.leftService) >= maxLost && len(c.leftService) > 0 {
+		return fmt.Sprintf("%d members left service after they were released: %v", len(c.leftService), slices.Sorted(maps.Keys(c.leftService)))
 	}
-	if c.op.WaveMost > 0 && now > c.waveAt+c.op.WaveMost {
-		return fmt.Sprintf("wave %d took over %g s", c.op.Wave+1, c.op.WaveMost/1000)
+	if c.operation.WaveMost > 0 && now > c.waveStartedAt+c.operation.WaveMost {
+		return fmt.Sprintf("wave %d took over %g s", c.operation.Wave+1, c.operation.WaveMost/1000)
 	}
-	if c.watchAt > 0 && c.op.Kind == "release" {
-		return c.figures.worse(c.op, c.Bug == "gate-yesterday")
+	if c.watchStartedAt > 0 && c.operation.Kind == "release" {
+		return c.comparison.regression(c.operation, c.Bug == "gate-yesterday")
 	}
 	return ""
 }
--- a/fleet/doer.go
+++ b/fleet/doer.go
@@ -26,13 +26,13 @@
 }
 
 // Known is how a step stands that was begun before, if it was; a lower number than one begun is refused for good.
-func (d *Doer) Known(do Do) (Did, bool) {
-	n := d.Notes[do.Member]
+func (d *Doer) Known(call Do) (Did, bool) {
+	note := d.Notes[call.Member]
 	switch {
-	case d.Bug == "step-twice" && n.State == "done" && do.No == n.No:
-	case do.No == n.No && n.No > 0:
-		return Did{Reached: true, State: n.State, Why: n.Why, Start: d.Start}, true
-	case do.No < n.No:
+	case d.Bug == "step-twice" && note.State == "done" && call.No == note.No:
+	case call.No == note.No && note.No > 0:
+		return Did{Reached: true, State: note.State, Why: note.Why, Start: d.Start}, true
+	case call.No < note.No:
 		return Did{Reached: true, State: "refused", Why: "a later step was begun", Start: d.Start}, true
 	}
 	return Did{}, false
@@ -40,67 +40,67 @@
 
 // Begin decides whether a step that was not begun yet begins now. r is the record as read for sure since the call came, nil
 // where it could not be.
-func (d *Doer) Begin(do Do, r *Record) (Did, bool) {
-	no := func(why string) (Did, bool) {
+func (d *Doer) Begin(call Do, r *Record) (Did, bool) {
+	refuse := func(why string) (Did, bool) {
 		return Did{Reached: true, State: "refused", Why: why, Start: d.Start}, false
 	}
-	if did, known := d.Known(do); known {
+	if did, known := d.Known(call); known {
 		return did, false
 	}
 	if r == nil {
-		return no("the record can't be read for sure")
+		return refuse("the record can't be read for sure")
 	}
-	op := r.Ops[do.Op]
+	op := r.Ops[call.Op]
 	if op == nil {
-		return no("no such operation")
+		return refuse("no such operation")
 	}
-	s, m := op.Steps[do.Member], r.Members[do.Member]
-	if w := op.stepOf(m, s); d.Bug != "stale-step" && (s.No != do.No || w == nil || w.call != do.Call) {
-		return no("the record has it elsewhere by now")
-	} else if d.Bug != "stale-step" && r.Matters[OpOf(do.Op)].Fence != do.Fence {
-		return no("another owner has it")
+	step, member := op.Steps[call.Member], r.Members[call.Member]
+	if transition := op.nextTransition(member, step); d.Bug != "stale-step" && (step.No != call.No || transition == nil || transition.agentCall != call.Call) {
+		return refuse("the record has it elsewhere by now")
+	} else if d.Bug != "stale-step" && r.Matters[OpOf(call.Op)].Fence != call.Fence {
+		return refuse("another owner has it")
 	}
-	if Takes(s) {
-		if why := r.Halted(op, m.Zone); why != "" && d.Bug != "halt-at-owner" {
-			return no(why)
+	if Takes(step) {
+		if why := r.HaltReason(op, member.Zone); why != "" && d.Bug != "halt-at-owner" {
+			return refuse(why)
 		}
-		if h := d.HaltOf(op, m.Zone); h != nil && d.Bug != "halt-at-owner" {
-			return no("halted here by " + h.By + ": " + h.Why)
+		if halt := d.LocalHalt(op, member.Zone); halt != nil && d.Bug != "halt-at-owner" {
+			return refuse("halted here by " + halt.By + ": " + halt.Why)
 		}
 	}
-	n := Note{No: do.No, Op: do.Op, Call: do.Call, State: "going"}
-	if do.Call == "command" && do.Start != d.Start {
+	note := Note{No: call.No, Op: call.Op, Call: call.Call, State: "going"}
+	if call.Call == "command" && call.AgentStart != d.Start {
 		// It may have been run by a former life that lost its note of it.
-		n.State, n.Why = "unknown", "it was meant for a former life of this agent, which has no note of it"
+		note.State, note.Why = "unknown", "it was meant for a former life of this agent, which has no note of it"
 	}
-	d.Notes[do.Member] = n
-	return Did{Reached: true, State: n.State, Why: n.Why, Start: d.Start}, n.State == "going"
+	d.Notes[call.Member] = note
+	return Did{Reached: true, State: note.State, Why: note.Why, Start: d.Start}, note.State == "going"
 }
 
 // Takes tells whether the next call at a step takes a member out that serves; any other brings one back.
 func Takes(s Step) bool { return s.At == Granted && !s.Undo }
 
 // HaltOf is a halt that was told here and covers an operation at a zone, nil for none.
-func (d *Doer) HaltOf(op *Op, zone string) *Halt {
-	for _, of := range []string{"all", MatterOf(zone), op.ID} {
-		if h, ok := d.Halts[of]; ok && !(op.Back && of == op.ID) {
-			return &h
+func (d *Doer) LocalHalt(op *Op, zone string) *Halt {
+	for _, scope := range []string{"all", MatterOf(zone), op.ID} {
+		if halt, ok := d.Halts[scope]; ok && !(op.Back && scope == op.ID) {
+			return &halt
 		}
 	}
 	return nil
 }
 
 // Holds tells whether a worker that an operation has out may not be told of now, where nobody has been yet.
-func (d *Doer) Holds(r *Record, w Intent) bool {
-	op := r.Ops[strings.TrimPrefix(w.By, "op/")]
-	return w.Out && op != nil && d.Bug != "halt-at-owner" && d.HaltOf(op, w.Zone) != nil
+func (d *Doer) Holds(r *Record, intent Intent) bool {
+	op := r.Ops[strings.TrimPrefix(intent.By, "op/")]
+	return intent.Out && op != nil && d.Bug != "halt-at-owner" && d.LocalHalt(op, intent.Zone) != nil
 }
 
 // Lifted drops halts that stood in the record and do not any more.
 func (d *Doer) Lifted(r *Record) (changed bool) {
-	for of, h := range d.Halts {
-		if _, stands := r.Halts[of]; h.No > 0 && r.No >= h.No && !stands {
-			delete(d.Halts, of)
+	for scope, halt := range d.Halts {
+		if _, onRecord := r.Halts[scope]; halt.No > 0 && r.No >= halt.No && !onRecord {
+			delete(d.Halts, scope)
 			changed = true
 		}
 	}
@@ -110,15 +110,15 @@
 // ShouldRun tells whether a scheduler is meant to run by the record, for an agent that starts: its own notes may be of an
 // older disk. Nobody has it out who holds no permit; one that was drained stays so.
 func (r *Record) ShouldRun(id string, noted bool) bool {
-	p, out := r.Permits[id]
+	permit, out := r.Permits[id]
 	if !out {
 		return true
 	}
-	if op := r.Ops[p.Op]; op != nil {
-		switch s := op.Steps[id]; s.At {
+	if op := r.Ops[permit.Op]; op != nil {
+		switch step := op.Steps[id]; step.At {
 		case Gone:
 			return op.Kind != "drain" && op.Kind != "maintain" || op.Back
-		case Acted, In:
+		case StepReturning, StepInService:
 			return true
 		}
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -77,10 +77,10 @@
 	if err := o.Restore([]byte(before)); err != nil || string(o.Snapshot()) != before {
 		t.Errorf("restored: %v", err)
 	}
-	for i := range sessionsKept + 10 {
+	for i := range maxSessions + 10 {
 		apply(t, r, Command{Do: "out", ID: "w3", Zone: "a", By: "ann", Caller: fmt.Sprint("many", i), Number: 1})
 	}
-	if len(r.Sessions) != sessionsKept || len(r.Rows) > rowsKept {
+	if len(r.Sessions) != maxSessions || len(r.Rows) > maxAuditEntries {
 		t.Errorf("%d sessions, %d rows", len(r.Sessions), len(r.Rows))
 	}
 }
@@ -96,7 +96,7 @@
 			k.Leads(0)
 			k.Applied(1000*leader, &Command{Do: "renew", Matter: "m"}) // at the soonest it can stand in the record
 			for at := 1000.0; at < 6000; at++ {
-				if h.Holds(at*owner) && k.Over(at*leader, "m", Matter{Owner: "a#1", Term: term}) {
+				if h.Holds(at*owner) && k.OwnerTermExpired(at*leader, "m", Lease{Owner: "a#1", TermMs: term}) {
 					t.Fatalf("clocks at %g and %g: both at %g", owner, leader, at)
 				}
 			}
@@ -104,8 +104,8 @@
 	}
 	var k Keeper
 	k.Leads(50000)
-	if r := NewRecord(); k.Over(50000+term, "m", Matter{Owner: "a#1", Term: term}) ||
-		!k.Over(50000+1.2*term, "m", Matter{Owner: "a#1", Term: term}) || k.MayPropose(50000, r, &Command{Do: "renew"}) != "" {
+	if r := NewRecord(); k.OwnerTermExpired(50000+term, "m", Lease{Owner: "a#1", TermMs: term}) ||
+		!k.OwnerTermExpired(50000+1.2*term, "m", Lease{Owner: "a#1", TermMs: term}) || k.MayPropose(50000, r, &Command{Do: "renew"}) != "" {
 		t.Error("a new leader")
 	}
 	h := Held(0, 1, term)
@@ -127,7 +127,7 @@
 	r.Workers = map[string]Intent{"w1": {Zone: "a", Out: true, Since: 9}, "w2": {Zone: "b", Out: true, Since: 8}}
 	tell.Follow(0, r, "a")
 	now := 0.0
-	step := func(want Act, r Reply) Call {
+	step := func(want CallKind, r Reply) Call {
 		t.Helper()
 		now += 10
 		c, ok := tell.Next(now)
@@ -152,7 +152,7 @@
 	step(Close, Reply{Reached: true, Done: true, Start: "x", Fence: 5})
 	c := step(Tell, Reply{Why: "timeout"})
 	state(NotReached)
-	now += tryFirst
+	now += initialBackoffMs
 	if again := step(Tell, Reply{Reached: true, Done: true, Start: "x", Fence: 5}); again != c {
 		t.Errorf("sent again as %+v", again)
 	}
@@ -160,16 +160,16 @@
 	if c, ok := tell.Next(now); ok {
 		t.Fatalf("nothing is owed, and %+v", c)
 	}
-	now += lookEach
+	now += statusIntervalMs
 	step(Look, Reply{Reached: true, Done: true, Start: "y"})
 	state(Unknown)
 	step(Close, Reply{Reached: true, Why: "start z", Start: "z"})
-	now += tryFirst
+	now += initialBackoffMs
 	step(Look, Reply{Reached: true, Done: true, Start: "z"})
 	step(Close, Reply{Reached: true, Done: true, Start: "z", Fence: 5})
 	step(Tell, Reply{Reached: true, Done: true, Start: "z", Fence: 5})
 	state(Obeyed)
-	now += lookEach
+	now += statusIntervalMs
 	step(Look, Reply{Reached: true, Done: true, Start: "z", Fence: 6})
 	if _, ok := tell.Next(now + 9000); ok || tell.Passed != 6 {
 		t.Error("it acts on after a higher number was seen")
@@ -185,7 +185,7 @@
 		{ID: "s2", Kind: "scheduler", Zone: "b", Addr: "x:5"}} {
 		apply(t, r, Command{Do: "member", Member: &m})
 	}
-	order := Order("a", r.Of("agent"))
+	order := AgentOrder("a", r.Of("agent"))
 	if order[2].ID != "b1" || len(r.Zones()) != 2 {
 		t.Fatalf("order %v", order)
 	}
@@ -213,10 +213,10 @@
 	}
 	second.NextPass(20000, r, gone)
 	second.NextPass(25000, r, nil)
-	if _, ok := second.NextPass(25000+calmTerms*3000-1, r, nil); ok {
+	if _, ok := second.NextPass(25000+handoverDelayTerms*3000-1, r, nil); ok {
 		t.Error("passed back after a blink")
 	}
-	c, ok = second.NextPass(25000+calmTerms*3000, r, nil)
+	c, ok = second.NextPass(25000+handoverDelayTerms*3000, r, nil)
 	if a := apply(t, r, c); !ok || !a.Done || r.Matters["zone/a"].Wanted != first.Agent {
 		t.Errorf("%+v %+v", c, a)
 	}
--- a/fleet/gates.go
+++ b/fleet/gates.go
@@ -5,65 +5,65 @@
 	"slices"
 )
 
-const txnsLeast = 50 // on either side, where the file names no number
+const defaultMinTxns = 50 // on either side, where the file names no number
 
 // figures are what schedulers answered since a wave is watched.
-type figures struct {
-	last, sum map[string]Txns
+type txnComparison struct {
+	lastCounts, totals map[string]Txns
 }
 
 // add takes a scheduler's count. One that is below the last is of a new process.
-func (f *figures) add(id string, n Txns) {
-	if f.last == nil {
-		f.last, f.sum = map[string]Txns{}, map[string]Txns{}
+func (f *txnComparison) addSample(id string, counts Txns) {
+	if f.lastCounts == nil {
+		f.lastCounts, f.totals = map[string]Txns{}, map[string]Txns{}
 	}
-	was, known := f.last[id]
-	if f.last[id] = n; !known {
+	former, known := f.lastCounts[id]
+	if f.lastCounts[id] = counts; !known {
 		return
 	}
-	if n.Settled < was.Settled || n.Declined < was.Declined || n.Reversed < was.Reversed {
-		was = Txns{}
+	if counts.Settled < former.Settled || counts.Declined < former.Declined || counts.Reversed < former.Reversed {
+		former = Txns{}
 	}
-	s := f.sum[id]
-	f.sum[id] = Txns{s.Settled + n.Settled - was.Settled, s.Declined + n.Declined - was.Declined, s.Reversed + n.Reversed - was.Reversed}
+	total := f.totals[id]
+	f.totals[id] = Txns{total.Settled + counts.Settled - former.Settled, total.Declined + counts.Declined - former.Declined, total.Reversed + counts.Reversed - former.Reversed}
 }
 
-func (t Txns) all() int { return t.Settled + t.Declined + t.Reversed }
+func (t Txns) total() int { return t.Settled + t.Declined + t.Reversed }
 
 // worse tells in what the released part is worse than the part that is not, in the same minutes; "" where it is not, or
 // where too little was answered on either side. With yesterday, a bug that a test plants, it is held against a good day.
-func (f *figures) worse(op *Op, yesterday bool) string {
-	var with, without Txns
-	for id, n := range f.sum {
-		sum := &without
-		if s, in := op.Steps[id]; in && s.At == In && slices.Contains(op.now(), id) {
-			sum = &with
+func (f *txnComparison) regression(op *Op, againstFixedGoodDay bool) string {
+	var released, unreleased Txns
+	for id, counts := range f.totals {
+		sum := &unreleased
+		if step, inOperation := op.Steps[id]; inOperation && step.At == StepInService && slices.Contains(op.begunMembers(), id) {
+			sum = &released
 		}
-		sum.Settled, sum.Declined, sum.Reversed = sum.Settled+n.Settled, sum.Declined+n.Declined, sum.Reversed+n.Reversed
+		sum.Settled, sum.Declined, sum.Reversed = sum.Settled+counts.Settled, sum.Declined+counts.Declined, sum.Reversed+counts.Reversed
 	}
-	if yesterday {
-		without = Txns{Settled: 1000}
+	if againstFixedGoodDay {
+		unreleased = Txns{Settled: 1000}
 	}
-	least := op.Gates.Txns
-	if least == 0 {
-		least = txnsLeast
+	minTxns := op.Gates.Txns
+	if minTxns == 0 {
+		minTxns = defaultMinTxns
 	}
-	if with.all() < least || without.all() < least {
+	if released.total() < minTxns || unreleased.total() < minTxns {
 		return ""
 	}
-	part := func(n int, of Txns) float64 { return float64(n) / float64(of.all()) }
-	for _, g := range []struct {
-		name      string
-		with, out float64 // how much worse
-		may       float64
+	share := func(counts int, of Txns) float64 { return float64(counts) / float64(of.total()) }
+	for _, gate := range []struct {
+		name          string
+		released, out float64 // how much worse
+		may           float64
 	}{
-		{"settled", part(without.Settled, without), part(with.Settled, with), op.Gates.Settled},
-		{"declined", part(with.Declined, with), part(without.Declined, without), op.Gates.Declined},
-		{"reversed", part(with.Reversed, with), part(without.Reversed, without), op.Gates.Reversed},
+		{"settled", share(unreleased.Settled, unreleased), share(released.Settled, released), op.Gates.Settled},
+		{"declined", share(released.Declined, released), share(unreleased.Declined, unreleased), op.Gates.Declined},
+		{"reversed", share(released.Reversed, released), share(unreleased.Reversed, unreleased), op.Gates.Reversed},
 	} {
-		if g.may > 0 && g.with-g.out > g.may {
-			return fmt.Sprintf("gate: %s share is worse by %.2f than where it is not released (%d and %d txns)", g.name, g.with-g.out,
-				with.all(), without.all())
+		if gate.may > 0 && gate.released-gate.out > gate.may {
+			return fmt.Sprintf("gate: %s share is worse by %.2f than where it is not released (%d and %d txns)", gate.name, gate.released-gate.out,
+				released.total(), unreleased.total())
 		}
 	}
 	return ""
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -18,7 +18,7 @@
 	Least    int     `json:"least,omitempty" toml:"least,omitempty"`       // in service
 }
 
-const each = "each"
+const eachValue = "each"
 
 func (l Limit) String() string {
 	text := l.Kind + "s"
@@ -42,7 +42,7 @@
 	return text
 }
 
-func (l Limit) check() string {
+func (l Limit) invalidReason() string {
 	key, value, _ := strings.Cut(l.Label, "=")
 	switch {
 	case l.Kind != "scheduler" && l.Kind != "worker":
@@ -63,11 +63,11 @@
 
 // CheckLimits tells what is wrong with limits, "" where nothing is.
 func CheckLimits(all []Limit) string {
-	if len(all) > mostLimits {
-		return fmt.Sprintf("more than %d limits", mostLimits)
+	if len(all) > maxLimits {
+		return fmt.Sprintf("more than %d limits", maxLimits)
 	}
 	for i, l := range all {
-		if why := l.check(); why != "" {
+		if why := l.invalidReason(); why != "" {
 			return fmt.Sprintf("limit[%d].%s", i, why)
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // label is the value of one of a member's labels, which stand as "key=value,key=value".
-func (m Member) label(key string) string {
+func (m Member) labelValue(key string) string {
 	for _, l := range strings.Split(m.Labels, ",") {
 		if k, v, _ := strings.Cut(l, "="); k == key {
 			return v
@@ -85,17 +85,17 @@
 }
 
 // covers tells whether a limit is about m, and of those about o whether o counts together with it.
-func (l Limit) covers(m, o Member) bool {
-	if m.Kind != l.Kind || o.Kind != l.Kind || l.Zone == each && m.Zone != o.Zone ||
-		l.Zone != "" && l.Zone != each && (m.Zone != l.Zone || o.Zone != l.Zone) {
+func (l Limit) countsTogether(member, other Member) bool {
+	if member.Kind != l.Kind || other.Kind != l.Kind || l.Zone == eachValue && member.Zone != other.Zone ||
+		l.Zone != "" && l.Zone != eachValue && (member.Zone != l.Zone || other.Zone != l.Zone) {
 		return false
 	}
 	if l.Label == "" {
 		return true
 	}
 	key, value, _ := strings.Cut(l.Label, "=")
-	mine := m.label(key)
-	return mine != "" && mine == o.label(key) && (value == each || value == mine)
+	memberValue := member.labelValue(key)
+	return memberValue != "" && memberValue == other.labelValue(key) && (value == eachValue || value == memberValue)
 }
 
 // Count is how a limit stands to one member: who counts together, who of them is out, and how many may be.
@@ -109,106 +109,106 @@
 
 // IsOut tells whether a member counts as out, and why: each that is not known to be in service does.
 func (r *Record) IsOut(id string) (string, bool) {
-	if p, ok := r.Permits[id]; ok {
-		return "permit of " + p.Op, true
+	if permit, ok := r.Permits[id]; ok {
+		return "permit of " + permit.Op, true
 	}
 	if r.Workers[id].Out && r.Members[id].Kind == "worker" {
 		return "taken out by " + r.Workers[id].By, true
 	}
-	switch h, ok := r.Health[id]; {
+	switch health, ok := r.Health[id]; {
 	case !ok:
 		return "nobody has looked at it", true
-	case h.State != InService:
-		return h.State, true
+	case health.State != InService:
+		return health.State, true
 	}
 	return "", false
 }
 
-func (r *Record) limits(m Member) (all []Limit) {
-	for _, l := range r.Limits {
-		if l.covers(m, m) {
-			all = append(all, l)
+func (r *Record) limitsFor(member Member) (applicable []Limit) {
+	for _, limit := range r.Limits {
+		if limit.countsTogether(member, member) {
+			applicable = append(applicable, limit)
 		}
 	}
-	if len(all) == 0 {
-		one := 1
-		all = []Limit{{Kind: m.Kind, Most: &one}}
+	if len(applicable) == 0 {
+		defaultMost := 1
+		applicable = []Limit{{Kind: member.Kind, Most: &defaultMost}}
 	}
-	return all
+	return applicable
 }
 
 // Room counts a member, were it taken out, under each limit that covers it.
-func (r *Record) Room(id string) []Count { return r.roomWith(id, nil) }
+func (r *Record) Room(id string) []Count { return r.countsIfOut(id, nil) }
 
 // roomWith takes further members as out already.
-func (r *Record) roomWith(id string, also map[string]bool) (all []Count) {
-	m := r.Members[id]
-	for _, l := range r.limits(m) {
-		c := Count{Limit: l, Allowed: math.MaxInt}
-		total, gone := 0.0, 0.0
-		for _, o := range r.Members { // in any order: what is out is sorted below
-			if !l.covers(m, o) {
+func (r *Record) countsIfOut(id string, alsoOut map[string]bool) (counts []Count) {
+	member := r.Members[id]
+	for _, limit := range r.limitsFor(member) {
+		count := Count{Limit: limit, Allowed: math.MaxInt}
+		totalCapacity, outCapacity := 0.0, 0.0
+		for _, other := range r.Members { // in any order: what is out is sorted below
+			if !limit.countsTogether(member, other) {
 				continue
 			}
-			c.Of++
-			total += o.Capacity
-			if r.Bug == "zones-alone" && o.Zone != m.Zone {
+			count.Of++
+			totalCapacity += other.Capacity
+			if r.Bug == "zones-alone" && other.Zone != member.Zone {
 				continue
 			}
-			if _, out := r.IsOut(o.ID); out || o.ID == id || also[o.ID] {
-				c.Out = append(c.Out, o.ID)
-				gone += o.Capacity
+			if _, out := r.IsOut(other.ID); out || other.ID == id || alsoOut[other.ID] {
+				count.Out = append(count.Out, other.ID)
+				outCapacity += other.Capacity
 			}
 		}
-		slices.Sort(c.Out)
-		if l.Most != nil {
-			c.Allowed = *l.Most
+		slices.Sort(count.Out)
+		if limit.Most != nil {
+			count.Allowed = *limit.Most
 		}
-		if l.Share > 0 {
-			c.Allowed = min(c.Allowed, int(math.Floor(l.Share*float64(c.Of)+1e-9)))
+		if limit.Share > 0 {
+			count.Allowed = min(count.Allowed, int(math.Floor(limit.Share*float64(count.Of)+1e-9)))
 		}
-		if l.Least > 0 {
-			c.Allowed = min(c.Allowed, max(c.Of-l.Least, 0))
+		if limit.Least > 0 {
+			count.Allowed = min(count.Allowed, max(count.Of-limit.Least, 0))
 		}
 		switch {
-		case len(c.Out) > c.Allowed:
-			c.Why = fmt.Sprintf("%s: %d of %d would be out, %d may be", l, len(c.Out), c.Of, c.Allowed)
-		case l.Capacity > 0 && gone > l.Capacity*total+1e-9:
-			c.Why = fmt.Sprintf("%s: %g of capacity %g would be out", l, gone, total)
+		case len(count.Out) > count.Allowed:
+			count.Why = fmt.Sprintf("%s: %d of %d would be out, %d may be", limit, len(count.Out), count.Of, count.Allowed)
+		case limit.Capacity > 0 && outCapacity > limit.Capacity*totalCapacity+1e-9:
+			count.Why = fmt.Sprintf("%s: %g of capacity %g would be out", limit, outCapacity, totalCapacity)
 		}
-		all = append(all, c)
+		counts = append(counts, count)
 	}
-	return all
+	return counts
 }
 
 // room is why a member may not be taken out now, "" where it may.
-func (r *Record) room(id string, also map[string]bool) string {
-	for _, c := range r.roomWith(id, also) {
-		if c.Why != "" {
-			return c.Why
+func (r *Record) limitRefusal(id string, alsoOut map[string]bool) string {
+	for _, count := range r.countsIfOut(id, alsoOut) {
+		if count.Why != "" {
+			return count.Why
 		}
 	}
 	return ""
 }
 
 // allowed is how many may be out together where this member counts, when all others are in service.
-func (r *Record) allowed(id string) (most int, by Limit) {
+func (r *Record) maxOut(id string) (most int, limit Limit) {
 	most = math.MaxInt
-	for _, c := range r.Room(id) {
-		if c.Allowed < most {
-			most, by = c.Allowed, c.Limit
+	for _, count := range r.Room(id) {
+		if count.Allowed < most {
+			most, limit = count.Allowed, count.Limit
 		}
 	}
-	return most, by
+	return most, limit
 }
 
 // counted lists the zones of all that count together with a member: a grant to it rests on what was seen there.
-func (r *Record) counted(id string) (zones []string) {
-	m := r.Members[id]
-	for _, l := range r.limits(m) {
-		for _, o := range r.Members {
-			if l.covers(m, o) && !slices.Contains(zones, o.Zone) {
-				zones = append(zones, o.Zone)
+func (r *Record) zonesCountedWith(id string) (zones []string) {
+	member := r.Members[id]
+	for _, limit := range r.limitsFor(member) {
+		for _, other := range r.Members {
+			if limit.countsTogether(member, other) && !slices.Contains(zones, other.Zone) {
+				zones = append(zones, other.Zone)
 			}
 		}
 	}
--- a/fleet/ops.go
+++ b/fleet/ops.go
@@ -11,33 +11,33 @@
 
 // Where a member stands in an operation.
 const (
-	Waits   = "waits"
-	Granted = "granted" // it has its permit, and may have been told to go
-	Gone    = "out"     // nothing new goes there, and nothing runs there
-	Acting  = "acting"  // the site's own command is about to be, is being, or was run
-	Acted   = "acted"   // it is to come back
-	In      = "in"      // it was seen in service since
+	Waits         = "waits"
+	Granted       = "granted" // it has its permit, and may have been told to go
+	Gone          = "out"     // nothing new goes there, and nothing runs there
+	StepCommand   = "acting"  // the site's own command is about to be, is being, or was run
+	StepReturning = "acted"   // it is to come back
+	StepInService = "in"      // it was seen in service since
 )
 
 // What is seen of a member, by who owns its zone.
 const (
-	InService = "in"
-	NotLooked = "not reached"
+	InService        = "in"
+	HealthNotReached = "not reached"
 )
 
-const isDown = "down" // by its own agent: no process of it serves
+const downByAgent = "down" // by its own agent: no process of it serves
 
 const (
-	mostLimits  = 100
-	endedKept   = 50 // operations that are over
-	mostPlan    = 2000
-	mostTargets = 5000 // of one operation
+	maxLimits           = 100
+	maxClosedOperations = 50 // operations that are over
+	maxVersionBytes     = 2000
+	maxOperationMembers = 5000 // of one operation
 )
 
 // Seen is how a member was last seen to stand.
 type Seen struct {
-	State string `json:"state"` // in, or what else: starting, draining, cold, unlisted, out, not reached
-	Of    uint64 `json:"of"`    // what the record was at, for who looked, when the look began
+	State    string `json:"state"` // in, or what else: starting, draining, cold, unlisted, out, not reached
+	RecordNo uint64 `json:"of"`    // what the record was at, for who looked, when the look began
 }
 
 // Permit is one member's leave to be out. Only its being seen in service ends it.
@@ -86,11 +86,11 @@
 
 // Step is where one member stands.
 type Step struct {
-	At    string `json:"at"`
-	No    uint64 `json:"no"`              // the command that moved it there
-	Undo  bool   `json:"undo,omitempty"`  // it comes back without having been acted on
-	Start string `json:"start,omitempty"` // the life of the agent that was to act
-	Why   string `json:"why,omitempty"`   // why it can't go on
+	At         string `json:"at"`
+	No         uint64 `json:"no"`              // the command that moved it there
+	Undo       bool   `json:"undo,omitempty"`  // it comes back without having been acted on
+	AgentStart string `json:"start,omitempty"` // the life of the agent that was to act
+	Why        string `json:"why,omitempty"`   // why it can't go on
 }
 
 // Halt stops new steps of one operation, a zone or all.
@@ -103,45 +103,45 @@
 }
 
 // row is one line of the table of steps: a member of a kind, in an operation of these kinds, standing at from.
-type row struct {
-	kind  string
-	ops   string // kinds of operations, and "back" for any that goes back; "" for all
-	from  string
-	call  string // at the member's agent, till it says that it is done: stop, run, command
-	till  string // what has to hold in the record besides: room, out, in, pause
-	to    string
-	where string // in words, for the drawing
+type transition struct {
+	memberKind     string
+	operationKinds string // kinds of operations, and "back" for any that goes back; "" for all
+	from           string
+	agentCall      string // at the member's agent, till it says that it is done: stop, run, command
+	condition      string // what has to hold in the record besides: room, out, in, pause
+	to             string
+	description    string // in words, for the drawing
 }
 
 // steps is the table that runs; docs/design/releases.md has its drawing.
-var steps = []row{
+var transitions = []transition{
 	{"scheduler", "drain restart maintain release back", Waits, "", "room", Granted, "a permit"},
 	{"scheduler", "drain maintain", Granted, "stop", "", Gone, "its process has ended"},
-	{"scheduler", "restart release back", Granted, "run", "", Acted, "the new process took over"},
-	{"scheduler", "undrain back restart", Gone, "run", "", Acted, "its process is ready"},
-	{"scheduler", "maintain", Gone, "run", "pause", Acted, "the pause is over, its process is ready"},
-	{"scheduler", "", Acted, "", "in", In, "seen in service"},
+	{"scheduler", "restart release back", Granted, "run", "", StepReturning, "the new process took over"},
+	{"scheduler", "undrain back restart", Gone, "run", "", StepReturning, "its process is ready"},
+	{"scheduler", "maintain", Gone, "run", "pause", StepReturning, "the pause is over, its process is ready"},
+	{"scheduler", "", StepReturning, "", "in", StepInService, "seen in service"},
 	{"worker", "drain restart maintain release back", Waits, "", "room", Granted, "a permit, and all are told"},
 	{"worker", "", Granted, "", "out", Gone, "all said yes, nothing runs there"},
-	{"worker", "restart maintain release", Gone, "", "pause", Acting, "noted before it is told"},
-	{"worker", "", Acting, "command", "", Acted, "the site's command has ended well"},
-	{"worker", "undrain", Gone, "", "", Acted, "all are told that it is back"},
-	{"worker", "", Acted, "", "in", In, "seen in service, warm"},
+	{"worker", "restart maintain release", Gone, "", "pause", StepCommand, "noted before it is told"},
+	{"worker", "", StepCommand, "command", "", StepReturning, "the site's command has ended well"},
+	{"worker", "undrain", Gone, "", "", StepReturning, "all are told that it is back"},
+	{"worker", "", StepReturning, "", "in", StepInService, "seen in service, warm"},
 }
 
 // stepOf is the row that a member is at, nil where it has arrived.
-func (o *Op) stepOf(m Member, s Step) *row {
+func (o *Op) nextTransition(m Member, s Step) *transition {
 	if o.Kind == "drain" && !o.Back && s.At == Gone && !s.Undo {
 		return nil
 	}
-	for i := range steps {
-		w := &steps[i]
+	for i := range transitions {
+		candidate := &transitions[i]
 		kind := o.Kind
 		if (o.Back || s.Undo) && !(m.Kind == "worker" && o.Kind == "release") { // a worker's way back is a release of the former
 			kind = "back"
 		}
-		if w.kind == m.Kind && w.from == s.At && (w.ops == "" || slices.Contains(strings.Fields(w.ops), kind)) {
-			return w
+		if candidate.memberKind == m.Kind && candidate.from == s.At && (candidate.operationKinds == "" || slices.Contains(strings.Fields(candidate.operationKinds), kind)) {
+			return candidate
 		}
 	}
 	return nil
@@ -149,11 +149,11 @@
 
 // Arrived tells whether a member has nothing more to do in an operation.
 func (o *Op) Arrived(s Step) bool {
-	return s.At == In || o.Kind == "drain" && !o.Back && s.At == Gone
+	return s.At == StepInService || o.Kind == "drain" && !o.Back && s.At == Gone
 }
 
 // Raises tells whether an operation starts schedulers that are down, where their agents say so.
-func (o *Op) Raises(m Member) bool {
+func (o *Op) StartsDownSchedulers(m Member) bool {
 	return m.Kind == "scheduler" && (o.Back || o.Kind == "restart")
 }
 
@@ -161,9 +161,9 @@
 func (o *Op) Open() bool { return !o.Done && !o.Closed }
 
 // now lists the members of the waves that have begun, in their order.
-func (o *Op) now() (ids []string) {
-	for _, w := range o.Waves[:min(o.Wave+1, len(o.Waves))] {
-		ids = append(ids, w...)
+func (o *Op) begunMembers() (ids []string) {
+	for _, wave := range o.Waves[:min(o.Wave+1, len(o.Waves))] {
+		ids = append(ids, wave...)
 	}
 	return ids
 }
@@ -172,102 +172,102 @@
 func OpOf(id string) string { return "op/" + id }
 
 // Halted is why nothing new may be taken out for an operation at a member, "" where nothing keeps it.
-func (r *Record) Halted(op *Op, zone string) string {
-	for _, of := range []string{"all", MatterOf(zone), op.ID} {
-		if h, ok := r.Halts[of]; ok && !(op.Back && of == op.ID) {
-			return fmt.Sprintf("halted (%s) by %s: %s", of, h.By, h.Why)
+func (r *Record) HaltReason(op *Op, zone string) string {
+	for _, scope := range []string{"all", MatterOf(zone), op.ID} {
+		if h, ok := r.Halts[scope]; ok && !(op.Back && scope == op.ID) {
+			return fmt.Sprintf("halted (%s) by %s: %s", scope, h.By, h.Why)
 		}
 	}
 	return ""
 }
 
 // Grant is why a member may not be taken out now for an operation, "" where it may.
-func (r *Record) Grant(op *Op, id string) string { return r.grant(op, id, nil) }
+func (r *Record) Grant(op *Op, id string) string { return r.grantRefusal(op, id, nil) }
 
 // grant takes further members as granted already: an owner asks for many at once.
-func (r *Record) grant(op *Op, id string, also map[string]bool) string {
-	m, known := r.Members[id]
-	switch p, has := r.Permits[id]; {
+func (r *Record) grantRefusal(op *Op, id string, alsoOut map[string]bool) string {
+	member, known := r.Members[id]
+	switch permit, has := r.Permits[id]; {
 	case !known:
 		return "no such member any more"
-	case has && p.Op != op.ID && r.Bug != "two-permits":
-		return "it has a permit of " + p.Op
-	case m.Kind == "worker" && r.Workers[id].Out && r.Workers[id].By != OpOf(op.ID):
+	case has && permit.Op != op.ID && r.Bug != "two-permits":
+		return "it has a permit of " + permit.Op
+	case member.Kind == "worker" && r.Workers[id].Out && r.Workers[id].By != OpOf(op.ID):
 		return "it was taken out by " + r.Workers[id].By
 	}
-	if why := r.Halted(op, m.Zone); why != "" {
+	if why := r.HaltReason(op, member.Zone); why != "" {
 		return why
 	}
 	if op.Together > 0 {
-		n := len(also)
-		for _, p := range r.Permits {
-			if p.Op == op.ID {
-				n++
+		out := len(alsoOut)
+		for _, permit := range r.Permits {
+			if permit.Op == op.ID {
+				out++
 			}
 		}
-		if n >= op.Together {
-			return fmt.Sprintf("%d of this operation are out, %d may be", n, op.Together)
+		if out >= op.Together {
+			return fmt.Sprintf("%d of this operation are out, %d may be", out, op.Together)
 		}
 	}
 	if r.Bug == "back-unlimited" && op.Back {
 		return ""
 	}
-	return r.room(id, also)
+	return r.limitRefusal(id, alsoOut)
 }
 
-func (r *Record) begin(no uint64, c *Command) (string, uint64) {
-	o := c.Op
-	if o == nil || c.By == "" || !slices.Contains([]string{"drain", "undrain", "restart", "maintain", "release"}, o.Kind) {
+func (r *Record) beginOperation(no uint64, c *Command) (string, uint64) {
+	requested := c.Op
+	if requested == nil || c.By == "" || !slices.Contains([]string{"drain", "undrain", "restart", "maintain", "release"}, requested.Kind) {
 		return "an operation is a drain, undrain, restart, maintain or release, by somebody", 0
 	}
-	if h, ok := r.Halts["all"]; ok && o.Kind != "undrain" {
-		return "everything is halted by " + h.By + ": " + h.Why, 0
+	if halt, ok := r.Halts["all"]; ok && requested.Kind != "undrain" {
+		return "everything is halted by " + halt.By + ": " + halt.Why, 0
 	}
-	op := *o
-	op.ID, op.By, op.Why = fmt.Sprintf("%s-%d", o.Kind, no), c.By, c.Why
+	op := *requested
+	op.ID, op.By, op.Why = fmt.Sprintf("%s-%d", requested.Kind, no), c.By, c.Why
 	op.Steps, op.Wave, op.Back, op.Done, op.Closed = map[string]Step{}, 0, false, false, false
-	n := 0
-	for _, w := range op.Waves {
-		for _, id := range w {
-			m, known := r.Members[id]
-			_, again := op.Steps[id]
-			switch n++; {
-			case !known || m.Kind != "scheduler" && m.Kind != "worker":
+	count := 0
+	for _, wave := range op.Waves {
+		for _, id := range wave {
+			member, known := r.Members[id]
+			_, repeated := op.Steps[id]
+			switch count++; {
+			case !known || member.Kind != "scheduler" && member.Kind != "worker":
 				return id + ": no such scheduler or worker", 0
-			case again:
+			case repeated:
 				return id + " is named twice", 0
-			case n > mostTargets:
-				return fmt.Sprintf("more than %d members", mostTargets), 0
-			case m.Agent == "" && (m.Kind == "scheduler" || o.Kind != "drain" && o.Kind != "undrain"):
+			case count > maxOperationMembers:
+				return fmt.Sprintf("more than %d members", maxOperationMembers), 0
+			case member.Agent == "" && (member.Kind == "scheduler" || requested.Kind != "drain" && requested.Kind != "undrain"):
 				return id + ": no agent runs it, or a command for it", 0
 			}
 			for _, other := range r.Ops {
-				if _, in := other.Steps[id]; in && other.Open() { // also where it has arrived: that one may yet go back
+				if _, inOther := other.Steps[id]; inOther && other.Open() { // also where it has arrived: that one may yet go back
 					return fmt.Sprintf("%s is in %s, which is not over", id, other.ID), 0
 				}
 			}
 			op.Steps[id] = Step{At: Waits, No: no}
 			// It would wait for what only its undrain ends, and keep that from beginning.
-			if p, out := r.Permits[id]; out && o.Kind != "undrain" && r.Bug != "two-permits" {
-				return fmt.Sprintf("%s is out for %s: bring it back first, with undrain", id, p.Op), 0
+			if permit, hasPermit := r.Permits[id]; hasPermit && requested.Kind != "undrain" && r.Bug != "two-permits" {
+				return fmt.Sprintf("%s is out for %s: bring it back first, with undrain", id, permit.Op), 0
 			}
-			if o.Kind == "undrain" {
+			if requested.Kind == "undrain" {
 				// Of a drain, or of what ended without it: a person says that it is well.
-				if p, ok := r.Permits[id]; !ok || r.Ops[p.Op] != nil && r.Ops[p.Op].Open() {
+				if permit, ok := r.Permits[id]; !ok || r.Ops[permit.Op] != nil && r.Ops[permit.Op].Open() {
 					return id + " is not out, or its operation is not over", 0
 				}
 				op.Steps[id] = Step{At: Gone, No: no}
 				continue
 			}
 			// What can never begin is refused before anything moves.
-			if most, by := r.allowed(id); most < 1 {
-				return fmt.Sprintf("%s can never go out: %s", id, by), 0
-			} else if op.Together > most {
-				return fmt.Sprintf("together = %d, and %s lets %d be out", op.Together, by, most), 0
+			if maxOut, limit := r.maxOut(id); maxOut < 1 {
+				return fmt.Sprintf("%s can never go out: %s", id, limit), 0
+			} else if op.Together > maxOut {
+				return fmt.Sprintf("together = %d, and %s lets %d be out", op.Together, limit, maxOut), 0
 			}
 		}
 	}
-	if n == 0 {
+	if count == 0 {
 		return "it names no member", 0
 	}
 	if op.Kind == "undrain" {
@@ -276,44 +276,44 @@
 		}
 	}
 	r.Ops[op.ID] = &op
-	r.tidy()
-	r.note(no, "begin", op.ID, c)
+	r.pruneClosedOperations()
+	r.appendAudit(no, "begin", op.ID, c)
 	return "", no
 }
 
 // tidy forgets the oldest operations that are over, beyond those that are kept, where nobody is out for them.
-func (r *Record) tidy() {
-	held := map[string]bool{}
+func (r *Record) pruneClosedOperations() {
+	inUse := map[string]bool{}
 	for _, p := range r.Permits {
-		held[p.Op] = true
+		inUse[p.Op] = true
 	}
-	var over []*Op
+	var closed []*Op
 	for _, id := range slices.Sorted(maps.Keys(r.Ops)) {
-		if o := r.Ops[id]; o.Closed && !held[id] {
-			over = append(over, o)
+		if op := r.Ops[id]; op.Closed && !inUse[id] {
+			closed = append(closed, op)
 		}
 	}
-	first := func(o *Op) (no uint64) {
-		_, text, _ := strings.Cut(o.ID, "-")
+	beginNo := func(op *Op) (no uint64) {
+		_, text, _ := strings.Cut(op.ID, "-")
 		fmt.Sscan(text, &no)
 		return no
 	}
-	slices.SortFunc(over, func(a, b *Op) int { return int(int64(first(a)) - int64(first(b))) })
-	for _, o := range over[:max(len(over)-endedKept, 0)] {
-		delete(r.Ops, o.ID)
-		delete(r.Matters, OpOf(o.ID))
-		delete(r.Halts, o.ID)
+	slices.SortFunc(closed, func(a, b *Op) int { return int(int64(beginNo(a)) - int64(beginNo(b))) })
+	for _, op := range closed[:max(len(closed)-maxClosedOperations, 0)] {
+		delete(r.Ops, op.ID)
+		delete(r.Matters, OpOf(op.ID))
+		delete(r.Halts, op.ID)
 	}
 }
 
 // owned is the operation of a command of its owner, with why it does not count, "" where it does.
-func (r *Record) owned(c *Command) (*Op, string) {
+func (r *Record) ownedOperation(c *Command) (*Op, string) {
 	op := r.Ops[strings.TrimPrefix(c.Matter, "op/")]
-	m := r.Matters[c.Matter]
+	lease := r.Matters[c.Matter]
 	switch {
 	case op == nil:
 		return nil, "no such operation"
-	case c.Owner == "" || m.Owner != c.Owner || m.Fence != c.Fence:
+	case c.Owner == "" || lease.Owner != c.Owner || lease.Fence != c.Fence:
 		return op, "another owner has it"
 	case op.Closed:
 		return op, "it is closed"
@@ -322,122 +322,122 @@
 }
 
 // step moves one member on, by its operation's owner: along the table, one row, from where the owner saw it stand.
-func (r *Record) step(no uint64, c *Command) (string, uint64) {
-	op, why := r.owned(c)
+func (r *Record) advanceMember(no uint64, c *Command) (string, uint64) {
+	op, why := r.ownedOperation(c)
 	if why != "" {
 		return why, 0
 	}
-	s, in := op.Steps[c.ID]
-	if !in || s.No != c.Renewed {
-		return "it has moved since", s.No
+	step, known := op.Steps[c.ID]
+	if !known || step.No != c.Renewed {
+		return "it has moved since", step.No
 	}
-	m := r.Members[c.ID]
+	member := r.Members[c.ID]
 	if c.To == "" { // it can't go on
-		s.Why = c.Why
-		op.Steps[c.ID] = s
-		r.note(no, "stuck", op.ID+" "+c.ID, c)
-		return "", s.No
+		step.Why = c.Why
+		op.Steps[c.ID] = step
+		r.appendAudit(no, "stuck", op.ID+" "+c.ID, c)
+		return "", step.No
 	}
 	if c.To == "undo" {
-		if s.At != Granted {
-			return "only what was granted, and not acted on, is undone", s.No
+		if step.At != Granted {
+			return "only what was granted, and not acted on, is undone", step.No
 		}
-		s.Undo = true
-		if m.Kind == "worker" {
-			r.intend(no, m, false, c)
-			s.At = Acted
+		step.Undo = true
+		if member.Kind == "worker" {
+			r.setIntent(no, member, false, c)
+			step.At = StepReturning
 		}
-		s.No = no
-		op.Steps[c.ID] = s
-		r.note(no, "undo", op.ID+" "+c.ID, c)
+		step.No = no
+		op.Steps[c.ID] = step
+		r.appendAudit(no, "undo", op.ID+" "+c.ID, c)
 		return "", no
 	}
 	// One that its own agent knows to be down takes no room to be started: else two that fell would keep each other out.
-	if _, out := r.IsOut(c.ID); c.Then == isDown && c.To == Gone && s.At == Waits && op.Raises(m) && out && r.Permits[c.ID].Op == "" {
+	if _, out := r.IsOut(c.ID); c.Then == downByAgent && c.To == Gone && step.At == Waits && op.StartsDownSchedulers(member) && out && r.Permits[c.ID].Op == "" {
 		r.Permits[c.ID] = Permit{op.ID, no}
-		s.At, s.No, s.Why = Gone, no, ""
-		op.Steps[c.ID] = s
-		r.note(no, isDown, op.ID+" "+c.ID, c)
+		step.At, step.No, step.Why = Gone, no, ""
+		op.Steps[c.ID] = step
+		r.appendAudit(no, downByAgent, op.ID+" "+c.ID, c)
 		return "", no
 	}
-	w := op.stepOf(m, s)
-	if w == nil || w.to != c.To {
-		return "no such step from " + s.At, s.No
+	transition := op.nextTransition(member, step)
+	if transition == nil || transition.to != c.To {
+		return "no such step from " + step.At, step.No
 	}
-	h := r.Health[c.ID]
-	switch w.till {
+	health := r.Health[c.ID]
+	switch transition.condition {
 	case "room":
 		if why := r.Grant(op, c.ID); why != "" {
-			return why, s.No
+			return why, step.No
 		}
 		r.Permits[c.ID] = Permit{op.ID, no}
 	case "out":
-		if h.State != "out" || h.Of < s.No {
-			return "not all have said yes", s.No
+		if health.State != "out" || health.RecordNo < step.No {
+			return "not all have said yes", step.No
 		}
 	case "in":
-		if h.State != InService || h.Of < s.No {
-			return "it was not seen in service since", s.No
+		if health.State != InService || health.RecordNo < step.No {
+			return "it was not seen in service since", step.No
 		}
 		delete(r.Permits, c.ID)
-		if s.Undo && !op.Back {
+		if step.Undo && !op.Back {
 			c.To = Waits
 		}
-		s.Undo = false
+		step.Undo = false
 	}
-	if m.Kind == "worker" && (c.To == Granted || c.To == Acted) {
-		r.intend(no, m, c.To == Granted, c)
+	if member.Kind == "worker" && (c.To == Granted || c.To == StepReturning) {
+		r.setIntent(no, member, c.To == Granted, c)
 	}
-	s.At, s.No, s.Start, s.Why = c.To, no, c.Start, ""
-	op.Steps[c.ID] = s
-	if c.To == Granted || c.To == In || c.To == Gone {
-		r.note(no, c.To, op.ID+" "+c.ID, c)
+	step.At, step.No, step.AgentStart, step.Why = c.To, no, c.AgentStart, ""
+	op.Steps[c.ID] = step
+	if c.To == Granted || c.To == StepInService || c.To == Gone {
+		r.appendAudit(no, c.To, op.ID+" "+c.ID, c)
 	}
 	return "", no
 }
 
 // intend has schedulers told about a worker, by the owner of its zone.
-func (r *Record) intend(no uint64, m Member, out bool, c *Command) {
-	if w := r.Workers[m.ID]; w.Out != out {
-		r.Workers[m.ID] = Intent{Zone: m.Zone, Out: out, Since: no, By: c.Matter, Why: c.Why}
+func (r *Record) setIntent(no uint64, member Member, out bool, c *Command) {
+	if intent := r.Workers[member.ID]; intent.Out != out {
+		r.Workers[member.ID] = Intent{Zone: member.Zone, Out: out, Since: no, By: c.Matter, Why: c.Why}
 	}
 }
 
 // wave begins the next wave, or ends the operation.
-func (r *Record) wave(no uint64, c *Command) (string, uint64) {
-	op, why := r.owned(c)
+func (r *Record) advanceWave(no uint64, c *Command) (string, uint64) {
+	op, why := r.ownedOperation(c)
 	if why != "" {
 		return why, 0
 	}
 	if uint64(op.Wave) != c.Renewed || op.Done {
 		return "it has moved since", 0
 	}
-	for _, id := range op.now() {
-		if s := op.Steps[id]; !op.Arrived(s) && !(op.Back && s.Why != "") {
+	for _, id := range op.begunMembers() {
+		if step := op.Steps[id]; !op.Arrived(step) && !(op.Back && step.Why != "") {
 			return id + " has not arrived", 0
 		}
 	}
 	if op.Wave+1 < len(op.Waves) {
-		if h, halted := r.Halts[op.ID]; halted {
-			return "halted: " + h.Why, 0
+		if halt, halted := r.Halts[op.ID]; halted {
+			return "halted: " + halt.Why, 0
 		}
 		op.Wave++
-		r.note(no, "wave", fmt.Sprint(op.ID, " ", op.Wave+1), c)
+		r.appendAudit(no, "wave", fmt.Sprint(op.ID, " ", op.Wave+1), c)
 		return "", no
 	}
 	op.Done = true
 	if op.Kind != "release" {
 		op.Closed = true // nothing is kept for a way back
 	}
-	r.note(no, "done", op.ID, c)
+	r.appendAudit(no, "done", op.ID, c)
 	return "", no
 }
 
 // turn has an operation go back, from any point: by a person, or by its owner where the file says so.
-func (r *Record) turn(no uint64, c *Command) (string, uint64) {
+func (r *Record) turnBack(no uint64, c *Command) (string, uint64) {
 	op := r.Ops[strings.TrimPrefix(c.Matter, "op/")]
 	if c.Owner != "" {
-		if _, why := r.owned(c); why != "" {
+		if _, why := r.ownedOperation(c); why != "" {
 			return why, 0
 		}
 	}
@@ -449,45 +449,45 @@
 	case op.Back:
 		return "", 0
 	}
-	var first, last []string
-	for _, id := range op.now() {
-		s, m := op.Steps[id], r.Members[id]
+	var alreadyOut, inService []string
+	for _, id := range op.begunMembers() {
+		step, member := op.Steps[id], r.Members[id]
 		switch {
-		case s.At == Waits:
-			s.At = In // nothing was done
-		case s.At == In && op.Kind == "release":
-			s.At, last = Waits, append(last, id)
-		case s.At == In:
-		case m.Kind == "worker" && op.Kind != "release" && s.At != Acted && s.At != Acting:
-			r.intend(no, m, false, &Command{Matter: OpOf(op.ID)})
-			s.At = Acted
-			first = append(first, id)
-		case m.Kind == "worker" && op.Kind != "release":
-			first = append(first, id) // what runs there ends first
-		case m.Kind == "worker":
-			s.At = Granted // nothing may run there when the former version comes
-			r.intend(no, m, true, &Command{Matter: OpOf(op.ID)})
-			first = append(first, id)
+		case step.At == Waits:
+			step.At = StepInService // nothing was done
+		case step.At == StepInService && op.Kind == "release":
+			step.At, inService = Waits, append(inService, id)
+		case step.At == StepInService:
+		case member.Kind == "worker" && op.Kind != "release" && step.At != StepReturning && step.At != StepCommand:
+			r.setIntent(no, member, false, &Command{Matter: OpOf(op.ID)})
+			step.At = StepReturning
+			alreadyOut = append(alreadyOut, id)
+		case member.Kind == "worker" && op.Kind != "release":
+			alreadyOut = append(alreadyOut, id) // what runs there ends first
+		case member.Kind == "worker":
+			step.At = Granted // nothing may run there when the former version comes
+			r.setIntent(no, member, true, &Command{Matter: OpOf(op.ID)})
+			alreadyOut = append(alreadyOut, id)
 		default:
-			s.At = Gone
-			first = append(first, id)
+			step.At = Gone
+			alreadyOut = append(alreadyOut, id)
 		}
-		s.No, s.Undo, s.Why, s.Start = no, false, "", ""
-		op.Steps[id] = s
+		step.No, step.Undo, step.Why, step.AgentStart = no, false, "", ""
+		op.Steps[id] = step
 	}
-	for _, w := range op.Waves[min(op.Wave+1, len(op.Waves)):] {
-		for _, id := range w {
-			op.Steps[id] = Step{At: In, No: no} // never begun
+	for _, wave := range op.Waves[min(op.Wave+1, len(op.Waves)):] {
+		for _, id := range wave {
+			op.Steps[id] = Step{At: StepInService, No: no} // never begun
 		}
 	}
 	// Those that are out come first, then those that still serve and have to go out once more.
-	slices.Sort(first)
-	op.Waves, op.Wave, op.Back, op.Done = [][]string{append(first, last...)}, 0, true, false
-	r.note(no, "back", op.ID, c)
+	slices.Sort(alreadyOut)
+	op.Waves, op.Wave, op.Back, op.Done = [][]string{append(alreadyOut, inService...)}, 0, true, false
+	r.appendAudit(no, "back", op.ID, c)
 	return "", no
 }
 
-func (r *Record) halt(no uint64, c *Command) (string, uint64) {
+func (r *Record) addHalt(no uint64, c *Command) (string, uint64) {
 	op := r.Ops[c.ID]
 	zone, isZone := strings.CutPrefix(c.ID, "zone/")
 	switch {
@@ -497,40 +497,40 @@
 		return "then: finish or back", 0
 	}
 	if c.Owner != "" {
-		if _, why := r.owned(c); why != "" {
+		if _, why := r.ownedOperation(c); why != "" {
 			return why, 0
 		}
 	}
 	if _, ok := r.Halts[c.ID]; ok {
 		return "", r.Halts[c.ID].No
 	}
-	if len(r.Halts) >= mostMatters {
+	if len(r.Halts) >= maxLeases {
 		return "the record holds no more halts", 0
 	}
 	r.Halts[c.ID] = Halt{Of: c.ID, By: c.By, Why: c.Why, No: no, Then: c.Then}
-	r.note(no, "halt", c.ID, c)
+	r.appendAudit(no, "halt", c.ID, c)
 	if c.Then == "back" && op != nil {
-		r.turn(no, &Command{Matter: OpOf(op.ID), By: c.By, Why: c.Why})
+		r.turnBack(no, &Command{Matter: OpOf(op.ID), By: c.By, Why: c.Why})
 	}
 	return "", no
 }
 
 // lift ends a halt. Only a person does.
-func (r *Record) lift(no uint64, c *Command) (string, uint64) {
-	switch h, ok := r.Halts[c.ID]; {
+func (r *Record) liftHalt(no uint64, c *Command) (string, uint64) {
+	switch halt, ok := r.Halts[c.ID]; {
 	case c.By == "" || c.Owner != "":
 		return "only a person lifts a halt", 0
 	case !ok:
 		return "nothing of that name is halted", 0
 	default:
 		delete(r.Halts, c.ID)
-		r.note(no, "lift", c.ID, c)
-		return "", h.No
+		r.appendAudit(no, "lift", c.ID, c)
+		return "", halt.No
 	}
 }
 
 // close ends an operation for good: what was kept for its way back may go.
-func (r *Record) close(no uint64, c *Command) (string, uint64) {
+func (r *Record) closeOperation(no uint64, c *Command) (string, uint64) {
 	op := r.Ops[strings.TrimPrefix(c.Matter, "op/")]
 	switch {
 	case op == nil:
@@ -541,13 +541,13 @@
 		return "it is not over", 0
 	}
 	for _, id := range slices.Sorted(maps.Keys(op.Steps)) {
-		if p, ok := r.Permits[id]; ok && p.Op == op.ID {
+		if permit, ok := r.Permits[id]; ok && permit.Op == op.ID {
 			return id + " is still out for it", 0
 		}
 	}
 	op.Done, op.Closed = true, true
 	delete(r.Halts, op.ID)
-	r.note(no, "close", op.ID, c)
+	r.appendAudit(no, "close", op.ID, c)
 	return "", no
 }
 
@@ -556,37 +556,37 @@
 		return why, 0
 	}
 	r.Limits = c.Limits
-	r.note(no, "limits", fmt.Sprint(len(c.Limits)), c)
+	r.appendAudit(no, "limits", fmt.Sprint(len(c.Limits)), c)
 	return "", no
 }
 
 // saw takes what the owner of a zone saw of its members.
-func (r *Record) saw(zone string, seen map[string]Seen) {
-	for id, s := range seen {
-		if m, ok := r.Members[id]; ok && m.Zone == zone && len(s.State) <= mostName {
-			if r.Bug == "cold-in" && s.State == "cold" || r.Bug == "unreached-in" && s.State == NotLooked {
-				s.State = InService
+func (r *Record) recordHealth(zone string, seen map[string]Seen) {
+	for id, health := range seen {
+		if member, ok := r.Members[id]; ok && member.Zone == zone && len(health.State) <= maxNameBytes {
+			if r.Bug == "cold-in" && health.State == "cold" || r.Bug == "unreached-in" && health.State == HealthNotReached {
+				health.State = InService
 			}
-			if was := r.Health[id]; s.Of >= was.Of {
-				r.Health[id] = s
+			if former := r.Health[id]; health.RecordNo >= former.RecordNo {
+				r.Health[id] = health
 			}
 		}
 	}
 }
 
 // Drawing is the table of steps as text, for docs/design/releases.md.
-func Drawing() string {
-	var b strings.Builder
-	for _, w := range steps {
-		kinds := w.ops
+func TransitionTable() string {
+	var text strings.Builder
+	for _, transition := range transitions {
+		kinds := transition.operationKinds
 		if kinds == "" {
 			kinds = "all"
 		}
-		does := w.call
-		if does == "" {
-			does = "-"
+		call := transition.agentCall
+		if call == "" {
+			call = "-"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s -> %s | %s | %s |\n", w.kind, kinds, w.from, w.to, does, w.where)
+		fmt.Fprintf(&text, "| %s | %s | %s -> %s | %s | %s |\n", transition.memberKind, kinds, transition.from, transition.to, call, transition.description)
 	}
-	return b.String()
+	return text.String()
 }
--- a/fleet/ops_test.go
+++ b/fleet/ops_test.go
@@ -8,7 +8,7 @@
 )
 
 // small is a record of four schedulers and two workers in two zones, all in service, with an agent.
-func small(t *testing.T, limits ...Limit) *Record {
+func smallRecord(t *testing.T, limits ...Limit) *Record {
 	t.Helper()
 	r := NewRecord()
 	members := []Member{{ID: "a0", Kind: "agent", Zone: "a", Addr: "x:0"}}
@@ -33,7 +33,7 @@
 	return r
 }
 
-func most(n int) *int { return &n }
+func intPtr(n int) *int { return &n }
 
 // What is out counts whatever took it out; shares round so that fewer are out; zones and labels count by themselves.
 func TestLimits(t *testing.T) {
@@ -49,19 +49,19 @@
 		{nil, "w0", "s0", true},
 		{[]Limit{{Kind: "scheduler", Share: 0.49}}, "", "s0", true},
 		{[]Limit{{Kind: "scheduler", Share: 0.49}}, "s1", "s0", false},
-		{[]Limit{{Kind: "scheduler", Zone: "each", Most: most(1)}}, "s1", "s0", true},
-		{[]Limit{{Kind: "scheduler", Zone: "each", Most: most(1)}}, "s2", "s0", false},
-		{[]Limit{{Kind: "scheduler", Label: "rack=each", Most: most(1)}}, "s2", "s0", true},
-		{[]Limit{{Kind: "scheduler", Label: "rack=each", Most: most(1)}}, "s1", "s0", false},
+		{[]Limit{{Kind: "scheduler", Zone: "each", Most: intPtr(1)}}, "s1", "s0", true},
+		{[]Limit{{Kind: "scheduler", Zone: "each", Most: intPtr(1)}}, "s2", "s0", false},
+		{[]Limit{{Kind: "scheduler", Label: "rack=each", Most: intPtr(1)}}, "s2", "s0", true},
+		{[]Limit{{Kind: "scheduler", Label: "rack=each", Most: intPtr(1)}}, "s1", "s0", false},
 		{[]Limit{{Kind: "scheduler", Least: 3}}, "s1", "s0", false},
 		{[]Limit{{Kind: "worker", Capacity: 0.5}}, "", "w0", true},
 		{[]Limit{{Kind: "worker", Capacity: 0.5}}, "", "w1", false},
 	} {
-		r := small(t, x.limits...)
+		r := smallRecord(t, x.limits...)
 		if x.out != "" {
 			r.Health[x.out] = Seen{State: "cold"}
 		}
-		if why := r.room(x.ask, nil); (why == "") != x.may {
+		if why := r.limitRefusal(x.ask, nil); (why == "") != x.may {
 			t.Errorf("case %d: %s", i, why)
 		}
 	}
@@ -75,7 +75,7 @@
 // One restart, command by command: a grant needs room and no halt, what waits to be seen needs a look that began after the
 // step, a permit ends then alone, and nobody but the owner moves it on.
 func TestStepsOfOneMember(t *testing.T) {
-	r := small(t)
+	r := smallRecord(t)
 	if r.V != 2 {
 		t.Fatal("members that agents run are of form 2")
 	}
@@ -110,16 +110,19 @@
 		{func() string { return apply(t, r, Command{Do: "lift", ID: "zone/a", By: m, Owner: "a0#1"}).Why }, "only a person"},
 		{func() string { return apply(t, r, Command{Do: "lift", ID: "zone/a", By: "ann"}).Why }, ""},
 		{func() string { return step("s0", Granted, 2) }, "another owner"},
-		{func() string { return step("s0", Acted, 1) }, "no such step"},
+		{func() string { return step("s0", StepReturning, 1) }, "no such step"},
 		{func() string { return step("s0", Granted, 1) }, ""},
 		{func() string { return step("s1", Granted, 1) }, "may be"},
-		{func() string { return step("s0", Acted, 1) }, ""},
-		{func() string { return step("s0", In, 1) }, "not seen"},
+		{func() string { return step("s0", StepReturning, 1) }, ""},
+		{func() string { return step("s0", StepInService, 1) }, "not seen"},
 		{func() string {
 			r.Health["s0"] = Seen{InService, r.Ops[id].Steps["s0"].No - 1}
-			return step("s0", In, 1)
+			return step("s0", StepInService, 1)
 		}, "not seen"},
-		{func() string { r.Health["s0"] = Seen{InService, r.Ops[id].Steps["s0"].No}; return step("s0", In, 1) }, ""},
+		{func() string {
+			r.Health["s0"] = Seen{InService, r.Ops[id].Steps["s0"].No}
+			return step("s0", StepInService, 1)
+		}, ""},
 		{func() string { return step("s1", Granted, 1) }, ""},
 	} {
 		if why := x.do(); x.want == "" && why != "" || x.want != "" && !strings.Contains(why, x.want) {
@@ -155,8 +158,8 @@
 		t.Error("it began twice")
 	}
 	raw, _ := os.ReadFile("../docs/design/releases.md")
-	if !strings.Contains(string(raw), Drawing()) {
-		t.Errorf("the drawing in docs/design/releases.md is not that of the table:\n%s", Drawing())
+	if !strings.Contains(string(raw), TransitionTable()) {
+		t.Errorf("the drawing in docs/design/releases.md is not that of the table:\n%s", TransitionTable())
 	}
 }
 
@@ -217,7 +220,7 @@
 			m.Ended(now+10, slot)
 		}
 	}
-	if state, why := m.State(); starts != crashesMost-1 || state != "failed" || !strings.Contains(why, "crash loop") {
+	if state, why := m.State(); starts != crashLoopCount-1 || state != "failed" || !strings.Contains(why, "crash loop") {
 		t.Errorf("%d starts, %s %s", starts, state, why)
 	}
 }
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -9,8 +9,8 @@
 // Waves orders members for a release: one first, then zone after zone, each wave up to twice as large as the one before, so
 // that what is wrong shows while it is small.
 func Waves(members []Member) (waves [][]string) {
-	all := slices.Clone(members)
-	slices.SortFunc(all, func(a, b Member) int {
+	remaining := slices.Clone(members)
+	slices.SortFunc(remaining, func(a, b Member) int {
 		if a.Zone != b.Zone {
 			if a.Zone < b.Zone {
 				return -1
@@ -22,15 +22,15 @@
 		}
 		return 1
 	})
-	size := 1
-	for len(all) > 0 {
-		n := 0
+	maxSize := 1
+	for len(remaining) > 0 {
+		taken := 0
 		var wave []string
-		for n < len(all) && n < size && all[n].Zone == all[0].Zone {
-			wave = append(wave, all[n].ID)
-			n++
+		for taken < len(remaining) && taken < maxSize && remaining[taken].Zone == remaining[0].Zone {
+			wave = append(wave, remaining[taken].ID)
+			taken++
 		}
-		waves, all, size = append(waves, wave), all[n:], min(size*2, 64)
+		waves, remaining, maxSize = append(waves, wave), remaining[taken:], min(maxSize*2, 64)
 	}
 	return waves
 }
@@ -44,40 +44,40 @@
 }
 
 // Plan tells what an operation would do when each member takes so many seconds.
-func (r *Record) Plan(op *Op, each float64) (f Forecast) {
-	f.Waves, f.Most = op.Waves, map[string]int{}
-	for _, of := range []string{"all", op.ID} {
-		if h, ok := r.Halts[of]; ok {
-			f.Blocks = append(f.Blocks, fmt.Sprintf("halted (%s) by %s: %s", of, h.By, h.Why))
+func (r *Record) Plan(op *Op, secondsEach float64) (forecast Forecast) {
+	forecast.Waves, forecast.Most = op.Waves, map[string]int{}
+	for _, scope := range []string{"all", op.ID} {
+		if halt, ok := r.Halts[scope]; ok {
+			forecast.Blocks = append(forecast.Blocks, fmt.Sprintf("halted (%s) by %s: %s", scope, halt.By, halt.Why))
 		}
 	}
 	for _, wave := range op.Waves {
-		together, slowest := map[string]int{}, 1.0
+		inZone, rounds := map[string]int{}, 1.0
 		for _, id := range wave {
-			m, known := r.Members[id]
+			member, known := r.Members[id]
 			if !known {
-				f.Blocks = append(f.Blocks, id+": no such member")
+				forecast.Blocks = append(forecast.Blocks, id+": no such member")
 				continue
 			}
-			together[m.Zone]++
+			inZone[member.Zone]++
 		}
 		for _, id := range wave {
-			most, by := r.allowed(id)
+			maxOut, limit := r.maxOut(id)
 			if op.Together > 0 {
-				most = min(most, op.Together)
+				maxOut = min(maxOut, op.Together)
 			}
-			if most < 1 {
-				f.Blocks = append(f.Blocks, fmt.Sprintf("%s can never go out: %s", id, by))
+			if maxOut < 1 {
+				forecast.Blocks = append(forecast.Blocks, fmt.Sprintf("%s can never go out: %s", id, limit))
 				continue
 			}
 			zone := r.Members[id].Zone
-			f.Most[zone] = max(f.Most[zone], min(most, together[zone]))
-			slowest = max(slowest, math.Ceil(float64(len(wave))/float64(most)))
-			if why := r.Grant(op, id); why != "" && len(f.Blocks) < 20 && len(wave) == 1 {
-				f.Blocks = append(f.Blocks, id+": "+why)
+			forecast.Most[zone] = max(forecast.Most[zone], min(maxOut, inZone[zone]))
+			rounds = max(rounds, math.Ceil(float64(len(wave))/float64(maxOut)))
+			if why := r.Grant(op, id); why != "" && len(forecast.Blocks) < 20 && len(wave) == 1 {
+				forecast.Blocks = append(forecast.Blocks, id+": "+why)
 			}
 		}
-		f.Seconds += slowest*each + op.Watch/1000
+		forecast.Seconds += rounds*secondsEach + op.Watch/1000
 	}
-	return f
+	return forecast
 }
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -18,9 +18,9 @@
 const Form = 2
 
 // FormOf is the form that first had a command.
-func FormOf(c *Command) int {
-	if c.Op != nil || c.Seen != nil || c.Limits != nil || c.Member != nil && (c.Member.Kind == "worker" || c.Member.Agent+c.Member.Labels != "") ||
-		slices.Contains([]string{"limits", "begin", "step", "wave", "turn", "halt", "lift", "close"}, c.Do) {
+func FormOf(command *Command) int {
+	if command.Op != nil || command.Seen != nil || command.Limits != nil || command.Member != nil && (command.Member.Kind == "worker" || command.Member.Agent+command.Member.Labels != "") ||
+		slices.Contains([]string{"limits", "begin", "step", "wave", "turn", "halt", "lift", "close"}, command.Do) {
 		return 2
 	}
 	return 1
@@ -28,13 +28,13 @@
 
 // Bounds of the record: a caller that sends without end must not fill every voter's memory.
 const (
-	rowsKept     = 1000  // of the audit
-	sessionsKept = 4096  // a command sent again after as many other callers is not known any more
-	mostMembers  = 10000 // schedulers and agents
-	mostWorkers  = 50000
-	mostMatters  = 1000
-	mostName     = 200 // bytes of an id, a zone, a name
-	mostWhy      = 500
+	maxAuditEntries = 1000  // of the audit
+	maxSessions     = 4096  // a command sent again after as many other callers is not known any more
+	maxMembers      = 10000 // schedulers and agents
+	maxWorkers      = 50000
+	maxLeases       = 1000
+	maxNameBytes    = 200 // bytes of an id, a zone, a name
+	maxReasonBytes  = 500
 )
 
 // Member is a scheduler, an agent or a worker of the fleet.
@@ -49,10 +49,10 @@
 }
 
 // Matter is what one owner at a time does for all.
-type Matter struct {
+type Lease struct {
 	Owner   string  `json:"owner,omitempty"` // an agent's id and which start of it, "" for none
 	Fence   uint64  `json:"fence"`           // rises at each change of owner and never comes again
-	Term    float64 `json:"term"`            // ms that a claim or renewal holds
+	TermMs  float64 `json:"term"`            // ms that a claim or renewal holds
 	Renewed uint64  `json:"renewed"`         // the command that last claimed or renewed it
 	Wanted  string  `json:"wanted,omitempty"`
 }
@@ -67,7 +67,7 @@
 }
 
 // Row is a change, as the audit keeps it.
-type Row struct {
+type AuditEntry struct {
 	No   uint64 `json:"no"`
 	What string `json:"what"`
 	Of   string `json:"of"`
@@ -107,12 +107,12 @@
 	Term    float64 `json:"term,omitempty"`
 	Force   bool    `json:"force,omitempty"`
 	// Of form 2.
-	Seen   map[string]Seen `json:"seen,omitempty"` // with a renewal
-	Op     *Op             `json:"op,omitempty"`
-	To     string          `json:"to,omitempty"`
-	Start  string          `json:"start,omitempty"`
-	Then   string          `json:"then,omitempty"`
-	Limits []Limit         `json:"limits,omitempty"`
+	Seen       map[string]Seen `json:"seen,omitempty"` // with a renewal
+	Op         *Op             `json:"op,omitempty"`
+	To         string          `json:"to,omitempty"`
+	AgentStart string          `json:"start,omitempty"`
+	Then       string          `json:"then,omitempty"`
+	Limits     []Limit         `json:"limits,omitempty"`
 }
 
 // Record is the fleet's state after the commands so far. Equal commands in equal order give equal bytes.
@@ -123,9 +123,9 @@
 	VotersNo uint64             `json:"voters_no"` // the change that made them so
 	VoterMax uint64             `json:"voter_max"` // the highest number that any ever had
 	Members  map[string]Member  `json:"members"`
-	Matters  map[string]Matter  `json:"matters"`
+	Matters  map[string]Lease   `json:"matters"`
 	Workers  map[string]Intent  `json:"workers"`
-	Rows     []Row              `json:"rows"`
+	Rows     []AuditEntry       `json:"rows"`
 	Sessions map[string]session `json:"sessions"`
 	Limits   []Limit            `json:"limits,omitempty"`
 	Health   map[string]Seen    `json:"health,omitempty"`
@@ -140,7 +140,7 @@
 
 // NewRecord is the record before any command.
 func NewRecord() *Record {
-	return &Record{V: 1, Health: map[string]Seen{}, Permits: map[string]Permit{}, Ops: map[string]*Op{}, Halts: map[string]Halt{}, Voters: map[uint64]string{}, Members: map[string]Member{}, Matters: map[string]Matter{}, Workers: map[string]Intent{},
+	return &Record{V: 1, Health: map[string]Seen{}, Permits: map[string]Permit{}, Ops: map[string]*Op{}, Halts: map[string]Halt{}, Voters: map[uint64]string{}, Members: map[string]Member{}, Matters: map[string]Lease{}, Workers: map[string]Intent{},
 		Sessions: map[string]session{}}
 }
 
@@ -149,12 +149,12 @@
 
 // verbs has what each command does. It returns why the command is refused, "" where it was carried out, and the fence
 // number that the caller is to know.
-var verbs = map[string]func(r *Record, no uint64, c *Command) (why string, fence uint64){
-	"member": (*Record).member, "unmember": (*Record).unmember,
-	"claim": (*Record).claim, "renew": (*Record).renew, "leave": (*Record).leave, "want": (*Record).want,
-	"out": (*Record).out, "in": (*Record).in,
-	"limits": (*Record).setLimits, "begin": (*Record).begin, "step": (*Record).step, "wave": (*Record).wave, "turn": (*Record).turn,
-	"halt": (*Record).halt, "lift": (*Record).lift, "close": (*Record).close,
+var commandHandlers = map[string]func(r *Record, no uint64, c *Command) (why string, fence uint64){
+	"member": (*Record).putMember, "unmember": (*Record).removeMember,
+	"claim": (*Record).claimLease, "renew": (*Record).renewLease, "leave": (*Record).releaseLease, "want": (*Record).requestHandover,
+	"out": (*Record).takeWorkerOut, "in": (*Record).putWorkerBack,
+	"limits": (*Record).setLimits, "begin": (*Record).beginOperation, "step": (*Record).advanceMember, "wave": (*Record).advanceWave, "turn": (*Record).turnBack,
+	"halt": (*Record).addHalt, "lift": (*Record).liftHalt, "close": (*Record).closeOperation,
 }
 
 // Check tells what is wrong with a command before it is sent, nil where nothing is.
@@ -162,25 +162,25 @@
 	switch {
 	case c.V > Form:
 		return fmt.Errorf("command of form %d: %w", c.V, ErrNewer)
-	case verbs[c.Do] == nil:
+	case commandHandlers[c.Do] == nil:
 		return fmt.Errorf("do: %q is no command", c.Do)
 	case c.Caller == "" || c.Number == 0:
 		return fmt.Errorf("caller and number are missing")
-	case len(c.Why) > mostWhy:
-		return fmt.Errorf("why: longer than %d bytes", mostWhy)
+	case len(c.Why) > maxReasonBytes:
+		return fmt.Errorf("why: longer than %d bytes", maxReasonBytes)
 	}
-	names := []string{c.Caller, c.By, c.ID, c.Zone, c.Matter, c.Owner, c.Start, c.To, c.Then}
+	names := []string{c.Caller, c.By, c.ID, c.Zone, c.Matter, c.Owner, c.AgentStart, c.To, c.Then}
 	if c.Member != nil {
 		names = append(names, c.Member.ID, c.Member.Kind, c.Member.Zone, c.Member.Addr, c.Member.Agent, c.Member.Labels)
 	}
 	if c.Op != nil {
-		v := c.Op.Version
-		if len(v.Program)+len(v.Config)+len(v.Digest)+len(v.Name) > mostPlan {
-			return fmt.Errorf("version: longer than %d bytes", mostPlan)
+		version := c.Op.Version
+		if len(version.Program)+len(version.Config)+len(version.Digest)+len(version.Name) > maxVersionBytes {
+			return fmt.Errorf("version: longer than %d bytes", maxVersionBytes)
 		}
 	}
-	if slices.ContainsFunc(names, func(s string) bool { return len(s) > mostName }) {
-		return fmt.Errorf("a name is longer than %d bytes", mostName)
+	if slices.ContainsFunc(names, func(s string) bool { return len(s) > maxNameBytes }) {
+		return fmt.Errorf("a name is longer than %d bytes", maxNameBytes)
 	}
 	return nil
 }
@@ -188,202 +188,202 @@
 // Apply carries out the command with this number. Only ErrNewer is an error: then nothing was applied, nor may anything
 // that follows. What can't be read at all is refused by every voter alike.
 func (r *Record) Apply(no uint64, raw []byte) (Answer, error) {
-	var c Command
-	err := json.Unmarshal(raw, &c)
-	if c.V > Form || r.Bug == "form-1" && c.V > 1 { // the second is an older program, as a test plays it
-		return Answer{}, fmt.Errorf("command %d of form %d: %w", no, c.V, ErrNewer)
+	var command Command
+	err := json.Unmarshal(raw, &command)
+	if command.V > Form || r.Bug == "form-1" && command.V > 1 { // the second is an older program, as a test plays it
+		return Answer{}, fmt.Errorf("command %d of form %d: %w", no, command.V, ErrNewer)
 	}
 	r.No = no
 	if err == nil {
-		err = c.Check()
+		err = command.Check()
 	}
 	if err != nil {
 		return Answer{No: no, Why: err.Error()}, nil
 	}
-	if s, ok := r.Sessions[c.Caller]; ok && c.Number <= s.Last && r.Bug != "retry-twice" {
+	if last, ok := r.Sessions[command.Caller]; ok && command.Number <= last.Last && r.Bug != "retry-twice" {
 		r.Retries++
-		if c.Number < s.Last {
+		if command.Number < last.Last {
 			return Answer{No: no, Why: "an older command than the last one of this caller"}, nil
 		}
-		return s.Answer, nil
+		return last.Answer, nil
 	}
-	r.V = max(r.V, FormOf(&c))
-	why, fence := verbs[c.Do](r, no, &c)
-	a := Answer{No: no, Done: why == "", Why: why, Fence: fence}
-	r.remember(c.Caller, session{c.Number, a, no})
-	return a, nil
+	r.V = max(r.V, FormOf(&command))
+	why, fence := commandHandlers[command.Do](r, no, &command)
+	answer := Answer{No: no, Done: why == "", Why: why, Fence: fence}
+	r.storeSession(command.Caller, session{command.Number, answer, no})
+	return answer, nil
 }
 
 // remember keeps a caller's last answer. Of too many callers the one that was silent for longest goes.
-func (r *Record) remember(caller string, s session) {
-	if _, ok := r.Sessions[caller]; !ok && len(r.Sessions) >= sessionsKept {
-		oldest, at := "", uint64(0)
-		for name, o := range r.Sessions { // the least of all is the same one in any order
-			if oldest == "" || o.At < at {
-				oldest, at = name, o.At
+func (r *Record) storeSession(caller string, latest session) {
+	if _, ok := r.Sessions[caller]; !ok && len(r.Sessions) >= maxSessions {
+		oldest, oldestNo := "", uint64(0)
+		for name, other := range r.Sessions { // the least of all is the same one in any order
+			if oldest == "" || other.At < oldestNo {
+				oldest, oldestNo = name, other.At
 			}
 		}
 		delete(r.Sessions, oldest)
 	}
-	r.Sessions[caller] = s
+	r.Sessions[caller] = latest
 }
 
-func (r *Record) note(no uint64, what, of string, c *Command) {
-	r.Rows = append(r.Rows, Row{no, what, of, c.By, c.Why})
-	r.Rows = r.Rows[max(0, len(r.Rows)-rowsKept):]
+func (r *Record) appendAudit(no uint64, what, of string, c *Command) {
+	r.Rows = append(r.Rows, AuditEntry{no, what, of, c.By, c.Why})
+	r.Rows = r.Rows[max(0, len(r.Rows)-maxAuditEntries):]
 }
 
-func (r *Record) member(no uint64, c *Command) (string, uint64) {
-	m := c.Member
-	if m == nil || m.ID == "" || m.Zone == "" || m.Addr == "" || !slices.Contains([]string{"scheduler", "agent", "worker"}, m.Kind) {
+func (r *Record) putMember(no uint64, c *Command) (string, uint64) {
+	member := c.Member
+	if member == nil || member.ID == "" || member.Zone == "" || member.Addr == "" || !slices.Contains([]string{"scheduler", "agent", "worker"}, member.Kind) {
 		return "a member has an id, a kind (scheduler, agent or worker), a zone and an address", 0
 	}
-	for id, o := range r.Members {
+	for id, other := range r.Members {
 		// Counted under two names it would be told twice, and be two of those that may be out.
-		if o.Addr == m.Addr && id != m.ID {
+		if other.Addr == member.Addr && id != member.ID {
 			return "another member has this address", 0
 		}
 	}
-	was, known := r.Members[m.ID]
+	former, known := r.Members[member.ID]
 	switch {
-	case was == *m:
+	case former == *member:
 		return "", 0
 	case known && !c.Force:
 		return "there is a member of this id", 0
-	case known && was.Agent != "" && was.Agent != m.Agent && r.Members[was.Agent].ID != "":
+	case known && former.Agent != "" && former.Agent != member.Agent && r.Members[former.Agent].ID != "":
 		// A name that was started twice: taken by turns, nobody would know which is meant.
-		return "it is " + was.Agent + "'s", 0
-	case len(r.Members) >= mostMembers:
+		return "it is " + former.Agent + "'s", 0
+	case len(r.Members) >= maxMembers:
 		return "the record holds no more members", 0
 	}
-	if known && was.Kind != m.Kind {
+	if known && former.Kind != member.Kind {
 		return "there is a member of this id and another kind", 0
 	}
-	r.Members[m.ID] = *m
-	r.note(no, "member", m.ID, c)
+	r.Members[member.ID] = *member
+	r.appendAudit(no, "member", member.ID, c)
 	return "", 0
 }
 
-func (r *Record) unmember(no uint64, c *Command) (string, uint64) {
+func (r *Record) removeMember(no uint64, c *Command) (string, uint64) {
 	if _, ok := r.Members[c.ID]; !ok {
 		return "no such member", 0
 	}
-	if p, ok := r.Permits[c.ID]; ok && !c.Force {
-		return "it is out for " + p.Op + ": one that is gone for good is removed by force", 0
+	if permit, ok := r.Permits[c.ID]; ok && !c.Force {
+		return "it is out for " + permit.Op + ": one that is gone for good is removed by force", 0
 	}
 	delete(r.Members, c.ID)
 	delete(r.Health, c.ID)
 	delete(r.Permits, c.ID) // a person says that it does not count any more
-	r.note(no, "unmember", c.ID, c)
+	r.appendAudit(no, "unmember", c.ID, c)
 	return "", 0
 }
 
 // claim gives a matter to a new owner, where nothing has happened to it since the claimant looked. Whether the term of
 // an owner that is still named is over only the leader's clock can tell: see Keeper.
-func (r *Record) claim(no uint64, c *Command) (string, uint64) {
-	m, known := r.Matters[c.Matter]
+func (r *Record) claimLease(no uint64, c *Command) (string, uint64) {
+	lease, known := r.Matters[c.Matter]
 	switch {
 	case c.Matter == "" || c.Owner == "" || c.Term <= 0:
 		return "a claim names a matter, an owner and a term", 0
-	case m.Fence != c.Fence || m.Renewed != c.Renewed:
-		return "the matter has changed", m.Fence
-	case !known && len(r.Matters) >= mostMatters:
+	case lease.Fence != c.Fence || lease.Renewed != c.Renewed:
+		return "the matter has changed", lease.Fence
+	case !known && len(r.Matters) >= maxLeases:
 		return "the record holds no more matters", 0
 	}
 	if r.Bug == "permit-dies" {
-		maps.DeleteFunc(r.Permits, func(_ string, p Permit) bool { return OpOf(p.Op) == c.Matter && known })
+		maps.DeleteFunc(r.Permits, func(_ string, permit Permit) bool { return OpOf(permit.Op) == c.Matter && known })
 	}
-	m.Owner, m.Fence, m.Term, m.Renewed = c.Owner, m.Fence+1, c.Term, no
-	if m.Wanted == AgentOf(c.Owner) {
-		m.Wanted = ""
+	lease.Owner, lease.Fence, lease.TermMs, lease.Renewed = c.Owner, lease.Fence+1, c.Term, no
+	if lease.Wanted == AgentOf(c.Owner) {
+		lease.Wanted = ""
 	}
-	r.Matters[c.Matter] = m
-	r.note(no, "owner", c.Matter+" "+c.Owner, c)
-	return "", m.Fence
+	r.Matters[c.Matter] = lease
+	r.appendAudit(no, "owner", c.Matter+" "+c.Owner, c)
+	return "", lease.Fence
 }
 
-func (r *Record) renew(no uint64, c *Command) (string, uint64) {
-	m := r.Matters[c.Matter]
-	if c.Owner == "" || m.Owner != c.Owner || m.Fence != c.Fence {
-		return "another owner has it", m.Fence
+func (r *Record) renewLease(no uint64, c *Command) (string, uint64) {
+	lease := r.Matters[c.Matter]
+	if c.Owner == "" || lease.Owner != c.Owner || lease.Fence != c.Fence {
+		return "another owner has it", lease.Fence
 	}
-	m.Renewed = no
-	r.Matters[c.Matter] = m
+	lease.Renewed = no
+	r.Matters[c.Matter] = lease
 	if zone, ok := strings.CutPrefix(c.Matter, "zone/"); ok {
-		r.saw(zone, c.Seen)
+		r.recordHealth(zone, c.Seen)
 	}
-	return "", m.Fence
+	return "", lease.Fence
 }
 
-func (r *Record) leave(no uint64, c *Command) (string, uint64) {
-	m := r.Matters[c.Matter]
-	if c.Owner == "" || m.Owner != c.Owner || m.Fence != c.Fence {
-		return "another owner has it", m.Fence
+func (r *Record) releaseLease(no uint64, c *Command) (string, uint64) {
+	lease := r.Matters[c.Matter]
+	if c.Owner == "" || lease.Owner != c.Owner || lease.Fence != c.Fence {
+		return "another owner has it", lease.Fence
 	}
-	m.Owner, m.Renewed = "", no
-	r.Matters[c.Matter] = m
-	r.note(no, "left", c.Matter+" "+c.Owner, c)
-	return "", m.Fence
+	lease.Owner, lease.Renewed = "", no
+	r.Matters[c.Matter] = lease
+	r.appendAudit(no, "left", c.Matter+" "+c.Owner, c)
+	return "", lease.Fence
 }
 
 // want asks an owner to pass a matter on. Its owner does so itself: taken from it, it would act on meanwhile.
-func (r *Record) want(no uint64, c *Command) (string, uint64) {
-	m, known := r.Matters[c.Matter]
-	switch o := r.Members[c.Owner]; {
+func (r *Record) requestHandover(no uint64, c *Command) (string, uint64) {
+	lease, known := r.Matters[c.Matter]
+	switch agent := r.Members[c.Owner]; {
 	case !known:
 		return "no such matter", 0
-	case o.Kind != "agent":
-		return "no such agent", m.Fence
-	case AgentOf(m.Owner) == c.Owner:
-		return "", m.Fence
-	}
-	m.Wanted = c.Owner
-	r.Matters[c.Matter] = m
-	r.note(no, "wanted", c.Matter+" "+c.Owner, c)
-	return "", m.Fence
+	case agent.Kind != "agent":
+		return "no such agent", lease.Fence
+	case AgentOf(lease.Owner) == c.Owner:
+		return "", lease.Fence
+	}
+	lease.Wanted = c.Owner
+	r.Matters[c.Matter] = lease
+	r.appendAudit(no, "wanted", c.Matter+" "+c.Owner, c)
+	return "", lease.Fence
 }
 
-func (r *Record) out(no uint64, c *Command) (string, uint64) {
-	w, known := r.Workers[c.ID]
+func (r *Record) takeWorkerOut(no uint64, c *Command) (string, uint64) {
+	intent, known := r.Workers[c.ID]
 	switch {
 	case c.ID == "" || c.Zone == "" && !known || c.By == "":
 		return "taking a worker out names it, its zone and who does", 0
-	case !known && len(r.Workers) >= mostWorkers:
+	case !known && len(r.Workers) >= maxWorkers:
 		return "the record holds no more workers", 0
-	case known && c.Zone != "" && c.Zone != w.Zone && w.Out:
-		return "it is out, in zone " + w.Zone, 0
-	case w.Out:
+	case known && c.Zone != "" && c.Zone != intent.Zone && intent.Out:
+		return "it is out, in zone " + intent.Zone, 0
+	case intent.Out:
 		return "", 0
 	case r.Members[c.ID].Kind == "worker" && !c.Force:
 		// A person's own 'down' uses up the same room. One who must, as where a worker does harm, says so.
-		if why := r.room(c.ID, nil); why != "" {
+		if why := r.limitRefusal(c.ID, nil); why != "" {
 			return why, 0
 		}
 	}
 	if c.Zone != "" {
-		w.Zone = c.Zone
+		intent.Zone = c.Zone
 	}
-	r.Workers[c.ID] = Intent{Zone: w.Zone, Out: true, Since: no, By: c.By, Why: c.Why}
-	r.note(no, "out", c.ID, c)
+	r.Workers[c.ID] = Intent{Zone: intent.Zone, Out: true, Since: no, By: c.By, Why: c.Why}
+	r.appendAudit(no, "out", c.ID, c)
 	return "", 0
 }
 
 // in puts a worker back. What one person took out another does not put back by mistake.
-func (r *Record) in(no uint64, c *Command) (string, uint64) {
-	w, known := r.Workers[c.ID]
+func (r *Record) putWorkerBack(no uint64, c *Command) (string, uint64) {
+	intent, known := r.Workers[c.ID]
 	switch {
 	case !known:
 		return "this worker was never out", 0
-	case !w.Out:
+	case !intent.Out:
 		return "", 0
-	case w.By != c.By && !c.Force:
-		return "it was taken out by " + w.By, 0
+	case intent.By != c.By && !c.Force:
+		return "it was taken out by " + intent.By, 0
 	case r.Permits[c.ID].Op != "":
 		return "it is out for " + r.Permits[c.ID].Op, 0
 	}
-	w.Out, w.Since, w.By, w.Why = false, no, c.By, c.Why
-	r.Workers[c.ID] = w
-	r.note(no, "in", c.ID, c)
+	intent.Out, intent.Since, intent.By, intent.Why = false, no, c.By, c.Why
+	r.Workers[c.ID] = intent
+	r.appendAudit(no, "in", c.ID, c)
 	return "", 0
 }
 
@@ -392,11 +392,11 @@
 	r.No, r.VotersNo = no, no
 	if remove != 0 {
 		delete(r.Voters, remove)
-		r.note(no, "voter", fmt.Sprintf("-%d", remove), &Command{})
+		r.appendAudit(no, "voter", fmt.Sprintf("-%d", remove), &Command{})
 	}
 	if add != 0 {
 		r.Voters[add], r.VoterMax = addr, max(r.VoterMax, add)
-		r.note(no, "voter", fmt.Sprintf("+%d %s", add, addr), &Command{})
+		r.appendAudit(no, "voter", fmt.Sprintf("+%d %s", add, addr), &Command{})
 	}
 }
 
@@ -411,44 +411,44 @@
 
 // Clone is a copy that does not change with the record.
 func (r *Record) Clone() *Record {
-	n := *r
-	n.Voters, n.Members, n.Matters, n.Workers = maps.Clone(r.Voters), maps.Clone(r.Members), maps.Clone(r.Matters), maps.Clone(r.Workers)
-	n.Health, n.Permits, n.Halts, n.Sessions = maps.Clone(r.Health), maps.Clone(r.Permits), maps.Clone(r.Halts), maps.Clone(r.Sessions)
-	n.Rows, n.Ops = slices.Clone(r.Rows), make(map[string]*Op, len(r.Ops))
-	for id, o := range r.Ops {
-		c := *o
-		c.Steps = maps.Clone(o.Steps)
-		n.Ops[id] = &c
-	}
-	return &n
+	copied := *r
+	copied.Voters, copied.Members, copied.Matters, copied.Workers = maps.Clone(r.Voters), maps.Clone(r.Members), maps.Clone(r.Matters), maps.Clone(r.Workers)
+	copied.Health, copied.Permits, copied.Halts, copied.Sessions = maps.Clone(r.Health), maps.Clone(r.Permits), maps.Clone(r.Halts), maps.Clone(r.Sessions)
+	copied.Rows, copied.Ops = slices.Clone(r.Rows), make(map[string]*Op, len(r.Ops))
+	for id, op := range r.Ops {
+		opCopy := *op
+		opCopy.Steps = maps.Clone(op.Steps)
+		copied.Ops[id] = &opCopy
+	}
+	return &copied
 }
 
 // Lean is a snapshot for those who act on the record and don't keep it: every agent is sent it at each change, and a renewal
 // would else carry thousands of sessions and the whole audit.
 func (r *Record) Lean() []byte {
-	n := *r
-	n.Sessions, n.Rows = nil, nil
-	return n.Snapshot()
+	lean := *r
+	lean.Sessions, lean.Rows = nil, nil
+	return lean.Snapshot()
 }
 
 // Restore reads a snapshot. Where that fails the record is as it was.
 func (r *Record) Restore(raw []byte) error {
-	n := NewRecord()
-	if err := json.Unmarshal(raw, n); err != nil {
+	restored := NewRecord()
+	if err := json.Unmarshal(raw, restored); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	if n.V > Form {
-		return fmt.Errorf("snapshot of form %d: %w", n.V, ErrNewer)
+	if restored.V > Form {
+		return fmt.Errorf("snapshot of form %d: %w", restored.V, ErrNewer)
 	}
-	n.Bug = r.Bug
-	*r = *n
+	restored.Bug = r.Bug
+	*r = *restored
 	return nil
 }
 
 // OutIn lists the workers that are out, of one zone or of all ("").
 func (r *Record) OutIn(zone string) (ids []string) {
-	for id, w := range r.Workers {
-		if w.Out && (zone == "" || w.Zone == zone) {
+	for id, intent := range r.Workers {
+		if intent.Out && (zone == "" || intent.Zone == zone) {
 			ids = append(ids, id)
 		}
 	}
--- a/fleet/teller.go
+++ b/fleet/teller.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	lookEach = 1000.0 // how soon a scheduler that was started again is seen
-	tryFirst = 100.0  // after a call that did not come through, then twice as long each time
-	tryMost  = 2000.0
+	statusIntervalMs = 1000.0 // how soon a scheduler that was started again is seen
+	initialBackoffMs = 100.0  // after a call that did not come through, then twice as long each time
+	maxBackoffMs     = 2000.0
 
-	reportMost = 400 // members in one renewal
+	maxReportedMembers = 400 // members in one renewal
 )
 
 // Act is what a call does at a scheduler.
-type Act int
+type CallKind int
 
 const (
-	Look  Act = iota // which start it is, which number is in force there
-	Close            // the number of the owner before is taken no more
-	Tell             // one worker is out, or in again
+	Look  CallKind = iota // which start it is, which number is in force there
+	Close                 // the number of the owner before is taken no more
+	Tell                  // one worker is out, or in again
 )
 
 // Call is one to make at a scheduler. It is meant for one start of it, and carries the owner's number.
 type Call struct {
 	To     Member
-	Act    Act
+	Act    CallKind
 	Matter string
 	Fence  uint64
 	Start  string
@@ -47,94 +47,94 @@
 	Txns    Txns
 }
 
-type target struct {
+type schedulerState struct {
 	Member
-	start  string
-	closed bool
-	told   map[string]uint64 // by worker: the change that it said yes to
-	out    map[string]bool   // those that were out there when it was last looked at
-	busy   bool
-	at     float64 // when to call next
-	lookAt float64
-	fails  int
-	why    string // why it refused, or why it was not reached
-	seen   bool
-	phase  string
-	has    map[string]string // workers, as it has them
-	lookNo uint64            // what the record was at when that look began
-	asksNo uint64            // the same of the look under way
+	processStart          string
+	fenceAccepted         bool
+	acknowledged          map[string]uint64 // by worker: the change that it said yes to
+	reportedOut           map[string]bool   // those that were out there when it was last looked at
+	callPending           bool
+	nextCallAt            float64 // when to call next
+	nextStatusAt          float64
+	failures              int
+	reason                string // why it refused, or why it was not reached
+	answered              bool
+	phase                 string
+	workerStates          map[string]string // workers, as it has them
+	statusRecordNo        uint64            // what the record was at when that look began
+	pendingStatusRecordNo uint64            // the same of the look under way
 }
 
 // Teller is what the owner of a zone's matter knows of the schedulers that it keeps told who is out.
 type Teller struct {
-	Matter  string
-	Fence   uint64
-	Passed  uint64 // a higher number that a scheduler named: this owner is none any more
-	Bug     string // one planted by a test of what finds it, "" in any other use
-	targets map[string]*target
-	intents map[string]Intent
+	Matter     string
+	Fence      uint64
+	Passed     uint64 // a higher number that a scheduler named: this owner is none any more
+	Bug        string // one planted by a test of what finds it, "" in any other use
+	schedulers map[string]*schedulerState
+	intents    map[string]Intent
 	// Holds tells of a worker that is to go out whether nobody may be told of it now who was not yet: it is halted here.
-	Holds func(Intent) bool
-	rec   *Record
-	zone  string
-	since float64 // when this ownership began
+	Holds     func(Intent) bool
+	record    *Record
+	zone      string
+	startedAt float64 // when this ownership began
 }
 
 // NewTeller begins with nothing known: whatever a predecessor did is looked up at each scheduler.
 func NewTeller(matter string, fence uint64) *Teller {
-	return &Teller{Matter: matter, Fence: fence, targets: map[string]*target{}, intents: map[string]Intent{}, since: -1}
+	return &Teller{Matter: matter, Fence: fence, schedulers: map[string]*schedulerState{}, intents: map[string]Intent{}, startedAt: -1}
 }
 
 // Follow takes the record as it now is: the schedulers, and what is intended for the zone's workers.
 func (t *Teller) Follow(now float64, r *Record, zone string) {
-	if t.rec, t.zone = r, zone; t.since < 0 {
-		t.since = now
+	if t.record, t.zone = r, zone; t.startedAt < 0 {
+		t.startedAt = now
 	}
-	here := map[string]bool{}
-	for _, m := range r.Of("scheduler") {
-		here[m.ID] = true
-		if o := t.targets[m.ID]; o == nil || o.Member != m {
-			t.targets[m.ID] = &target{Member: m, told: map[string]uint64{}}
+	isMember := map[string]bool{}
+	for _, member := range r.Of("scheduler") {
+		isMember[member.ID] = true
+		if scheduler := t.schedulers[member.ID]; scheduler == nil || scheduler.Member != member {
+			t.schedulers[member.ID] = &schedulerState{Member: member, acknowledged: map[string]uint64{}}
 		}
 	}
-	maps.DeleteFunc(t.targets, func(id string, _ *target) bool { return !here[id] })
+	maps.DeleteFunc(t.schedulers, func(id string, _ *schedulerState) bool { return !isMember[id] })
 	clear(t.intents)
-	for id, w := range r.Workers {
-		if w.Zone == zone {
-			t.intents[id] = w
+	for id, intent := range r.Workers {
+		if intent.Zone == zone {
+			t.intents[id] = intent
 		}
 	}
 	// What waits to be seen since its last step is looked at now, and not at the next round: a worker through all of them.
-	need := uint64(0)
-	for id, p := range r.Permits {
-		m := r.Members[id]
-		if m.Zone != zone {
+	workerStepNo := uint64(0)
+	for id, permit := range r.Permits {
+		member := r.Members[id]
+		if member.Zone != zone {
 			continue
 		}
-		no := p.No
-		if op := r.Ops[p.Op]; op != nil {
-			no = max(no, op.Steps[id].No)
+		stepNo := permit.No
+		if op := r.Ops[permit.Op]; op != nil {
+			stepNo = max(stepNo, op.Steps[id].No)
 		}
-		if m.Kind == "worker" {
-			need = max(need, no)
-		} else if o := t.targets[id]; o != nil && o.lookNo < no {
-			o.lookAt = min(o.lookAt, now)
+		if member.Kind == "worker" {
+			workerStepNo = max(workerStepNo, stepNo)
+		} else if scheduler := t.schedulers[id]; scheduler != nil && scheduler.statusRecordNo < stepNo {
+			scheduler.nextStatusAt = min(scheduler.nextStatusAt, now)
 		}
 	}
-	for _, o := range t.targets {
-		if o.lookNo < need {
-			o.lookAt = min(o.lookAt, now)
+	for _, scheduler := range t.schedulers {
+		if scheduler.statusRecordNo < workerStepNo {
+			scheduler.nextStatusAt = min(scheduler.nextStatusAt, now)
 		}
 	}
 }
 
 // owed is the first worker that a scheduler is still to be told of.
-func (t *Teller) owed(o *target) (string, bool) {
+func (t *Teller) nextUnacknowledged(scheduler *schedulerState) (string, bool) {
 	for _, id := range slices.Sorted(maps.Keys(t.intents)) {
-		w := t.intents[id]
+		intent := t.intents[id]
 		// What is in use need not be told to one that has it in use.
-		if o.told[id] != w.Since && (w.Out || o.told[id] > 0 || o.out[id]) {
-			if t.Holds != nil && !o.out[id] && t.Holds(w) {
+		if scheduler.acknowledged[id] != intent.Since && (intent.Out || scheduler.acknowledged[id] > 0 || scheduler.reportedOut[id]) {
+			if t.Holds != nil && !scheduler.reportedOut[id] && t.Holds(intent) {
 				continue
 			}
 			return id, true
@@ -148,80 +148,80 @@
 	if t.Passed > 0 {
 		return Call{}, false
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.targets)) {
-		o := t.targets[id]
-		if o.busy || now < o.at {
+	for _, id := range slices.Sorted(maps.Keys(t.schedulers)) {
+		scheduler := t.schedulers[id]
+		if scheduler.callPending || now < scheduler.nextCallAt {
 			continue
 		}
-		c := Call{To: o.Member, Matter: t.Matter, Fence: t.Fence, Start: o.start}
-		switch worker, owes := t.owed(o); {
-		case o.start == "" || now >= o.lookAt:
-			c.Act, c.Start, o.asksNo = Look, "", t.rec.No
-		case !o.closed && t.Bug != "not-closed":
-			c.Act = Close
+		call := Call{To: scheduler.Member, Matter: t.Matter, Fence: t.Fence, Start: scheduler.processStart}
+		switch worker, owes := t.nextUnacknowledged(scheduler); {
+		case scheduler.processStart == "" || now >= scheduler.nextStatusAt:
+			call.Act, call.Start, scheduler.pendingStatusRecordNo = Look, "", t.record.No
+		case !scheduler.fenceAccepted && t.Bug != "not-closed":
+			call.Act = Close
 		case owes:
-			w := t.intents[worker]
-			c.Act, c.Worker, c.Out, c.Since = Tell, worker, w.Out, w.Since
+			intent := t.intents[worker]
+			call.Act, call.Worker, call.Out, call.Since = Tell, worker, intent.Out, intent.Since
 		default:
 			continue
 		}
-		o.busy = true
-		return c, true
+		scheduler.callPending = true
+		return call, true
 	}
 	return Call{}, false
 }
 
 // Answered takes what came of a call.
-func (t *Teller) Answered(now float64, c Call, r Reply) {
-	o := t.targets[c.To.ID]
-	if o == nil || o.Member != c.To {
+func (t *Teller) Answered(now float64, call Call, reply Reply) {
+	scheduler := t.schedulers[call.To.ID]
+	if scheduler == nil || scheduler.Member != call.To {
 		return
 	}
-	o.busy = false
-	if !r.Reached {
+	scheduler.callPending = false
+	if !reply.Reached {
 		// It may have come through, and is sent again as it was: a yes twice is one.
-		o.fails++
-		o.at = now + min(tryFirst*float64(int(1)<<min(o.fails-1, 10)), tryMost)
-		o.why = r.Why
+		scheduler.failures++
+		scheduler.nextCallAt = now + min(initialBackoffMs*float64(int(1)<<min(scheduler.failures-1, 10)), maxBackoffMs)
+		scheduler.reason = reply.Why
 		return
 	}
-	o.fails, o.at, o.why, o.seen = 0, now, "", true
-	if r.Fence > t.Fence {
-		t.Passed = r.Fence
+	scheduler.failures, scheduler.nextCallAt, scheduler.reason, scheduler.answered = 0, now, "", true
+	if reply.Fence > t.Fence {
+		t.Passed = reply.Fence
 		return
 	}
-	if r.Start != o.start && (o.start == "" || t.Bug != "restart-untold") {
+	if reply.Start != scheduler.processStart && (scheduler.processStart == "" || t.Bug != "restart-untold") {
 		// Started again from nothing: what its former life said yes to counts no more.
-		o.start, o.closed = r.Start, false
-		clear(o.told)
+		scheduler.processStart, scheduler.fenceAccepted = reply.Start, false
+		clear(scheduler.acknowledged)
 	}
 	switch {
-	case !r.Done:
-		o.why, o.lookAt, o.at = r.Why, now, now+tryFirst
-	case c.Act == Look:
-		o.lookAt, o.out = now+lookEach, map[string]bool{}
-		o.phase, o.has, o.lookNo = r.Phase, r.Workers, o.asksNo
-		for _, id := range r.Out {
-			o.out[id] = true
+	case !reply.Done:
+		scheduler.reason, scheduler.nextStatusAt, scheduler.nextCallAt = reply.Why, now, now+initialBackoffMs
+	case call.Act == Look:
+		scheduler.nextStatusAt, scheduler.reportedOut = now+statusIntervalMs, map[string]bool{}
+		scheduler.phase, scheduler.workerStates, scheduler.statusRecordNo = reply.Phase, reply.Workers, scheduler.pendingStatusRecordNo
+		for _, id := range reply.Out {
+			scheduler.reportedOut[id] = true
 		}
-		if r.Fence < t.Fence {
-			o.closed = false
+		if reply.Fence < t.Fence {
+			scheduler.fenceAccepted = false
 		}
-	case c.Start != o.start:
-	case c.Act == Close:
-		o.closed = true
-	case c.Act == Tell:
-		o.told[c.Worker] = c.Since
-		o.out[c.Worker] = c.Out
+	case call.Start != scheduler.processStart:
+	case call.Act == Close:
+		scheduler.fenceAccepted = true
+	case call.Act == Tell:
+		scheduler.acknowledged[call.Worker] = call.Since
+		scheduler.reportedOut[call.Worker] = call.Out
 	}
 }
 
 // Wake is when to pull again if nothing happens before.
-func (t *Teller) Wake(now float64) float64 {
-	at := now + lookEach
-	for _, o := range t.targets {
-		if !o.busy {
-			at = min(at, max(o.at, min(o.lookAt, at)))
+func (t *Teller) NextWakeAt(now float64) float64 {
+	at := now + statusIntervalMs
+	for _, scheduler := range t.schedulers {
+		if !scheduler.callPending {
+			at = min(at, max(scheduler.nextCallAt, min(scheduler.nextStatusAt, at)))
 		}
 	}
 	return at
@@ -245,105 +245,105 @@
 }
 
 // state is how a scheduler stands, by the last look.
-func (o *target) state() string {
+func (scheduler *schedulerState) health() string {
 	switch {
-	case o.fails > 0 || !o.seen:
-		return NotLooked
-	case o.phase == "serving":
+	case scheduler.failures > 0 || !scheduler.answered:
+		return HealthNotReached
+	case scheduler.phase == "serving":
 		return InService
-	case o.phase == "":
+	case scheduler.phase == "":
 		return "unknown"
 	}
-	return o.phase
+	return scheduler.phase
 }
 
 // worker is how one stands, by all schedulers that serve: warm at each that has it, or out and quiet at all.
-func (t *Teller) worker(id string) Seen {
-	s := Seen{State: NotLooked, Of: t.rec.No}
-	if w := t.intents[id]; w.Out {
-		s.State = "out"
-		for _, row := range t.Told(id) {
-			o := t.targets[row.ID]
-			if row.State != Obeyed || o.has[id] == "busy" || o.lookNo < w.Since {
-				s.State = "draining"
+func (t *Teller) workerHealth(id string) Seen {
+	health := Seen{State: HealthNotReached, RecordNo: t.record.No}
+	if intent := t.intents[id]; intent.Out {
+		health.State = "out"
+		for _, standing := range t.Told(id) {
+			scheduler := t.schedulers[standing.ID]
+			if standing.State != Obeyed || scheduler.workerStates[id] == "busy" || scheduler.statusRecordNo < intent.Since {
+				health.State = "draining"
 			}
 		}
-		return s
+		return health
 	}
-	for _, o := range t.targets { // in any order: the least and the worst of all
-		if o.state() != InService {
+	for _, scheduler := range t.schedulers { // in any order: the least and the worst of all
+		if scheduler.health() != InService {
 			continue
 		}
-		switch s.Of = min(s.Of, o.lookNo); {
-		case o.has[id] == "cold" && s.State != "unlisted" || o.out[id]:
-			s.State = "cold"
-		case o.has[id] == "":
-			s.State = "unlisted"
-		case s.State == NotLooked:
-			s.State = InService
+		switch health.RecordNo = min(health.RecordNo, scheduler.statusRecordNo); {
+		case scheduler.workerStates[id] == "cold" && health.State != "unlisted" || scheduler.reportedOut[id]:
+			health.State = "cold"
+		case scheduler.workerStates[id] == "":
+			health.State = "unlisted"
+		case health.State == HealthNotReached:
+			health.State = InService
 		}
 	}
-	return s
+	return health
 }
 
 // Report is what has changed of how the zone's members stand, to go with the next renewal, and whether all of them were
 // looked at since this ownership began.
 func (t *Teller) Report(now float64) (changed map[string]Seen, whole bool) {
-	if t.rec == nil || t.rec.V < 2 {
+	if t.record == nil || t.record.V < 2 {
 		return nil, false // a record of the older form has no room for it
 	}
 	whole = true
-	for _, m := range t.rec.Of("scheduler") {
-		o := t.targets[m.ID]
-		whole = whole && (o.seen || o.fails > 0)
+	for _, member := range t.record.Of("scheduler") {
+		scheduler := t.schedulers[member.ID]
+		whole = whole && (scheduler.answered || scheduler.failures > 0)
 	}
-	for id, m := range t.rec.Members {
-		if m.Zone != t.zone || m.Kind == "agent" {
+	for id, member := range t.record.Members {
+		if member.Zone != t.zone || member.Kind == "agent" {
 			continue
 		}
-		s := t.sees(m)
-		if s.State == NotLooked && !whole {
+		health := t.memberHealth(member)
+		if health.State == HealthNotReached && !whole {
 			continue
 		}
-		was, known := t.rec.Health[id]
-		_, out := t.rec.Permits[id]
-		if s.State == NotLooked {
-			s.Of = max(s.Of, was.Of) // that nobody reaches it is news of now
+		recorded, isRecorded := t.record.Health[id]
+		_, hasPermit := t.record.Permits[id]
+		if health.State == HealthNotReached {
+			health.RecordNo = max(health.RecordNo, recorded.RecordNo) // that nobody reaches it is news of now
 		}
-		if known && was.State == s.State && !(out && s.Of > was.Of && s.Of >= t.needs(id) && was.Of < t.needs(id)) || s.Of < was.Of {
+		if isRecorded && recorded.State == health.State && !(hasPermit && health.RecordNo > recorded.RecordNo && health.RecordNo >= t.requiredRecordNo(id) && recorded.RecordNo < t.requiredRecordNo(id)) || health.RecordNo < recorded.RecordNo {
 			continue
 		}
 		if changed == nil {
 			changed = map[string]Seen{}
 		}
-		if changed[id] = s; len(changed) >= reportMost {
+		if changed[id] = health; len(changed) >= maxReportedMembers {
 			break // the rest goes with the next renewal
 		}
 	}
 	return changed, whole
 }
 
-func (t *Teller) sees(m Member) (s Seen) {
-	if m.Kind == "worker" {
-		return t.worker(m.ID)
+func (t *Teller) memberHealth(member Member) (health Seen) {
+	if member.Kind == "worker" {
+		return t.workerHealth(member.ID)
 	}
-	if o := t.targets[m.ID]; o != nil {
-		return Seen{o.state(), o.lookNo}
+	if scheduler := t.schedulers[member.ID]; scheduler != nil {
+		return Seen{scheduler.health(), scheduler.statusRecordNo}
 	}
-	return s
+	return health
 }
 
 // Urgent tells whether an operation waits for something that was seen and is not reported yet.
 func (t *Teller) Urgent() bool {
-	if t.rec == nil {
+	if t.record == nil {
 		return false
 	}
-	for id := range t.rec.Permits { // whether there is one is the same in any order
-		m := t.rec.Members[id]
-		if m.Zone != t.zone || t.rec.Health[id].Of >= t.needs(id) {
+	for id := range t.record.Permits { // whether there is one is the same in any order
+		member := t.record.Members[id]
+		if member.Zone != t.zone || t.record.Health[id].RecordNo >= t.requiredRecordNo(id) {
 			continue
 		}
-		if s := t.sees(m); s.Of >= t.needs(id) && (s.State == InService || s.State == "out") {
+		if health := t.memberHealth(member); health.RecordNo >= t.requiredRecordNo(id) && (health.State == InService || health.State == "out") {
 			return true
 		}
 	}
@@ -351,30 +351,30 @@
 }
 
 // needs is the step since which a member that is out has to be seen.
-func (t *Teller) needs(id string) uint64 {
-	p := t.rec.Permits[id]
-	if op := t.rec.Ops[p.Op]; op != nil {
-		return max(p.No, op.Steps[id].No)
+func (t *Teller) requiredRecordNo(id string) uint64 {
+	permit := t.record.Permits[id]
+	if op := t.record.Ops[permit.Op]; op != nil {
+		return max(permit.No, op.Steps[id].No)
 	}
-	return p.No
+	return permit.No
 }
 
 // Told lists how each scheduler stands to what is now intended for a worker. A scheduler that is a member and does not
 // answer is not known to be gone: what it was told last may be the opposite.
-func (t *Teller) Told(worker string) (rows []Standing) {
-	w := t.intents[worker]
-	for _, id := range slices.Sorted(maps.Keys(t.targets)) {
-		o := t.targets[id]
-		s := Standing{ID: id, State: Unknown, Why: o.why}
+func (t *Teller) Told(worker string) (standings []Standing) {
+	intent := t.intents[worker]
+	for _, id := range slices.Sorted(maps.Keys(t.schedulers)) {
+		scheduler := t.schedulers[id]
+		standing := Standing{ID: id, State: Unknown, Why: scheduler.reason}
 		switch {
-		case (o.closed || t.Bug == "not-closed") && o.fails == 0 && (o.told[worker] == w.Since || !w.Out && o.told[worker] == 0 && !o.out[worker]):
-			s.State = Obeyed
-		case o.fails > 0 || !o.seen:
-			s.State = NotReached
-		case o.why != "":
-			s.State = Refused
+		case (scheduler.fenceAccepted || t.Bug == "not-closed") && scheduler.failures == 0 && (scheduler.acknowledged[worker] == intent.Since || !intent.Out && scheduler.acknowledged[worker] == 0 && !scheduler.reportedOut[worker]):
+			standing.State = Obeyed
+		case scheduler.failures > 0 || !scheduler.answered:
+			standing.State = NotReached
+		case scheduler.reason != "":
+			standing.State = Refused
 		}
-		rows = append(rows, s)
+		standings = append(standings, standing)
 	}
-	return rows
+	return standings
 }
--- a/fleet/terms.go
+++ b/fleet/terms.go
@@ -5,46 +5,46 @@
 // when the renewal stood in the record and more than the whole. A clock may be off by up to a tenth of its rate for
 // that: 0.8 of a term by a clock that is a tenth slow are 0.89, 1.2 by one that is a tenth fast are 1.09.
 const (
-	ownerPart  = 0.8
-	leaderPart = 1.2
+	ownerTermFraction  = 0.8
+	leaderTermFraction = 1.2
 
-	urgentGap = 50.0 // ms between renewals at the least
+	urgentRenewalGapMs = 50.0 // ms between renewals at the least
 )
 
 // Hold is an owner's own knowledge of a matter that it has.
 type Hold struct {
-	Fence  uint64
-	Term   float64
-	until  float64
-	askAt  float64 // when the renewal that is under way went out
-	asking bool
+	Fence          uint64
+	TermMs         float64
+	heldUntil      float64
+	renewalSentAt  float64 // when the renewal that is under way went out
+	renewalPending bool
 }
 
 // Held begins a hold by a claim that went out at asked and was carried out.
-func Held(asked float64, fence uint64, term float64) *Hold {
-	return &Hold{Fence: fence, Term: term, until: asked + ownerPart*term, askAt: asked}
+func Held(sentAt float64, fence uint64, termMs float64) *Hold {
+	return &Hold{Fence: fence, TermMs: termMs, heldUntil: sentAt + ownerTermFraction*termMs, renewalSentAt: sentAt}
 }
 
 // Holds tells whether the owner may act now. It is asked before each action, and after each wait.
-func (h *Hold) Holds(now float64) bool { return h != nil && now < h.until }
+func (h *Hold) Holds(now float64) bool { return h != nil && now < h.heldUntil }
 
 // Until is when it has to stop.
-func (h *Hold) Until() float64 { return h.until }
+func (h *Hold) Until() float64 { return h.heldUntil }
 
 // NextRenewal decides whether to renew now: three times in a term, so that one lost call is none, or soon where something
 // waits for what goes with it.
 func (h *Hold) NextRenewal(now float64, urgent bool) bool {
-	if h.asking || now < h.askAt+h.Term/4 && !(urgent && now >= h.askAt+urgentGap) {
+	if h.renewalPending || now < h.renewalSentAt+h.TermMs/4 && !(urgent && now >= h.renewalSentAt+urgentRenewalGapMs) {
 		return false
 	}
-	h.asking, h.askAt = true, now
+	h.renewalPending, h.renewalSentAt = true, now
 	return true
 }
 
 // Renewed tells what came of the renewal: it holds from when it was asked for, whenever the answer came.
 func (h *Hold) Renewed(done bool) {
-	if h.asking = false; done {
-		h.until = max(h.until, h.askAt+ownerPart*h.Term)
+	if h.renewalPending = false; done {
+		h.heldUntil = max(h.heldUntil, h.renewalSentAt+ownerTermFraction*h.TermMs)
 	}
 }
 
@@ -54,16 +54,16 @@
 // Keeper is the leader's knowledge of how old each claim is. It counts only what it saw itself as leader: a new one
 // waits for a whole term, as it can't know when its predecessor last let an owner renew.
 type Keeper struct {
-	leads bool
-	ledAt float64
-	seen  map[string]float64
-	told  map[string]float64 // when each zone's owner last renewed, and with it reported
-	Hurry bool               // a bug planted by a test of what finds it: a new leader does not wait
+	isLeader     bool
+	leaderSince  float64
+	appliedAt    map[string]float64
+	fullReportAt map[string]float64 // when each zone's owner last renewed, and with it reported
+	Hurry        bool               // a bug planted by a test of what finds it: a new leader does not wait
 }
 
 // Leads tells that this process leads from now on.
 func (k *Keeper) Leads(now float64) {
-	*k = Keeper{leads: true, ledAt: now, seen: map[string]float64{}, told: map[string]float64{}, Hurry: k.Hurry}
+	*k = Keeper{isLeader: true, leaderSince: now, appliedAt: map[string]float64{}, fullReportAt: map[string]float64{}, Hurry: k.Hurry}
 }
 
 // Follows tells that it does not lead any more.
@@ -71,39 +71,39 @@
 
 // Applied takes that a claim or renewal of a matter was carried out.
 func (k *Keeper) Applied(now float64, c *Command) {
-	if k.leads {
-		if k.seen[c.Matter] = now; c.Do == "renew" && c.To == Whole {
-			k.told[c.Matter] = now
+	if k.isLeader {
+		if k.appliedAt[c.Matter] = now; c.Do == "renew" && c.To == Whole {
+			k.fullReportAt[c.Matter] = now
 		}
 	}
 }
 
 // fresh is why what stands on record of a zone's members may be old, "" where it was reported on within a term.
-func (k *Keeper) fresh(now float64, r *Record, zone string) string {
-	m := r.Matters[MatterOf(zone)]
-	if at, told := k.told[MatterOf(zone)]; !told || now > at+m.Term {
+func (k *Keeper) staleReportReason(now float64, r *Record, zone string) string {
+	lease := r.Matters[MatterOf(zone)]
+	if at, reported := k.fullReportAt[MatterOf(zone)]; !reported || now > at+lease.TermMs {
 		return "nobody has reported on zone " + zone + " lately"
 	}
 	return ""
 }
 
 // Over decides whether the term of a matter's owner is over, so that another's claim may go on the record.
-func (k *Keeper) Over(now float64, matter string, m Matter) bool {
-	if !k.leads {
+func (k *Keeper) OwnerTermExpired(now float64, matter string, lease Lease) bool {
+	if !k.isLeader {
 		return false
 	}
-	if _, saw := k.seen[matter]; m.Owner == "" || k.Hurry && !saw {
+	if _, applied := k.appliedAt[matter]; lease.Owner == "" || k.Hurry && !applied {
 		return true
 	}
-	return now >= max(k.ledAt, k.seen[matter])+leaderPart*m.Term
+	return now >= max(k.leaderSince, k.appliedAt[matter])+leaderTermFraction*lease.TermMs
 }
 
 // MayPropose decides whether the leader takes a command at all: a claim of a matter that another still has is refused
 // with the reason, all else is the record's to judge.
 func (k *Keeper) MayPropose(now float64, r *Record, c *Command) string {
 	if c.Do == "step" && c.To == Granted || c.Do == "out" && r.Members[c.ID].Kind == "worker" && !c.Force {
-		for _, zone := range r.counted(c.ID) {
-			if why := k.fresh(now, r, zone); why != "" {
+		for _, zone := range r.zonesCountedWith(c.ID) {
+			if why := k.staleReportReason(now, r, zone); why != "" {
 				return why
 			}
 		}
@@ -111,8 +111,8 @@
 	if c.Do != "claim" {
 		return ""
 	}
-	if m := r.Matters[c.Matter]; m.Owner != "" && !k.Over(now, c.Matter, m) {
-		return "the term of " + m.Owner + " is not over"
+	if lease := r.Matters[c.Matter]; lease.Owner != "" && !k.OwnerTermExpired(now, c.Matter, lease) {
+		return "the term of " + lease.Owner + " is not over"
 	}
 	return ""
 }
