--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -7,19 +7,23 @@
 	"strings"
 )
 
-// Limit bounds how many members of a kind may be out together. Where none covers a member, one of its kind may be.
+// Limit bounds how many members of a kind may be out of service at the same time. Members to which no limit applies share a
+// default: one of their kind may be out.
 type Limit struct {
 	Kind     string  `json:"kind" toml:"kind"`                             // scheduler or worker
-	Zone     string  `json:"zone,omitempty" toml:"zone,omitempty"`         // one zone; "each" for every one by itself; "" for the fleet
-	Label    string  `json:"label,omitempty" toml:"label,omitempty"`       // key=value, or key=each
-	Most     *int    `json:"most,omitempty" toml:"most,omitempty"`         // out together
-	Share    float64 `json:"share,omitempty" toml:"share,omitempty"`       // the same as a part of them, rounded so that fewer are out
-	Capacity float64 `json:"capacity,omitempty" toml:"capacity,omitempty"` // the part of all workers' capacity that may be out
-	Least    int     `json:"least,omitempty" toml:"least,omitempty"`       // in service
+	Zone     string  `json:"zone,omitempty" toml:"zone,omitempty"`         // a zone; "each" for each zone separately; "" for the whole fleet
+	Label    string  `json:"label,omitempty" toml:"label,omitempty"`       // key=value, or key=each for each value separately; "" for all members
+	Most     *int    `json:"most,omitempty" toml:"most,omitempty"`         // members that may be out
+	Share    float64 `json:"share,omitempty" toml:"share,omitempty"`       // the same as a share of the members counted, rounded down; 0: no bound
+	Capacity float64 `json:"capacity,omitempty" toml:"capacity,omitempty"` // the share of the workers' capacity that may be out; 0: no bound
+	Least    int     `json:"least,omitempty" toml:"least,omitempty"`       // members that must stay in service
 }
 
+// eachValue, as a zone or as the value of a label, applies a limit to each zone or value separately.
 const eachValue = "each"
 
+// String describes the limit, for refusals and plans. As part of a refusal the text is replicated state: see
+// commandHandlers.
 func (l Limit) String() string {
 	text := l.Kind + "s"
 	if l.Zone != "" {
@@ -42,6 +46,7 @@
 	return text
 }
 
+// invalidReason returns what is wrong with the limit, starting with the field, "" if it is valid.
 func (l Limit) invalidReason() string {
 	key, value, _ := strings.Cut(l.Label, "=")
 	switch {
@@ -61,7 +66,7 @@
 	return ""
 }
 
-// CheckLimits tells what is wrong with limits, "" where nothing is.
+// CheckLimits returns what is wrong with a list of limits, "" if it is valid.
 func CheckLimits(all []Limit) string {
 	if len(all) > maxLimits {
 		return fmt.Sprintf("more than %d limits", maxLimits)
@@ -74,7 +79,7 @@
 	return ""
 }
 
-// label is the value of one of a member's labels, which stand as "key=value,key=value".
+// labelValue returns the value of one of the member's labels, "" if the member has no label of that key.
 func (m Member) labelValue(key string) string {
 	for _, l := range strings.Split(m.Labels, ",") {
 		if k, v, _ := strings.Cut(l, "="); k == key {
@@ -84,7 +89,8 @@
 	return ""
 }
 
-// covers tells whether a limit is about m, and of those about o whether o counts together with it.
+// countsTogether reports whether the limit applies to both members and counts them together. With the same member twice it
+// reports whether the limit applies to it.
 func (l Limit) countsTogether(member, other Member) bool {
 	if member.Kind != l.Kind || other.Kind != l.Kind || l.Zone == eachValue && member.Zone != other.Zone ||
 		l.Zone != "" && l.Zone != eachValue && (member.Zone != l.Zone || other.Zone != l.Zone) {
@@ -98,16 +104,17 @@
 	return memberValue != "" && memberValue == other.labelValue(key) && (value == eachValue || value == memberValue)
 }
 
-// Count is how a limit stands to one member: who counts together, who of them is out, and how many may be.
+// Count is the state of one limit if one further member were out.
 type Count struct {
 	Limit   Limit    `json:"limit"`
-	Of      int      `json:"of"`
-	Out     []string `json:"out"` // with the one that was asked about
-	Allowed int      `json:"allowed"`
-	Why     string   `json:"why,omitempty"` // why one more is too many
+	Of      int      `json:"of"`            // members that count together with it, itself included
+	Out     []string `json:"out"`           // ids of those of them that are out, with the member in question
+	Allowed int      `json:"allowed"`       // how many of them may be out, math.MaxInt if only their capacity is bounded
+	Why     string   `json:"why,omitempty"` // why the limit forbids it, "" if it doesn't
 }
 
-// IsOut tells whether a member counts as out, and why: each that is not known to be in service does.
+// IsOut reports whether a member counts as out under the limits, and why. Every member that isn't known to be in service
+// does, whatever the cause.
 func (r *Record) IsOut(id string) (string, bool) {
 	if permit, ok := r.Permits[id]; ok {
 		return "permit of " + permit.Op, true
@@ -124,6 +131,7 @@
 	return "", false
 }
 
+// limitsFor returns the limits that apply to a member, or the default limit if there are none.
 func (r *Record) limitsFor(member Member) (applicable []Limit) {
 	for _, limit := range r.Limits {
 		if limit.countsTogether(member, member) {
@@ -137,16 +145,16 @@
 	return applicable
 }
 
-// Room counts a member, were it taken out, under each limit that covers it.
+// Room returns, for each limit that applies to a member, its state if the member were taken out.
 func (r *Record) Room(id string) []Count { return r.countsIfOut(id, nil) }
 
-// roomWith takes further members as out already.
+// countsIfOut is Room with the members in alsoOut taken as out.
 func (r *Record) countsIfOut(id string, alsoOut map[string]bool) (counts []Count) {
 	member := r.Members[id]
 	for _, limit := range r.limitsFor(member) {
 		count := Count{Limit: limit, Allowed: math.MaxInt}
 		totalCapacity, outCapacity := 0.0, 0.0
-		for _, other := range r.Members { // in any order: what is out is sorted below
+		for _, other := range r.Members { // count.Out is sorted below, as the iteration order varies
 			if !limit.countsTogether(member, other) {
 				continue
 			}
@@ -181,7 +189,7 @@
 	return counts
 }
 
-// room is why a member may not be taken out now, "" where it may.
+// limitRefusal returns why the limits forbid to take a member out now, "" if they allow it.
 func (r *Record) limitRefusal(id string, alsoOut map[string]bool) string {
 	for _, count := range r.countsIfOut(id, alsoOut) {
 		if count.Why != "" {
@@ -191,7 +199,7 @@
 	return ""
 }
 
-// allowed is how many may be out together where this member counts, when all others are in service.
+// maxOut returns how many members may be out at most under the limits that apply to a member, and the limit that decides.
 func (r *Record) maxOut(id string) (most int, limit Limit) {
 	most = math.MaxInt
 	for _, count := range r.Room(id) {
@@ -202,7 +210,8 @@
 	return most, limit
 }
 
-// counted lists the zones of all that count together with a member: a grant to it rests on what was seen there.
+// zonesCountedWith returns the zones of all members that count together with a member under some limit. A grant to the
+// member depends on the health reported for those zones.
 func (r *Record) zonesCountedWith(id string) (zones []string) {
 	member := r.Members[id]
 	for _, limit := range r.limitsFor(member) {
--- a/fleet/ops.go
+++ b/fleet/ops.go
@@ -7,113 +7,119 @@
 	"strings"
 )
 
-// Operations are steps in the record. Whoever owns one carries it; a successor goes on at what stands here.
+// An operation is a state machine per member. Its state is in the record; the agent that holds the operation's lease
+// advances it, and after a change of owner the next one continues from the recorded state.
 
-// Where a member stands in an operation.
+// States of a member in an operation, the values of Step.At.
 const (
-	Waits         = "waits"
-	Granted       = "granted" // it has its permit, and may have been told to go
-	Gone          = "out"     // nothing new goes there, and nothing runs there
-	StepCommand   = "acting"  // the site's own command is about to be, is being, or was run
-	StepReturning = "acted"   // it is to come back
-	StepInService = "in"      // it was seen in service since
+	Waits         = "waits"   // nothing was done yet
+	Granted       = "granted" // the member has a permit to be out, and its agent or the schedulers may have been told
+	Gone          = "out"     // the member gets no new work and runs none
+	StepCommand   = "acting"  // the site's command for the worker is about to be run, is running or has run
+	StepReturning = "acted"   // the work on the member is done; it has yet to be seen in service
+	StepInService = "in"      // the member was seen in service after that
 )
 
-// What is seen of a member, by who owns its zone.
+// Health states that the code compares with, values of Seen.State.
 const (
 	InService        = "in"
 	HealthNotReached = "not reached"
 )
 
-const downByAgent = "down" // by its own agent: no process of it serves
+// downByAgent in Command.Then says that by its own agent's answer no process of a scheduler serves.
+const downByAgent = "down"
 
 const (
 	maxLimits           = 100
-	maxClosedOperations = 50 // operations that are over
-	maxVersionBytes     = 2000
+	maxClosedOperations = 50   // closed operations that stay on record
+	maxVersionBytes     = 2000 // of all fields of a Version together
 	maxOperationMembers = 5000 // of one operation
 )
 
-// Seen is how a member was last seen to stand.
+// Seen is the health of a member, as the owner of its zone's lease last reported it.
 type Seen struct {
-	State    string `json:"state"` // in, or what else: starting, draining, cold, unlisted, out, not reached
-	RecordNo uint64 `json:"of"`    // what the record was at, for who looked, when the look began
+	State    string `json:"state"` // in, starting, draining, cold, unlisted, out, not reached, or another phase that a scheduler names
+	RecordNo uint64 `json:"of"`    // Record.No as the observer knew it when the observation began
 }
 
-// Permit is one member's leave to be out. Only its being seen in service ends it.
+// Permit allows one member to be out of service for an operation. It ends when the member is seen in service again, or
+// when a person removes the member by force.
 type Permit struct {
-	Op string `json:"op"`
-	No uint64 `json:"no"`
+	Op string `json:"op"` // the operation's id
+	No uint64 `json:"no"` // number of the command that granted it
 }
 
-// Version is what a release brings: a program and, where it changes, a configuration, named by what they hold.
+// Version is what a release installs: on schedulers a program, a configuration or both, on workers whatever the site's
+// command makes of Name.
 type Version struct {
-	Program string `json:"program,omitempty" toml:"program,omitempty"` // its path on each machine
-	Digest  string `json:"digest,omitempty" toml:"digest,omitempty"`   // sha256 of it
-	Config  string `json:"config,omitempty" toml:"config,omitempty"`   // path on each machine; {id} stands for the member
-	Name    string `json:"name,omitempty" toml:"name,omitempty"`       // of what the site's own command brings to workers
+	Program string `json:"program,omitempty" toml:"program,omitempty"` // path on each machine
+	Digest  string `json:"digest,omitempty" toml:"digest,omitempty"`   // SHA-256 of the program, in hexadecimal
+	Config  string `json:"config,omitempty" toml:"config,omitempty"`   // path on each machine; {id} stands for the member's id
+	Name    string `json:"name,omitempty" toml:"name,omitempty"`       // passed to the site's command for a worker
 }
 
-// Gates say when the released part is worse than the part that is not.
+// Gates are the thresholds that halt a release. Shares are parts of the txns that schedulers answered, from 0 to 1, and
+// released schedulers are compared with those that aren't released yet; 0 turns a comparison off.
 type Gates struct {
-	Settled  float64 `json:"settled,omitempty" toml:"settled"`   // the settled share may be so much lower
-	Declined float64 `json:"declined,omitempty" toml:"declined"` // the declined share so much higher
-	Reversed float64 `json:"reversed,omitempty" toml:"reversed"` // the reversed share so much higher
-	Txns     int     `json:"txns,omitempty" toml:"txns"`         // with fewer on either side nothing is said
-	Lost     int     `json:"lost,omitempty" toml:"lost"`         // so many released members that left service again halt it
+	Settled  float64 `json:"settled,omitempty" toml:"settled"`   // by how much the settled share may be lower
+	Declined float64 `json:"declined,omitempty" toml:"declined"` // by how much the declined share may be higher
+	Reversed float64 `json:"reversed,omitempty" toml:"reversed"` // by how much the reversed share may be higher
+	Txns     int     `json:"txns,omitempty" toml:"txns"`         // txns needed on either side for a comparison; 0: defaultMinTxns
+	Lost     int     `json:"lost,omitempty" toml:"lost"`         // released members out of service again that halt it; 0: defaultMaxLost
 }
 
-// Op is an operation.
+// Op is an operation on schedulers and workers, carried out wave by wave.
 type Op struct {
-	ID       string          `json:"id"`
+	ID       string          `json:"id"`   // the kind and the number of the command that began it
 	Kind     string          `json:"kind"` // drain, undrain, restart, maintain, release
 	By       string          `json:"by"`
 	Why      string          `json:"why,omitempty"`
-	Waves    [][]string      `json:"waves"`
-	Wave     int             `json:"wave"`
-	Together int             `json:"together,omitempty"` // so many of it out at once at the most, beside the limits
-	Back     bool            `json:"back,omitempty"`     // it goes back
-	Done     bool            `json:"done,omitempty"`
-	Closed   bool            `json:"closed,omitempty"`
-	Steps    map[string]Step `json:"steps"`
+	Waves    [][]string      `json:"waves"`              // member ids
+	Wave     int             `json:"wave"`               // index of the last wave that has begun
+	Together int             `json:"together,omitempty"` // most members out at once, in addition to the limits; 0: no bound
+	Back     bool            `json:"back,omitempty"`     // the operation is being rolled back
+	Done     bool            `json:"done,omitempty"`     // every wave is through; a release can still be rolled back
+	Closed   bool            `json:"closed,omitempty"`   // the operation is over for good
+	Steps    map[string]Step `json:"steps"`              // by member id
 	Version  Version         `json:"version"`
 	Gates    Gates           `json:"gates"`
-	Watch    float64         `json:"watch,omitempty"`     // ms after each wave
-	Pause    float64         `json:"pause,omitempty"`     // ms that what is maintained stays out
-	WaveMost float64         `json:"wave_ms,omitempty"`   // a wave that takes longer halts it
-	AutoBack bool            `json:"auto_back,omitempty"` // a halt that comes by itself also turns it back
+	Watch    float64         `json:"watch,omitempty"`     // ms to observe after each wave before the next one begins
+	Pause    float64         `json:"pause,omitempty"`     // ms that a member stays out before its maintenance ends or the site's command runs
+	WaveMost float64         `json:"wave_ms,omitempty"`   // ms; a wave that takes longer halts the operation; 0: no bound
+	AutoBack bool            `json:"auto_back,omitempty"` // a halt by the operation's owner also rolls it back
 }
 
-// Step is where one member stands.
+// Step is the state of one member in an operation.
 type Step struct {
 	At         string `json:"at"`
-	No         uint64 `json:"no"`              // the command that moved it there
-	Undo       bool   `json:"undo,omitempty"`  // it comes back without having been acted on
-	AgentStart string `json:"start,omitempty"` // the life of the agent that was to act
-	Why        string `json:"why,omitempty"`   // why it can't go on
+	No         uint64 `json:"no"`              // number of the command that moved the member there; agents know the step by it
+	Undo       bool   `json:"undo,omitempty"`  // a halt came while the member was Granted, so it is brought back instead of going on
+	AgentStart string `json:"start,omitempty"` // the start of the agent that is to run the site's command; no other start of it may
+	Why        string `json:"why,omitempty"`   // why the member can't go on, "" if it can
 }
 
-// Halt stops new steps of one operation, a zone or all.
+// Halt keeps members from being taken out, in one operation, in a zone or everywhere, until a person lifts it. Members
+// that are out still come back. A halt of one operation also keeps its next wave from beginning.
 type Halt struct {
-	Of   string `json:"of"` // an operation's id, zone/ZONE, or all
+	Of   string `json:"of"` // the scope: an operation's id, "zone/ZONE" or "all"
 	By   string `json:"by"`
 	Why  string `json:"why,omitempty"`
-	No   uint64 `json:"no"`
-	Then string `json:"then,omitempty"` // finish or back
+	No   uint64 `json:"no"`             // number of the command that set it
+	Then string `json:"then,omitempty"` // "back" also rolls the operation back; "finish" or "" doesn't
 }
 
-// row is one line of the table of steps: a member of a kind, in an operation of these kinds, standing at from.
+// transition is one row of the state table: it applies to members of one kind that are in the state from.
 type transition struct {
 	memberKind     string
-	operationKinds string // kinds of operations, and "back" for any that goes back; "" for all
+	operationKinds string // separated by spaces, with "back" for any operation that is being rolled back; "" for all
 	from           string
-	agentCall      string // at the member's agent, till it says that it is done: stop, run, command
-	condition      string // what has to hold in the record besides: room, out, in, pause
+	agentCall      string // call to the member's agent that has to be done first: stop, run, command; "" for none
+	condition      string // also required: room (under the limits), out or in (as last seen), pause (Op.Pause is over); "" for none
 	to             string
-	description    string // in words, for the drawing
+	description    string // of the condition, for TransitionTable
 }
 
-// steps is the table that runs; docs/design/releases.md has its drawing.
+// transitions is the state table. docs/design/releases.md shows it, as TransitionTable renders it.
 var transitions = []transition{
 	{"scheduler", "drain restart maintain release back", Waits, "", "room", Granted, "a permit"},
 	{"scheduler", "drain maintain", Granted, "stop", "", Gone, "its process has ended"},
@@ -129,7 +135,7 @@
 	{"worker", "", StepReturning, "", "in", StepInService, "seen in service, warm"},
 }
 
-// stepOf is the row that a member is at, nil where it has arrived.
+// nextTransition returns the transition that a member in the state s has to make next, nil if it has arrived.
 func (o *Op) nextTransition(m Member, s Step) *transition {
 	if o.Kind == "drain" && !o.Back && s.At == Gone && !s.Undo {
 		return nil
@@ -137,30 +143,34 @@
 	for i := range transitions {
 		candidate := &transitions[i]
 		kind := o.Kind
-		if (o.Back || s.Undo) && !(m.Kind == "worker" && o.Kind == "release") { // a worker's way back is a release of the former
+		// A worker is rolled back from a release like it was released: by the site's command, which installs the former version.
+		if (o.Back || s.Undo) && !(m.Kind == "worker" && o.Kind == "release") {
 			kind = "back"
 		}
-		if candidate.memberKind == m.Kind && candidate.from == s.At && (candidate.operationKinds == "" || slices.Contains(strings.Fields(candidate.operationKinds), kind)) {
+		if candidate.memberKind == m.Kind && candidate.from == s.At &&
+			(candidate.operationKinds == "" || slices.Contains(strings.Fields(candidate.operationKinds), kind)) {
 			return candidate
 		}
 	}
 	return nil
 }
 
-// Arrived tells whether a member has nothing more to do in an operation.
+// Arrived reports whether a member in the state s has nothing more to do in the operation.
 func (o *Op) Arrived(s Step) bool {
 	return s.At == StepInService || o.Kind == "drain" && !o.Back && s.At == Gone
 }
 
-// Raises tells whether an operation starts schedulers that are down, where their agents say so.
+// StartsDownSchedulers reports whether the operation may start the scheduler m without first taking it out, if its agent
+// reports it as down.
 func (o *Op) StartsDownSchedulers(m Member) bool {
 	return m.Kind == "scheduler" && (o.Back || o.Kind == "restart")
 }
 
-// Open tells whether an operation still has something to do, or may yet go back.
+// Open reports whether the operation still has something to do. A release that is done but not closed isn't open, though it
+// can be rolled back.
 func (o *Op) Open() bool { return !o.Done && !o.Closed }
 
-// now lists the members of the waves that have begun, in their order.
+// begunMembers lists the members of the waves that have begun, in their order.
 func (o *Op) begunMembers() (ids []string) {
 	for _, wave := range o.Waves[:min(o.Wave+1, len(o.Waves))] {
 		ids = append(ids, wave...)
@@ -168,10 +178,11 @@
 	return ids
 }
 
-// OpOf names the matter of an operation.
+// OpOf returns the name of an operation's lease.
 func OpOf(id string) string { return "op/" + id }
 
-// Halted is why nothing new may be taken out for an operation at a member, "" where nothing keeps it.
+// HaltReason returns why no further member in the zone may be taken out for the operation, "" if no halt forbids it. A halt
+// of the operation itself doesn't apply while it is being rolled back.
 func (r *Record) HaltReason(op *Op, zone string) string {
 	for _, scope := range []string{"all", MatterOf(zone), op.ID} {
 		if h, ok := r.Halts[scope]; ok && !(op.Back && scope == op.ID) {
@@ -181,10 +192,11 @@
 	return ""
 }
 
-// Grant is why a member may not be taken out now for an operation, "" where it may.
+// Grant returns why a member may not be taken out now for an operation, "" if it may.
 func (r *Record) Grant(op *Op, id string) string { return r.grantRefusal(op, id, nil) }
 
-// grant takes further members as granted already: an owner asks for many at once.
+// grantRefusal is Grant with the members in alsoOut taken as out: an owner asks for many permits at once, and has to count
+// those that are not on record yet.
 func (r *Record) grantRefusal(op *Op, id string, alsoOut map[string]bool) string {
 	member, known := r.Members[id]
 	switch permit, has := r.Permits[id]; {
@@ -215,6 +227,7 @@
 	return r.limitRefusal(id, alsoOut)
 }
 
+// beginOperation puts a new operation on record.
 func (r *Record) beginOperation(no uint64, c *Command) (string, uint64) {
 	requested := c.Op
 	if requested == nil || c.By == "" || !slices.Contains([]string{"drain", "undrain", "restart", "maintain", "release"}, requested.Kind) {
@@ -242,24 +255,26 @@
 				return id + ": no agent runs it, or a command for it", 0
 			}
 			for _, other := range r.Ops {
-				if _, inOther := other.Steps[id]; inOther && other.Open() { // also where it has arrived: that one may yet go back
+				if _, inOther := other.Steps[id]; inOther && other.Open() { // also if the member has arrived there: the other operation may still be rolled back
 					return fmt.Sprintf("%s is in %s, which is not over", id, other.ID), 0
 				}
 			}
 			op.Steps[id] = Step{At: Waits, No: no}
-			// It would wait for what only its undrain ends, and keep that from beginning.
+			// The new operation would wait for the end of a permit that only an undrain ends, and as an open operation keep the
+			// undrain from beginning.
 			if permit, hasPermit := r.Permits[id]; hasPermit && requested.Kind != "undrain" && r.Bug != "two-permits" {
 				return fmt.Sprintf("%s is out for %s: bring it back first, with undrain", id, permit.Op), 0
 			}
 			if requested.Kind == "undrain" {
-				// Of a drain, or of what ended without it: a person says that it is well.
+				// The permit is of a drain, or of an operation that ended while the member was still out. By an undrain a person
+				// states that the member may serve again.
 				if permit, ok := r.Permits[id]; !ok || r.Ops[permit.Op] != nil && r.Ops[permit.Op].Open() {
 					return id + " is not out, or its operation is not over", 0
 				}
 				op.Steps[id] = Step{At: Gone, No: no}
 				continue
 			}
-			// What can never begin is refused before anything moves.
+			// If the limits never let this member go out, the operation is refused before it changes anything.
 			if maxOut, limit := r.maxOut(id); maxOut < 1 {
 				return fmt.Sprintf("%s can never go out: %s", id, limit), 0
 			} else if op.Together > maxOut {
@@ -281,7 +296,8 @@
 	return "", no
 }
 
-// tidy forgets the oldest operations that are over, beyond those that are kept, where nobody is out for them.
+// pruneClosedOperations removes the oldest closed operations beyond maxClosedOperations, with their leases and halts. One
+// for which a member still has a permit is kept, and not counted.
 func (r *Record) pruneClosedOperations() {
 	inUse := map[string]bool{}
 	for _, p := range r.Permits {
@@ -306,7 +322,8 @@
 	}
 }
 
-// owned is the operation of a command of its owner, with why it does not count, "" where it does.
+// ownedOperation returns the operation that a command of its owner is about, and why the command is refused, "" if it isn't:
+// the sender has to hold the operation's lease with the current fencing token.
 func (r *Record) ownedOperation(c *Command) (*Op, string) {
 	op := r.Ops[strings.TrimPrefix(c.Matter, "op/")]
 	lease := r.Matters[c.Matter]
@@ -321,7 +338,8 @@
 	return op, ""
 }
 
-// step moves one member on, by its operation's owner: along the table, one row, from where the owner saw it stand.
+// advanceMember moves one member to its next state, at the request of the operation's owner: by one transition of the
+// table, provided that the member is still in the step that the owner saw (compare-and-set on Step.No).
 func (r *Record) advanceMember(no uint64, c *Command) (string, uint64) {
 	op, why := r.ownedOperation(c)
 	if why != "" {
@@ -332,7 +350,7 @@
 		return "it has moved since", step.No
 	}
 	member := r.Members[c.ID]
-	if c.To == "" { // it can't go on
+	if c.To == "" { // the owner reports that the member can't go on
 		step.Why = c.Why
 		op.Steps[c.ID] = step
 		r.appendAudit(no, "stuck", op.ID+" "+c.ID, c)
@@ -352,8 +370,10 @@
 		r.appendAudit(no, "undo", op.ID+" "+c.ID, c)
 		return "", no
 	}
-	// One that its own agent knows to be down takes no room to be started: else two that fell would keep each other out.
-	if _, out := r.IsOut(c.ID); c.Then == downByAgent && c.To == Gone && step.At == Waits && op.StartsDownSchedulers(member) && out && r.Permits[c.ID].Op == "" {
+	// A scheduler that its own agent reports as down is started without regard to the limits, as it counts as out already.
+	// Otherwise two schedulers that crashed would each keep the other from being started.
+	if _, out := r.IsOut(c.ID); c.Then == downByAgent && c.To == Gone && step.At == Waits &&
+		op.StartsDownSchedulers(member) && out && r.Permits[c.ID].Op == "" {
 		r.Permits[c.ID] = Permit{op.ID, no}
 		step.At, step.No, step.Why = Gone, no, ""
 		op.Steps[c.ID] = step
@@ -396,14 +416,16 @@
 	return "", no
 }
 
-// intend has schedulers told about a worker, by the owner of its zone.
+// setIntent records whether a worker is to be out, under the lease in c.Matter. The owner of the worker's zone then tells
+// the schedulers.
 func (r *Record) setIntent(no uint64, member Member, out bool, c *Command) {
 	if intent := r.Workers[member.ID]; intent.Out != out {
 		r.Workers[member.ID] = Intent{Zone: member.Zone, Out: out, Since: no, By: c.Matter, Why: c.Why}
 	}
 }
 
-// wave begins the next wave, or ends the operation.
+// advanceWave begins the next wave, or after the last one marks the operation as done. All members of the waves that have
+// begun must have arrived; in a rollback a member that can't go on does not hold up the rest.
 func (r *Record) advanceWave(no uint64, c *Command) (string, uint64) {
 	op, why := r.ownedOperation(c)
 	if why != "" {
@@ -427,13 +449,14 @@
 	}
 	op.Done = true
 	if op.Kind != "release" {
-		op.Closed = true // nothing is kept for a way back
+		op.Closed = true // only a release can be rolled back after it is done
 	}
 	r.appendAudit(no, "done", op.ID, c)
 	return "", no
 }
 
-// turn has an operation go back, from any point: by a person, or by its owner where the file says so.
+// turnBack begins to roll an operation back, whatever state it is in: at a person's request, or at that of its owner if
+// Op.AutoBack is set.
 func (r *Record) turnBack(no uint64, c *Command) (string, uint64) {
 	op := r.Ops[strings.TrimPrefix(c.Matter, "op/")]
 	if c.Owner != "" {
@@ -454,7 +477,7 @@
 		step, member := op.Steps[id], r.Members[id]
 		switch {
 		case step.At == Waits:
-			step.At = StepInService // nothing was done
+			step.At = StepInService // nothing was done to the member
 		case step.At == StepInService && op.Kind == "release":
 			step.At, inService = Waits, append(inService, id)
 		case step.At == StepInService:
@@ -463,9 +486,9 @@
 			step.At = StepReturning
 			alreadyOut = append(alreadyOut, id)
 		case member.Kind == "worker" && op.Kind != "release":
-			alreadyOut = append(alreadyOut, id) // what runs there ends first
+			alreadyOut = append(alreadyOut, id) // the site's command, if it runs, has to end first
 		case member.Kind == "worker":
-			step.At = Granted // nothing may run there when the former version comes
+			step.At = Granted // the worker must run nothing when the former version is installed, so it has to be seen out again
 			r.setIntent(no, member, true, &Command{Matter: OpOf(op.ID)})
 			alreadyOut = append(alreadyOut, id)
 		default:
@@ -477,16 +500,17 @@
 	}
 	for _, wave := range op.Waves[min(op.Wave+1, len(op.Waves)):] {
 		for _, id := range wave {
-			op.Steps[id] = Step{At: StepInService, No: no} // never begun
+			op.Steps[id] = Step{At: StepInService, No: no} // its wave never began
 		}
 	}
-	// Those that are out come first, then those that still serve and have to go out once more.
+	// Members that are out are brought back first, then those that serve, which have to go out once more.
 	slices.Sort(alreadyOut)
 	op.Waves, op.Wave, op.Back, op.Done = [][]string{append(alreadyOut, inService...)}, 0, true, false
 	r.appendAudit(no, "back", op.ID, c)
 	return "", no
 }
 
+// addHalt sets a halt, at a person's request or at that of an operation's owner.
 func (r *Record) addHalt(no uint64, c *Command) (string, uint64) {
 	op := r.Ops[c.ID]
 	zone, isZone := strings.CutPrefix(c.ID, "zone/")
@@ -515,7 +539,7 @@
 	return "", no
 }
 
-// lift ends a halt. Only a person does.
+// liftHalt removes a halt. Only a person may.
 func (r *Record) liftHalt(no uint64, c *Command) (string, uint64) {
 	switch halt, ok := r.Halts[c.ID]; {
 	case c.By == "" || c.Owner != "":
@@ -529,7 +553,7 @@
 	}
 }
 
-// close ends an operation for good: what was kept for its way back may go.
+// closeOperation ends an operation for good. Agents may then delete the former version that they kept for a rollback.
 func (r *Record) closeOperation(no uint64, c *Command) (string, uint64) {
 	op := r.Ops[strings.TrimPrefix(c.Matter, "op/")]
 	switch {
@@ -551,6 +575,7 @@
 	return "", no
 }
 
+// setLimits replaces all limits.
 func (r *Record) setLimits(no uint64, c *Command) (string, uint64) {
 	if why := CheckLimits(c.Limits); why != "" || c.By == "" {
 		return why, 0
@@ -560,7 +585,8 @@
 	return "", no
 }
 
-// saw takes what the owner of a zone saw of its members.
+// recordHealth takes over what the owner of a zone's lease saw of the zone's members. An observation that is older than the
+// one on record is ignored.
 func (r *Record) recordHealth(zone string, seen map[string]Seen) {
 	for id, health := range seen {
 		if member, ok := r.Members[id]; ok && member.Zone == zone && len(health.State) <= maxNameBytes {
@@ -574,7 +600,7 @@
 	}
 }
 
-// Drawing is the table of steps as text, for docs/design/releases.md.
+// TransitionTable renders the state table as rows of a Markdown table, for docs/design/releases.md.
 func TransitionTable() string {
 	var text strings.Builder
 	for _, transition := range transitions {
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -1,6 +1,11 @@
-// Package fleet decides for the fleet as a whole: what is on record, who acts for all, and what is still to be told to
-// whom. It has no I/O, no clock and no goroutine: its host tells it what happened and when, then pulls decisions. The
-// record is kept by package quorum; agents act on it.
+// Package fleet holds the replicated state of the fleet (the record) and the decision logic that works on it: which
+// members exist, which workers are in service, which agent holds which lease, how far each operation (drain, restart,
+// release, ...) is, and which scheduler still has to be told of a change. Package quorum replicates the record; package
+// agent carries out the decisions.
+//
+// The package has no I/O, no clock and no goroutine. Its host reports each event together with the time at which it
+// happened, then asks for the next decision. Unless a comment says otherwise, times are float64 milliseconds of the
+// host's monotonic clock, and durations are float64 milliseconds.
 package fleet
 
 import (
@@ -12,160 +17,172 @@
 	"strings"
 )
 
-// Form is the newest form of commands and snapshots that this program reads. One that meets a newer form stays as it
-// is: passed over, a command would make two records of one. A command names the form that first had it, so programs of both
-// forms keep one record until the first command of the newer one.
+// Form is the newest format version of commands and snapshots that this program reads. A program that meets a newer
+// version stops applying commands: if it skipped one, its record would differ from that of newer programs. Each command
+// carries the version that introduced it, so programs of both versions keep equal records until the first command of the
+// newer version is committed.
 const Form = 2
 
-// FormOf is the form that first had a command.
+// FormOf returns the format version that introduced the verb and the fields that the command uses.
 func FormOf(command *Command) int {
-	if command.Op != nil || command.Seen != nil || command.Limits != nil || command.Member != nil && (command.Member.Kind == "worker" || command.Member.Agent+command.Member.Labels != "") ||
+	if command.Op != nil || command.Seen != nil || command.Limits != nil ||
+		command.Member != nil && (command.Member.Kind == "worker" || command.Member.Agent+command.Member.Labels != "") ||
 		slices.Contains([]string{"limits", "begin", "step", "wave", "turn", "halt", "lift", "close"}, command.Do) {
 		return 2
 	}
 	return 1
 }
 
-// Bounds of the record: a caller that sends without end must not fill every voter's memory.
+// Bounds on the size of the record, so that no caller can fill the memory of every voter.
 const (
-	maxAuditEntries = 1000  // of the audit
-	maxSessions     = 4096  // a command sent again after as many other callers is not known any more
-	maxMembers      = 10000 // schedulers and agents
-	maxWorkers      = 50000
-	maxLeases       = 1000
-	maxNameBytes    = 200 // bytes of an id, a zone, a name
-	maxReasonBytes  = 500
+	maxAuditEntries = 1000
+	maxSessions     = 4096  // callers whose last command is remembered; a retry after as many other callers is not recognized
+	maxMembers      = 10000 // schedulers, agents and registered workers together
+	maxWorkers      = 50000 // workers that have an Intent
+	maxLeases       = 1000  // also bounds the halts
+	maxNameBytes    = 200   // of one id, zone, address, owner or set of labels
+	maxReasonBytes  = 500   // of Command.Why
 )
 
-// Member is a scheduler, an agent or a worker of the fleet.
+// Member is a scheduler, an agent or a worker that is registered in the record.
 type Member struct {
 	ID       string  `json:"id"`
 	Kind     string  `json:"kind"` // scheduler, agent or worker
 	Zone     string  `json:"zone"`
-	Addr     string  `json:"addr"`               // of a scheduler its second address, of an agent its own; of a worker what staff call it by
-	Agent    string  `json:"agent,omitempty"`    // who runs its processes, or the site's own command for it
+	Addr     string  `json:"addr"`               // of a scheduler its management address, of an agent its own; of a worker its name to operators
+	Agent    string  `json:"agent,omitempty"`    // the id of the agent that runs a scheduler's processes or the site's command for a worker
 	Labels   string  `json:"labels,omitempty"`   // key=value,key=value
-	Capacity float64 `json:"capacity,omitempty"` // of a worker, in any unit that all share
+	Capacity float64 `json:"capacity,omitempty"` // of a worker, in any unit that all workers share
 }
 
-// Matter is what one owner at a time does for all.
+// Lease is the exclusive right of one agent to act for a zone ("zone/ZONE") or an operation ("op/ID"). On the wire and in
+// stored data a lease is called a matter.
 type Lease struct {
-	Owner   string  `json:"owner,omitempty"` // an agent's id and which start of it, "" for none
-	Fence   uint64  `json:"fence"`           // rises at each change of owner and never comes again
-	TermMs  float64 `json:"term"`            // ms that a claim or renewal holds
-	Renewed uint64  `json:"renewed"`         // the command that last claimed or renewed it
-	Wanted  string  `json:"wanted,omitempty"`
+	Owner   string  `json:"owner,omitempty"`  // see OwnerOf; "" while nobody holds the lease
+	Fence   uint64  `json:"fence"`            // the fencing token: grows at each change of owner and is never reused
+	TermMs  float64 `json:"term"`             // how long a claim or renewal holds
+	Renewed uint64  `json:"renewed"`          // number of the last command that claimed, renewed or released the lease
+	Wanted  string  `json:"wanted,omitempty"` // the agent to which the owner is asked to hand the lease over, "" for none
 }
 
-// Intent is what the fleet means to do with a worker.
+// Intent is the desired state of a worker: out of service or in service.
 type Intent struct {
 	Zone  string `json:"zone"`
 	Out   bool   `json:"out"`
-	Since uint64 `json:"since"` // the command that last changed it
-	By    string `json:"by"`
+	Since uint64 `json:"since"` // number of the command that last changed it
+	By    string `json:"by"`    // a person, or the lease of the operation ("op/ID") that changed it
 	Why   string `json:"why,omitempty"`
 }
 
-// Row is a change, as the audit keeps it.
+// AuditEntry describes one applied change.
 type AuditEntry struct {
-	No   uint64 `json:"no"`
-	What string `json:"what"`
-	Of   string `json:"of"`
+	No   uint64 `json:"no"`   // number of the command
+	What string `json:"what"` // the kind of change, such as "member", "owner" or "out"
+	Of   string `json:"of"`   // the object that was changed
 	By   string `json:"by"`
 	Why  string `json:"why,omitempty"`
 }
 
-// Answer is what came of a command.
+// Answer is the result of a command.
 type Answer struct {
-	No    uint64 `json:"no"`   // of the command, in the record's order
-	Done  bool   `json:"done"` // else it was refused, and changed nothing
-	Why   string `json:"why,omitempty"`
+	No    uint64 `json:"no"`            // number of the command: its position in the replicated log
+	Done  bool   `json:"done"`          // false: the command was refused
+	Why   string `json:"why,omitempty"` // the reason of a refusal
 	Fence uint64 `json:"fence,omitempty"`
 }
 
+// session is the last command of one caller with its answer, kept so that a retry is answered and not carried out again.
 type session struct {
-	Last   uint64 `json:"last"` // the caller's own number
+	Last   uint64 `json:"last"` // Command.Number
 	Answer Answer `json:"answer"`
-	At     uint64 `json:"at"`
+	At     uint64 `json:"at"` // number of the command in the log; the session with the lowest one is evicted first
 }
 
-// Command is one change that is asked for. Caller and Number make it the same one when it is sent again.
+// Command asks for one change of the record. Caller and Number together are its idempotency key: they stay the same when
+// the command is sent again.
 type Command struct {
-	V       int     `json:"v"`
+	V       int     `json:"v"` // format version, see FormOf
 	Caller  string  `json:"caller"`
-	Number  uint64  `json:"number"`
-	Do      string  `json:"do"` // a key of verbs
+	Number  uint64  `json:"number"` // grows with each new command of the caller
+	Do      string  `json:"do"`     // the verb, a key of commandHandlers
 	By      string  `json:"by,omitempty"`
 	Why     string  `json:"why,omitempty"`
 	Member  *Member `json:"member,omitempty"`
-	ID      string  `json:"id,omitempty"` // of a member or a worker
+	ID      string  `json:"id,omitempty"` // of a member or a worker; of a halt or a lift its scope, see Halt.Of
 	Zone    string  `json:"zone,omitempty"`
-	Matter  string  `json:"matter,omitempty"`
-	Owner   string  `json:"owner,omitempty"`
-	Fence   uint64  `json:"fence,omitempty"`
-	Renewed uint64  `json:"renewed,omitempty"`
-	Term    float64 `json:"term,omitempty"`
+	Matter  string  `json:"matter,omitempty"`  // name of the lease that the command is about, or under which it is sent
+	Owner   string  `json:"owner,omitempty"`   // the sender as owner of that lease; with "want" the id of the agent that should get it
+	Fence   uint64  `json:"fence,omitempty"`   // the fencing token as the sender knows it
+	Renewed uint64  `json:"renewed,omitempty"` // expected value for compare-and-set: of Lease.Renewed (claim), Step.No (step) or Op.Wave (wave)
+	Term    float64 `json:"term,omitempty"`    // ms, of a claim
 	Force   bool    `json:"force,omitempty"`
-	// Of form 2.
-	Seen       map[string]Seen `json:"seen,omitempty"` // with a renewal
+	// The fields below were introduced by format version 2.
+	Seen       map[string]Seen `json:"seen,omitempty"` // with a renewal of a zone's lease: changed health by member id
 	Op         *Op             `json:"op,omitempty"`
-	To         string          `json:"to,omitempty"`
-	AgentStart string          `json:"start,omitempty"`
-	Then       string          `json:"then,omitempty"`
+	To         string          `json:"to,omitempty"`    // of a step the next state, "undo", or "" if it can't go on; of a renewal Whole or ""
+	AgentStart string          `json:"start,omitempty"` // of a step: see Step.AgentStart
+	Then       string          `json:"then,omitempty"`  // of a halt: see Halt.Then; of a step: downByAgent or ""
 	Limits     []Limit         `json:"limits,omitempty"`
 }
 
-// Record is the fleet's state after the commands so far. Equal commands in equal order give equal bytes.
+// Record is the replicated state of the fleet after a prefix of the command log. Applying equal commands in equal order
+// gives equal snapshots, byte for byte.
 type Record struct {
-	V        int                `json:"v"`
-	No       uint64             `json:"no"`        // of the last command
-	Voters   map[uint64]string  `json:"voters"`    // who keeps the record, and where
-	VotersNo uint64             `json:"voters_no"` // the change that made them so
-	VoterMax uint64             `json:"voter_max"` // the highest number that any ever had
-	Members  map[string]Member  `json:"members"`
-	Matters  map[string]Lease   `json:"matters"`
-	Workers  map[string]Intent  `json:"workers"`
-	Rows     []AuditEntry       `json:"rows"`
-	Sessions map[string]session `json:"sessions"`
+	V        int                `json:"v"`         // the highest format version of any applied command
+	No       uint64             `json:"no"`        // number of the last applied log entry
+	Voters   map[uint64]string  `json:"voters"`    // addresses of the replicas that vote, by their ids
+	VotersNo uint64             `json:"voters_no"` // number of the last change of the voters
+	VoterMax uint64             `json:"voter_max"` // the highest id that any voter ever had
+	Members  map[string]Member  `json:"members"`   // by id
+	Matters  map[string]Lease   `json:"matters"`   // leases by name
+	Workers  map[string]Intent  `json:"workers"`   // by worker id
+	Rows     []AuditEntry       `json:"rows"`      // the audit log, oldest first
+	Sessions map[string]session `json:"sessions"`  // by caller
 	Limits   []Limit            `json:"limits,omitempty"`
-	Health   map[string]Seen    `json:"health,omitempty"`
-	Permits  map[string]Permit  `json:"permits,omitempty"`
-	Ops      map[string]*Op     `json:"ops,omitempty"`
-	Halts    map[string]Halt    `json:"halts,omitempty"`
-	// Retries counts commands that were sent again and not carried out again.
+	Health   map[string]Seen    `json:"health,omitempty"`  // by member id
+	Permits  map[string]Permit  `json:"permits,omitempty"` // by member id
+	Ops      map[string]*Op     `json:"ops,omitempty"`     // operations by id
+	Halts    map[string]Halt    `json:"halts,omitempty"`   // by Halt.Of
+	// Retries counts commands that were recognized as retries and not carried out again.
 	Retries uint64 `json:"retries"`
-	// Bug is one planted by a test of what finds it, "" in any other use.
+	// Bug names a fault that a test injects to check that its invariant checks find it; "" otherwise.
 	Bug string `json:"-"`
 }
 
-// NewRecord is the record before any command.
+// NewRecord returns the record before any command.
 func NewRecord() *Record {
-	return &Record{V: 1, Health: map[string]Seen{}, Permits: map[string]Permit{}, Ops: map[string]*Op{}, Halts: map[string]Halt{}, Voters: map[uint64]string{}, Members: map[string]Member{}, Matters: map[string]Lease{}, Workers: map[string]Intent{},
+	return &Record{V: 1, Health: map[string]Seen{}, Permits: map[string]Permit{}, Ops: map[string]*Op{}, Halts: map[string]Halt{},
+		Voters: map[uint64]string{}, Members: map[string]Member{}, Matters: map[string]Lease{}, Workers: map[string]Intent{},
 		Sessions: map[string]session{}}
 }
 
-// ErrNewer says that a command or snapshot is of a form that this program does not read. Nothing was changed.
-var ErrNewer = errors.New("of a newer form than this program reads")
+// ErrNewer reports a command or snapshot of a newer format version than this program reads. Nothing was changed.
+var ErrNewer = errors.New("newer than the format version that this program reads")
 
-// verbs has what each command does. It returns why the command is refused, "" where it was carried out, and the fence
-// number that the caller is to know.
+// commandHandlers has the function that carries out each verb. It returns why the command is refused, "" if it was
+// carried out, and the number for Answer.Fence: the fencing token of the lease, or of a command about an operation the
+// command number that a later step has to name.
+//
+// A refusal's text is stored in the caller's session and is thus part of the replicated state. To reword one is a change
+// of format: voters that run the former and the new program would keep different records.
 var commandHandlers = map[string]func(r *Record, no uint64, c *Command) (why string, fence uint64){
 	"member": (*Record).putMember, "unmember": (*Record).removeMember,
 	"claim": (*Record).claimLease, "renew": (*Record).renewLease, "leave": (*Record).releaseLease, "want": (*Record).requestHandover,
 	"out": (*Record).takeWorkerOut, "in": (*Record).putWorkerBack,
-	"limits": (*Record).setLimits, "begin": (*Record).beginOperation, "step": (*Record).advanceMember, "wave": (*Record).advanceWave, "turn": (*Record).turnBack,
+	"limits": (*Record).setLimits, "begin": (*Record).beginOperation, "step": (*Record).advanceMember,
+	"wave": (*Record).advanceWave, "turn": (*Record).turnBack,
 	"halt": (*Record).addHalt, "lift": (*Record).liftHalt, "close": (*Record).closeOperation,
 }
 
-// Check tells what is wrong with a command before it is sent, nil where nothing is.
+// Check validates a command without regard to the record.
 func (c *Command) Check() error {
 	switch {
 	case c.V > Form:
-		return fmt.Errorf("command of form %d: %w", c.V, ErrNewer)
+		return fmt.Errorf("command of format version %d: %w", c.V, ErrNewer)
 	case commandHandlers[c.Do] == nil:
-		return fmt.Errorf("do: %q is no command", c.Do)
+		return fmt.Errorf("do: %q is not a command", c.Do)
 	case c.Caller == "" || c.Number == 0:
-		return fmt.Errorf("caller and number are missing")
+		return fmt.Errorf("caller is empty or number is 0")
 	case len(c.Why) > maxReasonBytes:
 		return fmt.Errorf("why: longer than %d bytes", maxReasonBytes)
 	}
@@ -185,13 +202,13 @@
 	return nil
 }
 
-// Apply carries out the command with this number. Only ErrNewer is an error: then nothing was applied, nor may anything
-// that follows. What can't be read at all is refused by every voter alike.
+// Apply carries out the command that has this number in the log. Its only error is ErrNewer: then the command was not
+// applied, and no later one may be. A command that can't be decoded or is invalid is refused, by every voter alike.
 func (r *Record) Apply(no uint64, raw []byte) (Answer, error) {
 	var command Command
 	err := json.Unmarshal(raw, &command)
-	if command.V > Form || r.Bug == "form-1" && command.V > 1 { // the second is an older program, as a test plays it
-		return Answer{}, fmt.Errorf("command %d of form %d: %w", no, command.V, ErrNewer)
+	if command.V > Form || r.Bug == "form-1" && command.V > 1 { // the second condition lets a test simulate an older program
+		return Answer{}, fmt.Errorf("command %d of format version %d: %w", no, command.V, ErrNewer)
 	}
 	r.No = no
 	if err == nil {
@@ -203,7 +220,7 @@
 	if last, ok := r.Sessions[command.Caller]; ok && command.Number <= last.Last && r.Bug != "retry-twice" {
 		r.Retries++
 		if command.Number < last.Last {
-			return Answer{No: no, Why: "an older command than the last one of this caller"}, nil
+			return Answer{No: no, Why: "the number is lower than that of this caller's last command"}, nil
 		}
 		return last.Answer, nil
 	}
@@ -214,11 +231,12 @@
 	return answer, nil
 }
 
-// remember keeps a caller's last answer. Of too many callers the one that was silent for longest goes.
+// storeSession keeps the last answer to a caller. If there are too many callers, the one that has sent no command for the
+// longest time is evicted.
 func (r *Record) storeSession(caller string, latest session) {
 	if _, ok := r.Sessions[caller]; !ok && len(r.Sessions) >= maxSessions {
 		oldest, oldestNo := "", uint64(0)
-		for name, other := range r.Sessions { // the least of all is the same one in any order
+		for name, other := range r.Sessions { // At is unique, so the minimum does not depend on the iteration order
 			if oldest == "" || other.At < oldestNo {
 				oldest, oldestNo = name, other.At
 			}
@@ -228,18 +246,20 @@
 	r.Sessions[caller] = latest
 }
 
+// appendAudit appends an entry to the audit log, which keeps the last maxAuditEntries.
 func (r *Record) appendAudit(no uint64, what, of string, c *Command) {
 	r.Rows = append(r.Rows, AuditEntry{no, what, of, c.By, c.Why})
 	r.Rows = r.Rows[max(0, len(r.Rows)-maxAuditEntries):]
 }
 
+// putMember registers a member, or with Force changes one.
 func (r *Record) putMember(no uint64, c *Command) (string, uint64) {
 	member := c.Member
 	if member == nil || member.ID == "" || member.Zone == "" || member.Addr == "" || !slices.Contains([]string{"scheduler", "agent", "worker"}, member.Kind) {
 		return "a member has an id, a kind (scheduler, agent or worker), a zone and an address", 0
 	}
 	for id, other := range r.Members {
-		// Counted under two names it would be told twice, and be two of those that may be out.
+		// One process registered under two ids would be told of each change twice, and count as two members under the limits.
 		if other.Addr == member.Addr && id != member.ID {
 			return "another member has this address", 0
 		}
@@ -251,7 +271,7 @@
 	case known && !c.Force:
 		return "there is a member of this id", 0
 	case known && former.Agent != "" && former.Agent != member.Agent && r.Members[former.Agent].ID != "":
-		// A name that was started twice: taken by turns, nobody would know which is meant.
+		// Two agents were configured with the same member. If each could take it over, it would alternate between them.
 		return "it is " + former.Agent + "'s", 0
 	case len(r.Members) >= maxMembers:
 		return "the record holds no more members", 0
@@ -264,6 +284,7 @@
 	return "", 0
 }
 
+// removeMember removes a member from the record, with Force also one that has a permit to be out.
 func (r *Record) removeMember(no uint64, c *Command) (string, uint64) {
 	if _, ok := r.Members[c.ID]; !ok {
 		return "no such member", 0
@@ -273,13 +294,13 @@
 	}
 	delete(r.Members, c.ID)
 	delete(r.Health, c.ID)
-	delete(r.Permits, c.ID) // a person says that it does not count any more
+	delete(r.Permits, c.ID) // by Force a person has stated that it doesn't count as out any more
 	r.appendAudit(no, "unmember", c.ID, c)
 	return "", 0
 }
 
-// claim gives a matter to a new owner, where nothing has happened to it since the claimant looked. Whether the term of
-// an owner that is still named is over only the leader's clock can tell: see Keeper.
+// claimLease gives a lease to a new owner, provided that the lease hasn't changed since the claimant read it. Whether the
+// term of an owner that is still on record has expired is not decided here but by the leader's clock: see Keeper.
 func (r *Record) claimLease(no uint64, c *Command) (string, uint64) {
 	lease, known := r.Matters[c.Matter]
 	switch {
@@ -302,6 +323,7 @@
 	return "", lease.Fence
 }
 
+// renewLease extends the owner's term. A renewal of a zone's lease also carries the health of the zone's members.
 func (r *Record) renewLease(no uint64, c *Command) (string, uint64) {
 	lease := r.Matters[c.Matter]
 	if c.Owner == "" || lease.Owner != c.Owner || lease.Fence != c.Fence {
@@ -315,6 +337,7 @@
 	return "", lease.Fence
 }
 
+// releaseLease ends an ownership at its owner's own request.
 func (r *Record) releaseLease(no uint64, c *Command) (string, uint64) {
 	lease := r.Matters[c.Matter]
 	if c.Owner == "" || lease.Owner != c.Owner || lease.Fence != c.Fence {
@@ -326,7 +349,8 @@
 	return "", lease.Fence
 }
 
-// want asks an owner to pass a matter on. Its owner does so itself: taken from it, it would act on meanwhile.
+// requestHandover asks the owner of a lease to hand it over to another agent. The owner releases the lease itself: if it
+// were taken away, the owner would continue to act until it learned of that.
 func (r *Record) requestHandover(no uint64, c *Command) (string, uint64) {
 	lease, known := r.Matters[c.Matter]
 	switch agent := r.Members[c.Owner]; {
@@ -343,6 +367,7 @@
 	return "", lease.Fence
 }
 
+// takeWorkerOut sets a worker's intent to out, at a person's request.
 func (r *Record) takeWorkerOut(no uint64, c *Command) (string, uint64) {
 	intent, known := r.Workers[c.ID]
 	switch {
@@ -355,7 +380,7 @@
 	case intent.Out:
 		return "", 0
 	case r.Members[c.ID].Kind == "worker" && !c.Force:
-		// A person's own 'down' uses up the same room. One who must, as where a worker does harm, says so.
+		// A worker that a person takes out counts under the same limits. Force overrides them, as for a worker that does harm.
 		if why := r.limitRefusal(c.ID, nil); why != "" {
 			return why, 0
 		}
@@ -368,7 +393,8 @@
 	return "", 0
 }
 
-// in puts a worker back. What one person took out another does not put back by mistake.
+// putWorkerBack sets a worker's intent to in service. A worker that one person took out is put back by another only with
+// Force, so that this doesn't happen by mistake.
 func (r *Record) putWorkerBack(no uint64, c *Command) (string, uint64) {
 	intent, known := r.Workers[c.ID]
 	switch {
@@ -387,7 +413,8 @@
 	return "", 0
 }
 
-// SetVoter takes a change of who keeps the record.
+// SetVoter applies a change of the voters, which is log entry no. It removes the voter with the id remove and adds the one
+// with the id add; 0 means none.
 func (r *Record) SetVoter(no, add uint64, addr string, remove uint64) {
 	r.No, r.VotersNo = no, no
 	if remove != 0 {
@@ -400,16 +427,16 @@
 	}
 }
 
-// Snapshot is the record as bytes: the same ones for equal records.
+// Snapshot encodes the record. Equal records give equal bytes.
 func (r *Record) Snapshot() []byte {
-	raw, err := json.Marshal(r) // maps in the order of their keys
+	raw, err := json.Marshal(r) // encoding/json sorts map keys
 	if err != nil {
-		panic(err) // strings and numbers alone: there is nothing in it that can't be written
+		panic(err) // can't happen: the record has strings, bools and finite numbers alone
 	}
 	return raw
 }
 
-// Clone is a copy that does not change with the record.
+// Clone returns a copy that doesn't change with the record.
 func (r *Record) Clone() *Record {
 	copied := *r
 	copied.Voters, copied.Members, copied.Matters, copied.Workers = maps.Clone(r.Voters), maps.Clone(r.Members), maps.Clone(r.Matters), maps.Clone(r.Workers)
@@ -423,29 +450,30 @@
 	return &copied
 }
 
-// Lean is a snapshot for those who act on the record and don't keep it: every agent is sent it at each change, and a renewal
-// would else carry thousands of sessions and the whole audit.
+// Lean encodes the record without its sessions and audit log, for agents that act on the record but don't store it. Each
+// agent is sent this snapshot at every change; without the omission each lease renewal would send thousands of sessions
+// and the whole audit log to every agent.
 func (r *Record) Lean() []byte {
 	lean := *r
 	lean.Sessions, lean.Rows = nil, nil
 	return lean.Snapshot()
 }
 
-// Restore reads a snapshot. Where that fails the record is as it was.
+// Restore replaces the record by a snapshot. If it returns an error, the record is unchanged.
 func (r *Record) Restore(raw []byte) error {
 	restored := NewRecord()
 	if err := json.Unmarshal(raw, restored); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	if restored.V > Form {
-		return fmt.Errorf("snapshot of form %d: %w", restored.V, ErrNewer)
+		return fmt.Errorf("snapshot of format version %d: %w", restored.V, ErrNewer)
 	}
 	restored.Bug = r.Bug
 	*r = *restored
 	return nil
 }
 
-// OutIn lists the workers that are out, of one zone or of all ("").
+// OutIn returns the sorted ids of the workers whose intent is out, of one zone or of all zones ("").
 func (r *Record) OutIn(zone string) (ids []string) {
 	for id, intent := range r.Workers {
 		if intent.Out && (zone == "" || intent.Zone == zone) {
@@ -456,7 +484,7 @@
 	return ids
 }
 
-// Of lists the members of a kind, by id.
+// Of returns the members of one kind, sorted by id.
 func (r *Record) Of(kind string) (all []Member) {
 	for _, m := range r.Members {
 		if m.Kind == kind {
@@ -472,14 +500,16 @@
 	return all
 }
 
-// OwnerOf names one start of an agent: one that was started again knows nothing of what it held, and is another owner.
+// OwnerOf returns the owner name of one start of an agent. An agent that was restarted doesn't know which leases it held,
+// so each of its starts counts as a different owner.
 func OwnerOf(agent, start string) string { return agent + "#" + start }
 
-// AgentOf is the agent of an owner.
+// AgentOf returns the id of the agent in an owner name.
 func AgentOf(owner string) string {
 	agent, _, _ := strings.Cut(owner, "#")
 	return agent
 }
 
-// MatterOf names the matter of a zone's workers.
+// MatterOf returns the name of a zone's lease. Its owner tells schedulers of the zone's workers and reports the health of
+// the zone's members.
 func MatterOf(zone string) string { return "zone/" + zone }
