--- a/fleet/carrier.go
+++ b/fleet/carrier.go
@@ -7,83 +7,86 @@
 )
 
 const (
-	agentPollMs      = 100.0 // how soon an agent is asked again how far it is
-	sampleIntervalMs = 500.0
-	commandRetryMs   = 3000.0 // after which a command that nothing came of is asked for again
-	grantRetryMs     = 500.0  // after a grant that was refused
-	defaultMaxLost   = 2      // where the file names none
-	returnTimeoutMs  = 20000  // for a scheduler whose new process was ready to be seen in service
+	agentPollMs      = 100.0  // between two calls to an agent about one member
+	sampleIntervalMs = 500.0  // between two samples of a scheduler's txn counts
+	commandRetryMs   = 3000.0 // after which a command without an answer is sent again
+	grantRetryMs     = 500.0  // between two requests for the same permit
+	defaultMaxLost   = 2      // members, if Gates.Lost is 0
+	returnTimeoutMs  = 20000  // from the readiness of a scheduler's new process until it must have been seen in service
 )
 
-// Do is a call to make at a member's agent. It is the same call until its step has moved on.
+// Do is a call to a member's agent about one step. Until the member has left the step, each retry is the same call, so an
+// agent recognizes it by Member and No.
 type Do struct {
-	Op         string `json:"op"`
+	Op         string `json:"op"` // the operation's id
 	Member     string `json:"member"`
-	Call       string `json:"call"` // stop, run, command
-	No         uint64 `json:"no"`   // of the step
-	Fence      uint64 `json:"fence"`
-	AgentStart string `json:"start,omitempty"` // of the agent that it is meant for, where it is not safe twice
-	Agent      Member `json:"-"`
+	Call       string `json:"call"`            // stop or run (a scheduler's process), command (the site's, for a worker) or look (only report)
+	No         uint64 `json:"no"`              // Step.No
+	Fence      uint64 `json:"fence"`           // fencing token of the operation's lease
+	AgentStart string `json:"start,omitempty"` // of a call that is not idempotent: see Step.AgentStart
+	Agent      Member `json:"-"`               // whom to call
 }
 
-// Did is what came of it.
+// Did is the result of a Do.
 type Did struct {
-	Reached bool   `json:"-"`
-	State   string `json:"state"` // done, going, failed, refused, unknown
+	Reached bool   `json:"-"`     // the agent answered
+	State   string `json:"state"` // done, going (under way), failed, refused (not begun), unknown (an earlier start of the agent may have run it)
 	Why     string `json:"why,omitempty"`
-	Start   string `json:"start"`          // of the agent that answered
-	Down    bool   `json:"down,omitempty"` // no process of the member serves, as its agent sees it
+	Start   string `json:"start"`          // the start of the agent that answered
+	Down    bool   `json:"down,omitempty"` // the agent has no process of the member that serves
 }
 
-// Txns counts a scheduler's answers since its process began.
+// Txns counts the txns that a scheduler's process has answered since it started, by outcome.
 type Txns struct {
 	Settled  int `json:"settled"`
 	Declined int `json:"declined"`
 	Reversed int `json:"reversed"`
 }
 
+// memberAttempt is the progress of one member's current step. It is replaced when the member enters its next step.
 type memberAttempt struct {
-	stepNo              uint64
-	callPending         bool
+	stepNo              uint64 // Step.No
+	callPending         bool   // a call to the member's agent is under way
 	nextCallAt          float64
-	stepSince           float64
-	callDone            bool
-	failure             string
-	agentStart          string  // the life of its agent
-	downUntil           float64 // until when its agent's word that it is down is taken
+	stepSince           float64 // when the step was first seen here
+	callDone            bool    // the agent reported the call of the step as done
+	failure             string  // why the call of the step can't succeed, "" if it may
+	agentStart          string  // the start of the member's agent that answered last
+	downUntil           float64 // until when the agent's last report that the member is down may be relied on
 	nextGrantAt         float64
-	commandPendingUntil float64 // until when a command for it counts as under way
+	commandPendingUntil float64 // until when a command about the member counts as under way
 }
 
-// Carrier is what the owner of an operation knows beside the record. It begins with nothing: what a predecessor did stands
-// in the record, and at the agents.
+// Carrier advances one operation on behalf of the agent that holds its lease: it decides which agents to call and which
+// commands to put on record. A new one starts without knowledge of its own, as the progress made under a former owner is
+// in the record and at the agents.
 type Carrier struct {
-	ID, Owner           string
-	Fence               uint64
-	Bug                 string // one planted by a test of what finds it
+	ID, Owner           string // the operation's id, and the owner of its lease
+	Fence               uint64 // fencing token of the lease
+	Bug                 string // a fault that a test injects, see Record.Bug
 	record              *Record
 	operation           *Op
-	attempts            map[string]*memberAttempt
-	wave                int
-	waveStartedAt       float64
-	lastProgressAt      float64 // when a member last moved on
-	watchStartedAt      float64 // 0: not watching
+	attempts            map[string]*memberAttempt // by member id
+	wave                int                       // the wave that waveStartedAt is about
+	waveStartedAt       float64                   // also reset while the operation is halted or rolled back
+	lastProgressAt      float64                   // when any member last entered a step
+	watchStartedAt      float64                   // when all members of the begun waves had arrived; 0: some have not, or it is halted or rolled back
 	comparison          txnComparison
-	leftService         map[string]bool
-	sampledAt           map[string]float64 // when each scheduler was asked last
-	refusedAlike        map[Member]bool    // of this record: members like these have no room
-	refusedRecordNo     uint64
-	commandPendingUntil float64 // the same of a command for the whole
-	grantsPending       map[string]bool
+	leftService         map[string]bool    // released members that were seen out of service again
+	sampledAt           map[string]float64 // when each scheduler's counts were last asked for
+	refusedAlike        map[Member]bool    // members, reduced to the fields that limits look at, that the limits refused at refusedRecordNo
+	refusedRecordNo     uint64             // the Record.No that refusedAlike is valid for
+	commandPendingUntil float64            // until when a command about the operation as a whole counts as under way
+	grantsPending       map[string]bool    // members for which a grant was asked for and is not on record yet
 }
 
-// NewCarrier begins an ownership.
+// NewCarrier returns the Carrier of a new owner of an operation's lease.
 func NewCarrier(id, owner string, fence uint64) *Carrier {
 	return &Carrier{ID: id, Owner: owner, Fence: fence, attempts: map[string]*memberAttempt{}, wave: -1, leftService: map[string]bool{},
 		sampledAt: map[string]float64{}, grantsPending: map[string]bool{}}
 }
 
-// Follow takes the record as it now is.
+// Follow takes over the current record. Before its first call the Carrier decides nothing.
 func (c *Carrier) Follow(now float64, r *Record) {
 	c.record, c.operation = r, r.Ops[c.ID]
 	if c.operation == nil {
@@ -114,6 +117,7 @@
 	}
 }
 
+// haltReason returns a non-empty text if the operation itself is halted.
 func (c *Carrier) haltReason() string {
 	if h, ok := c.record.Halts[c.ID]; ok {
 		return h.Why + " "
@@ -121,6 +125,8 @@
 	return ""
 }
 
+// allArrived reports whether no member of the begun waves has anything left to do. In a rollback a member that can't go on
+// counts as arrived.
 func (c *Carrier) allArrived() bool {
 	for _, id := range c.operation.begunMembers() {
 		if step := c.operation.Steps[id]; !c.operation.Arrived(step) && !(c.operation.Back && step.Why != "") {
@@ -130,10 +136,10 @@
 	return true
 }
 
-// Over tells whether there is nothing left to carry.
+// Over reports whether the operation has nothing left to do.
 func (c *Carrier) Over() bool { return c.operation != nil && !c.operation.Open() }
 
-// NextDo decides the next call at an agent.
+// NextDo returns the next call to make at an agent, if any. Its result goes to Did.
 func (c *Carrier) NextDo(now float64) (Do, bool) {
 	if c.operation == nil || !c.operation.Open() {
 		return Do{}, false
@@ -141,13 +147,14 @@
 	for _, id := range c.operation.begunMembers() {
 		member, step, attempt := c.record.Members[id], c.operation.Steps[id], c.attempts[id]
 		transition := c.operation.nextTransition(member, step)
-		if transition == nil || transition.agentCall == "" || attempt.callPending || attempt.callDone || attempt.failure != "" || now < attempt.nextCallAt ||
+		if transition == nil || transition.agentCall == "" || attempt.callPending || attempt.callDone || attempt.failure != "" ||
+			now < attempt.nextCallAt ||
 			transition.condition == "pause" && now < attempt.stepSince+c.operation.Pause {
 			continue
 		}
 		agent, known := c.record.Members[member.Agent]
 		if !known {
-			attempt.failure = "its agent " + member.Agent + " is not on record"
+			attempt.failure = "agent " + member.Agent + " is not on record"
 			continue
 		}
 		attempt.callPending, attempt.nextCallAt = true, now+agentPollMs
@@ -156,7 +163,7 @@
 	return Do{}, false
 }
 
-// Did takes what came of a call.
+// Did takes the result of a call that NextDo or NextLook returned.
 func (c *Carrier) Did(now float64, call Do, result Did) {
 	attempt := c.attempts[call.Member]
 	if attempt == nil || attempt.stepNo != call.No {
@@ -178,7 +185,8 @@
 	}
 }
 
-// NextSample decides which scheduler to ask for its figures, while a wave is watched.
+// NextSample returns the next scheduler to ask for its txn counts, if any. Counts are taken while a wave of a release is
+// observed.
 func (c *Carrier) NextSample(now float64) (Member, bool) {
 	if c.operation == nil || c.watchStartedAt == 0 || c.operation.Kind != "release" || c.operation.Watch == 0 {
 		return Member{}, false
@@ -192,15 +200,15 @@
 	return Member{}, false
 }
 
-// Sampled takes a scheduler's figures.
+// Sampled takes the txn counts of a scheduler that NextSample returned.
 func (c *Carrier) Sampled(id string, counts Txns) {
 	if c.watchStartedAt > 0 {
 		c.comparison.addSample(id, counts)
 	}
 }
 
-// NextCommand decides what to put on record next: one at a time for a member, and one for the whole. Commanded takes what
-// came of it.
+// NextCommand returns the next command to put on record, if any. At a time there is at most one command per member and one
+// about the operation as a whole; Commanded reports that it is no longer under way.
 func (c *Carrier) NextCommand(now float64) (Command, bool) {
 	if c.operation == nil || !c.operation.Open() {
 		return Command{}, false
@@ -220,7 +228,7 @@
 	return cmd, true
 }
 
-// Commanded takes that something came of a command, or that nobody knows.
+// Commanded takes note that a command was answered, or that the attempt to send it was given up.
 func (c *Carrier) Commanded(cmd Command) {
 	if cmd.Do != "step" {
 		c.commandPendingUntil = 0
@@ -230,6 +238,8 @@
 	delete(c.grantsPending, cmd.ID)
 }
 
+// nextCommand returns, in this order of precedence: a halt of the operation, a step of a member, a report that a member
+// can't go back, the next wave.
 func (c *Carrier) nextCommand(now float64) (Command, bool) {
 	base := Command{Matter: OpOf(c.ID), Owner: c.Owner, Fence: c.Fence, By: OpOf(c.ID)}
 	if why := c.haltCause(now); why != "" && c.haltReason() == "" && !c.operation.Back && now >= c.commandPendingUntil {
@@ -250,15 +260,19 @@
 	}
 	for _, id := range c.operation.begunMembers() {
 		step, attempt := c.operation.Steps[id], c.attempts[id]
-		// What can't go back may keep others from it for ever, as by the room that it takes: they are named too, and it ends.
-		if c.operation.Back && !c.operation.Arrived(step) && step.Why == "" && now >= attempt.commandPendingUntil && now > max(attempt.stepSince, c.lastProgressAt)+2*returnTimeoutMs && c.record.HaltReason(c.operation, c.record.Members[id].Zone) == "" {
+		// A member that can't go back may keep others from going back for ever, as it counts as out under the limits. After a
+		// time without progress those others are reported too, so that the rollback ends.
+		if c.operation.Back && !c.operation.Arrived(step) && step.Why == "" && now >= attempt.commandPendingUntil &&
+			now > max(attempt.stepSince, c.lastProgressAt)+2*returnTimeoutMs && c.record.HaltReason(c.operation, c.record.Members[id].Zone) == "" {
 			cmd := base
 			cmd.Do, cmd.ID, cmd.Renewed = "step", id, step.No
-			cmd.Why = truncateReason(fmt.Sprintf("can't go back: %s for long, seen %s; %s", step.At, c.record.Health[id].State, c.record.Grant(c.operation, id)))
+			cmd.Why = truncateReason(fmt.Sprintf("can't go back: long in state %s, last seen %s; %s", step.At,
+				c.record.Health[id].State, c.record.Grant(c.operation, id)))
 			return cmd, true
 		}
 	}
-	if now < c.commandPendingUntil || !c.allArrived() || c.watchStartedAt > 0 && now < c.watchStartedAt+c.operation.Watch || c.haltReason() != "" && !c.operation.Back {
+	if now < c.commandPendingUntil || !c.allArrived() || c.watchStartedAt > 0 && now < c.watchStartedAt+c.operation.Watch ||
+		c.haltReason() != "" && !c.operation.Back {
 		return Command{}, false
 	}
 	cmd := base
@@ -266,9 +280,11 @@
 	return cmd, true
 }
 
+// truncateReason cuts a text to the length that a command's Why may have.
 func truncateReason(why string) string { return why[:min(len(why), maxReasonBytes)] }
 
-// move is a member's next step, once it has what that waits for.
+// nextStep returns the command that moves a member to its next state, if the condition for that is met as far as the owner
+// can tell; the record checks it again. The caller fills in the fields that all commands of the operation share.
 func (c *Carrier) nextStep(now float64, id string) (Command, bool) {
 	member, step, attempt := c.record.Members[id], c.operation.Steps[id], c.attempts[id]
 	transition := c.operation.nextTransition(member, step)
@@ -290,7 +306,8 @@
 	case transition.agentCall != "" && !attempt.callDone:
 		return cmd, false
 	case transition.condition == "room":
-		// Thousands may wait, and a count goes over all: those that count alike are refused alike.
+		// Each check counts over all members, and thousands may wait. Members that are equal in all that limits look at are
+		// refused alike, so one check stands for all of them as long as the record doesn't change.
 		if c.refusedRecordNo != c.record.No || c.refusedAlike == nil {
 			c.refusedAlike, c.refusedRecordNo = map[Member]bool{}, c.record.No
 		}
@@ -306,14 +323,15 @@
 			c.refusedAlike[sameCount] = c.refusedAlike[sameCount] || !out && c.record.limitRefusal(id, c.grantsPending) != ""
 			return cmd, false
 		}
-		attempt.nextGrantAt = now + grantRetryMs // refused all the same, it is asked for again, not at once
+		attempt.nextGrantAt = now + grantRetryMs // if the record refuses the grant nevertheless, it is not asked for again at once
 	case transition.condition == "out" && (health.State != "out" || health.RecordNo < step.No),
 		transition.condition == "in" && (health.State != InService || health.RecordNo < step.No),
 		transition.condition == "pause" && now < attempt.stepSince+c.operation.Pause:
 		return cmd, false
 	}
 	if transition.to == StepCommand {
-		// Which life of its agent is meant: one that was started again may have begun it, and have lost its note of that.
+		// The site's command is not idempotent, so it is bound to one start of the agent: an agent that was restarted may have
+		// begun the command and lost its note of that.
 		if attempt.agentStart == "" {
 			return cmd, false
 		}
@@ -322,7 +340,8 @@
 	return cmd, true
 }
 
-// NextLook decides which agent to ask for the name of its life, before it is to do what is not safe twice.
+// NextLook returns the next agent to ask, if any, which start of it is running, before it has to run a site's command, or
+// whether a scheduler that has yet to be granted is down.
 func (c *Carrier) NextLook(now float64) (Do, bool) {
 	if c.operation == nil || !c.operation.Open() {
 		return Do{}, false
@@ -331,7 +350,8 @@
 		member, step, attempt := c.record.Members[id], c.operation.Steps[id], c.attempts[id]
 		_, out := c.record.IsOut(id)
 		transition := c.operation.nextTransition(member, step)
-		if transition == nil || attempt.callPending || now < attempt.nextCallAt || !(transition.to == StepCommand && attempt.agentStart == "" || step.At == Waits && out && c.operation.StartsDownSchedulers(member)) {
+		if transition == nil || attempt.callPending || now < attempt.nextCallAt ||
+			!(transition.to == StepCommand && attempt.agentStart == "" || step.At == Waits && out && c.operation.StartsDownSchedulers(member)) {
 			continue
 		}
 		attempt.callPending, attempt.nextCallAt = true, now+agentPollMs
@@ -340,14 +360,16 @@
 	return Do{}, false
 }
 
-// trouble is why the operation is to be halted, "" for nothing.
+// haltCause returns why the owner has to halt the operation, "" if it hasn't.
 func (c *Carrier) haltCause(now float64) string {
 	for _, id := range c.operation.begunMembers() {
 		if attempt := c.attempts[id]; attempt.failure != "" && !c.operation.Arrived(c.operation.Steps[id]) {
 			return attempt.failure
 		}
-		if step := c.operation.Steps[id]; step.At == StepReturning && !step.Undo && c.record.Members[id].Kind == "scheduler" && now > c.attempts[id].stepSince+returnTimeoutMs {
-			return fmt.Sprintf("%s was not seen in service for %g s after its new process was ready: %s", id, returnTimeoutMs/1000.0, c.record.Health[id].State)
+		if step := c.operation.Steps[id]; step.At == StepReturning && !step.Undo && c.record.Members[id].Kind == "scheduler" &&
+			now > c.attempts[id].stepSince+returnTimeoutMs {
+			return fmt.Sprintf("%s was not seen in service for %g s after its new process was ready: %s", id,
+				returnTimeoutMs/1000.0, c.record.Health[id].State)
 		}
 	}
 	maxLost := c.operation.Gates.Lost
--- a/fleet/teller.go
+++ b/fleet/teller.go
@@ -6,86 +6,91 @@
 )
 
 const (
-	statusIntervalMs = 1000.0 // how soon a scheduler that was started again is seen
-	initialBackoffMs = 100.0  // after a call that did not come through, then twice as long each time
+	statusIntervalMs = 1000.0 // between two status calls to a scheduler; bounds how late a restart of it is noticed
+	initialBackoffMs = 100.0  // after the first call that got no answer; doubled with each further one
 	maxBackoffMs     = 2000.0
 
-	maxReportedMembers = 400 // members in one renewal
+	maxReportedMembers = 400 // in one renewal
 )
 
-// Act is what a call does at a scheduler.
+// CallKind is the kind of a call to a scheduler.
 type CallKind int
 
 const (
-	Look  CallKind = iota // which start it is, which number is in force there
-	Close                 // the number of the owner before is taken no more
-	Tell                  // one worker is out, or in again
+	Look  CallKind = iota // status: which start of the process answers, its fencing token, its phase and its workers
+	Close                 // raise the fencing token, so that the scheduler refuses calls of former owners
+	Tell                  // set one worker's state: out, or back in service
 )
 
-// Call is one to make at a scheduler. It is meant for one start of it, and carries the owner's number.
+// Call is a call to make to a scheduler's management address. All but a Look are meant for one start of the scheduler's
+// process and carry the owner's fencing token; a scheduler refuses a call that names another start or a lower token.
 type Call struct {
 	To     Member
 	Act    CallKind
-	Matter string
-	Fence  uint64
-	Start  string
-	Worker string
+	Matter string // name of the zone's lease
+	Fence  uint64 // fencing token of the lease
+	Start  string // the start of the scheduler's process, "" in a Look
+	Worker string // the worker's id, in a Tell; so are Out and Since
 	Out    bool
-	Since  uint64
+	Since  uint64 // Intent.Since
 }
 
-// Reply is what came of a call.
+// Reply is the result of a Call.
 type Reply struct {
-	Reached bool   // else it may have come or not
-	Done    bool   // the scheduler said yes
-	Start   string // of the scheduler that answered
-	Fence   uint64 // in force there
-	Out     []string
-	Why     string
-	Phase   string            // of the scheduler
-	Workers map[string]string // of the zone: warm, cold or busy, as it has them running
+	Reached bool              // the scheduler answered; if it did not, the call may have taken effect nevertheless
+	Done    bool              // the scheduler carried out the call
+	Start   string            // the start of the process that answered
+	Fence   uint64            // the fencing token that the scheduler has for the lease
+	Out     []string          // ids of the workers that the scheduler has as out under the lease, of a Look
+	Why     string            // why there was no answer, or a refusal
+	Phase   string            // the scheduler's own phase, of a Look: serving, starting, draining, ...
+	Workers map[string]string // the zone's workers by id, of a Look: warm, cold or busy
 	Txns    Txns
 }
 
+// schedulerState is what the owner of a zone's lease knows of one scheduler.
 type schedulerState struct {
 	Member
-	processStart          string
-	fenceAccepted         bool
-	acknowledged          map[string]uint64 // by worker: the change that it said yes to
-	reportedOut           map[string]bool   // those that were out there when it was last looked at
+	processStart          string            // the start of its process that answered last, "" before any answer
+	fenceAccepted         bool              // it has the owner's fencing token
+	acknowledged          map[string]uint64 // by worker id: the Intent.Since that it confirmed last
+	reportedOut           map[string]bool   // worker ids: out at the scheduler by its last status, and by Tells since
 	callPending           bool
-	nextCallAt            float64 // when to call next
+	nextCallAt            float64 // the earliest time of the next call of any kind
 	nextStatusAt          float64
-	failures              int
-	reason                string // why it refused, or why it was not reached
-	answered              bool
+	failures              int    // calls without an answer since the last one that got one
+	reason                string // why it refused the last call or did not answer it, "" if it carried it out
+	answered              bool   // it has answered this owner at least once
 	phase                 string
-	workerStates          map[string]string // workers, as it has them
-	statusRecordNo        uint64            // what the record was at when that look began
-	pendingStatusRecordNo uint64            // the same of the look under way
+	workerStates          map[string]string // Reply.Workers of the last status
+	statusRecordNo        uint64            // Record.No when the last status call that was answered began
+	pendingStatusRecordNo uint64            // Record.No when the status call under way began
 }
 
-// Teller is what the owner of a zone's matter knows of the schedulers that it keeps told who is out.
+// Teller keeps all schedulers informed of which workers of a zone are out, on behalf of the agent that holds the zone's
+// lease, and collects the health of the zone's members from them.
 type Teller struct {
-	Matter     string
-	Fence      uint64
-	Passed     uint64 // a higher number that a scheduler named: this owner is none any more
-	Bug        string // one planted by a test of what finds it, "" in any other use
-	schedulers map[string]*schedulerState
-	intents    map[string]Intent
-	// Holds tells of a worker that is to go out whether nobody may be told of it now who was not yet: it is halted here.
+	Matter     string                     // name of the zone's lease
+	Fence      uint64                     // fencing token of the lease
+	Passed     uint64                     // a higher fencing token that a scheduler reported: the lease has another owner by now; 0 for none
+	Bug        string                     // a fault that a test injects, see Record.Bug
+	schedulers map[string]*schedulerState // by id
+	intents    map[string]Intent          // of the zone's workers, by id
+	// Holds reports whether a halt that was set at this agent keeps a worker from being taken out. Schedulers that don't
+	// have the worker as out yet are then not told.
 	Holds     func(Intent) bool
 	record    *Record
 	zone      string
-	startedAt float64 // when this ownership began
+	startedAt float64 // when the first record was taken over; negative before
 }
 
-// NewTeller begins with nothing known: whatever a predecessor did is looked up at each scheduler.
+// NewTeller returns the Teller of a new owner of a zone's lease. It knows nothing: what a former owner told each scheduler
+// is found out by a status call.
 func NewTeller(matter string, fence uint64) *Teller {
 	return &Teller{Matter: matter, Fence: fence, schedulers: map[string]*schedulerState{}, intents: map[string]Intent{}, startedAt: -1}
 }
 
-// Follow takes the record as it now is: the schedulers, and what is intended for the zone's workers.
+// Follow takes over the current record: the schedulers and the intents of the zone's workers.
 func (t *Teller) Follow(now float64, r *Record, zone string) {
 	if t.record, t.zone = r, zone; t.startedAt < 0 {
 		t.startedAt = now
@@ -104,7 +109,8 @@
 			t.intents[id] = intent
 		}
 	}
-	// What waits to be seen since its last step is looked at now, and not at the next round: a worker through all of them.
+	// A member whose operation waits for an observation that began after the last step is observed at once, not at the next
+	// interval. Of a scheduler that takes its own status, of a worker the status of all schedulers.
 	workerStepNo := uint64(0)
 	for id, permit := range r.Permits {
 		member := r.Members[id]
@@ -128,11 +134,11 @@
 	}
 }
 
-// owed is the first worker that a scheduler is still to be told of.
+// nextUnacknowledged returns the first worker, by id, whose intent a scheduler has yet to confirm.
 func (t *Teller) nextUnacknowledged(scheduler *schedulerState) (string, bool) {
 	for _, id := range slices.Sorted(maps.Keys(t.intents)) {
 		intent := t.intents[id]
-		// What is in use need not be told to one that has it in use.
+		// A scheduler that was never told that a worker is out need not be told that it is in service.
 		if scheduler.acknowledged[id] != intent.Since && (intent.Out || scheduler.acknowledged[id] > 0 || scheduler.reportedOut[id]) {
 			if t.Holds != nil && !scheduler.reportedOut[id] && t.Holds(intent) {
 				continue
@@ -143,7 +149,8 @@
 	return "", false
 }
 
-// Next decides the next call. One scheduler has one call at a time, so that no older one overtakes.
+// Next returns the next call to make, if any; its result goes to Answered. A scheduler gets one call at a time, so that none
+// can arrive after a later one.
 func (t *Teller) Next(now float64) (Call, bool) {
 	if t.Passed > 0 {
 		return Call{}, false
@@ -171,7 +178,7 @@
 	return Call{}, false
 }
 
-// Answered takes what came of a call.
+// Answered takes the result of a call that Next returned.
 func (t *Teller) Answered(now float64, call Call, reply Reply) {
 	scheduler := t.schedulers[call.To.ID]
 	if scheduler == nil || scheduler.Member != call.To {
@@ -179,7 +186,7 @@
 	}
 	scheduler.callPending = false
 	if !reply.Reached {
-		// It may have come through, and is sent again as it was: a yes twice is one.
+		// The call may have taken effect. It is idempotent and is sent again unchanged.
 		scheduler.failures++
 		scheduler.nextCallAt = now + min(initialBackoffMs*float64(int(1)<<min(scheduler.failures-1, 10)), maxBackoffMs)
 		scheduler.reason = reply.Why
@@ -191,7 +198,7 @@
 		return
 	}
 	if reply.Start != scheduler.processStart && (scheduler.processStart == "" || t.Bug != "restart-untold") {
-		// Started again from nothing: what its former life said yes to counts no more.
+		// The scheduler was restarted and has lost what it had confirmed.
 		scheduler.processStart, scheduler.fenceAccepted = reply.Start, false
 		clear(scheduler.acknowledged)
 	}
@@ -216,7 +223,7 @@
 	}
 }
 
-// Wake is when to pull again if nothing happens before.
+// NextWakeAt returns when to call Next again if nothing happens before.
 func (t *Teller) NextWakeAt(now float64) float64 {
 	at := now + statusIntervalMs
 	for _, scheduler := range t.schedulers {
@@ -227,37 +234,39 @@
 	return at
 }
 
-// State is how one scheduler stands to a change.
+// State says whether a scheduler has applied a worker's current intent.
 type State string
 
 const (
 	Obeyed     State = "obeyed"
 	Refused    State = "refused"
 	NotReached State = "not reached"
-	Unknown    State = "unknown" // it answers, and has not said yes yet
+	Unknown    State = "unknown" // it answers, and has not confirmed the intent yet
 )
 
-// Standing is one row of who obeyed.
+// Standing is the State of one scheduler.
 type Standing struct {
 	ID    string `json:"id"`
 	State State  `json:"state"`
 	Why   string `json:"why,omitempty"`
 }
 
-// state is how a scheduler stands, by the last look.
-func (scheduler *schedulerState) health() string {
+// health returns a scheduler's health as a value of Seen.State, by its last status.
+func (s *schedulerState) health() string {
 	switch {
-	case scheduler.failures > 0 || !scheduler.answered:
+	case s.failures > 0 || !s.answered:
 		return HealthNotReached
-	case scheduler.phase == "serving":
+	case s.phase == "serving":
 		return InService
-	case scheduler.phase == "":
+	case s.phase == "":
 		return "unknown"
 	}
-	return scheduler.phase
+	return s.phase
 }
 
-// worker is how one stands, by all schedulers that serve: warm at each that has it, or out and quiet at all.
+// workerHealth combines what the schedulers report about one worker. If its intent is out, the worker is out once every
+// scheduler has confirmed that and doesn't report it as busy; until then it is draining. Otherwise it is in service once
+// every serving scheduler lists it and none has it as cold or out; else it is cold or unlisted.
 func (t *Teller) workerHealth(id string) Seen {
 	health := Seen{State: HealthNotReached, RecordNo: t.record.No}
 	if intent := t.intents[id]; intent.Out {
@@ -270,7 +279,7 @@
 		}
 		return health
 	}
-	for _, scheduler := range t.schedulers { // in any order: the least and the worst of all
+	for _, scheduler := range t.schedulers { // the iteration order decides at most between cold and unlisted
 		if scheduler.health() != InService {
 			continue
 		}
@@ -286,11 +295,12 @@
 	return health
 }
 
-// Report is what has changed of how the zone's members stand, to go with the next renewal, and whether all of them were
-// looked at since this ownership began.
+// Report returns the health of those members of the zone for which it has changed, to be sent with the next lease renewal,
+// and whether every scheduler has been called since this ownership began (whole). An unchanged state is reported again if
+// an operation waits for an observation that began after its last step.
 func (t *Teller) Report(now float64) (changed map[string]Seen, whole bool) {
 	if t.record == nil || t.record.V < 2 {
-		return nil, false // a record of the older form has no room for it
+		return nil, false // format version 1 of the record has no health
 	}
 	whole = true
 	for _, member := range t.record.Of("scheduler") {
@@ -308,21 +318,24 @@
 		recorded, isRecorded := t.record.Health[id]
 		_, hasPermit := t.record.Permits[id]
 		if health.State == HealthNotReached {
-			health.RecordNo = max(health.RecordNo, recorded.RecordNo) // that nobody reaches it is news of now
+			health.RecordNo = max(health.RecordNo, recorded.RecordNo) // the failure to reach it is at least as recent as the last report
 		}
-		if isRecorded && recorded.State == health.State && !(hasPermit && health.RecordNo > recorded.RecordNo && health.RecordNo >= t.requiredRecordNo(id) && recorded.RecordNo < t.requiredRecordNo(id)) || health.RecordNo < recorded.RecordNo {
+		if isRecorded && recorded.State == health.State &&
+			!(hasPermit && health.RecordNo > recorded.RecordNo && health.RecordNo >= t.requiredRecordNo(id) && recorded.RecordNo < t.requiredRecordNo(id)) ||
+			health.RecordNo < recorded.RecordNo {
 			continue
 		}
 		if changed == nil {
 			changed = map[string]Seen{}
 		}
 		if changed[id] = health; len(changed) >= maxReportedMembers {
-			break // the rest goes with the next renewal
+			break // the rest is sent with the next renewal
 		}
 	}
 	return changed, whole
 }
 
+// memberHealth returns the current health of a member of the zone.
 func (t *Teller) memberHealth(member Member) (health Seen) {
 	if member.Kind == "worker" {
 		return t.workerHealth(member.ID)
@@ -333,12 +346,13 @@
 	return health
 }
 
-// Urgent tells whether an operation waits for something that was seen and is not reported yet.
+// Urgent reports whether an operation waits for an observation that has been made and isn't on record yet. The next renewal
+// should then be sent early.
 func (t *Teller) Urgent() bool {
 	if t.record == nil {
 		return false
 	}
-	for id := range t.record.Permits { // whether there is one is the same in any order
+	for id := range t.record.Permits { // whether any matches does not depend on the iteration order
 		member := t.record.Members[id]
 		if member.Zone != t.zone || t.record.Health[id].RecordNo >= t.requiredRecordNo(id) {
 			continue
@@ -350,7 +364,7 @@
 	return false
 }
 
-// needs is the step since which a member that is out has to be seen.
+// requiredRecordNo returns the lowest Seen.RecordNo that tells about a member with a permit after its last step.
 func (t *Teller) requiredRecordNo(id string) uint64 {
 	permit := t.record.Permits[id]
 	if op := t.record.Ops[permit.Op]; op != nil {
@@ -359,15 +373,16 @@
 	return permit.No
 }
 
-// Told lists how each scheduler stands to what is now intended for a worker. A scheduler that is a member and does not
-// answer is not known to be gone: what it was told last may be the opposite.
+// Told returns, by scheduler id, whether each scheduler has applied a worker's current intent. A scheduler on record that
+// doesn't answer may still be running and act on an earlier intent, so it is listed as not reached.
 func (t *Teller) Told(worker string) (standings []Standing) {
 	intent := t.intents[worker]
 	for _, id := range slices.Sorted(maps.Keys(t.schedulers)) {
 		scheduler := t.schedulers[id]
 		standing := Standing{ID: id, State: Unknown, Why: scheduler.reason}
 		switch {
-		case (scheduler.fenceAccepted || t.Bug == "not-closed") && scheduler.failures == 0 && (scheduler.acknowledged[worker] == intent.Since || !intent.Out && scheduler.acknowledged[worker] == 0 && !scheduler.reportedOut[worker]):
+		case (scheduler.fenceAccepted || t.Bug == "not-closed") && scheduler.failures == 0 &&
+			(scheduler.acknowledged[worker] == intent.Since || !intent.Out && scheduler.acknowledged[worker] == 0 && !scheduler.reportedOut[worker]):
 			standing.State = Obeyed
 		case scheduler.failures > 0 || !scheduler.answered:
 			standing.State = NotReached
