--- a/fleet/doer.go
+++ b/fleet/doer.go
@@ -4,28 +4,29 @@
 
 // Note is the last step that an agent has begun at a member.
 type Note struct {
-	No    uint64 `json:"no"`
-	Op    string `json:"op"`
-	Call  string `json:"call"`
+	No    uint64 `json:"no"`    // Step.No
+	Op    string `json:"op"`    // the operation's id
+	Call  string `json:"call"`  // Do.Call
 	State string `json:"state"` // going, done, failed, unknown
 	Why   string `json:"why,omitempty"`
 }
 
-// Doer decides what an agent begins of what it is told to do on its machine. Its host keeps it on disk before anything
-// begins.
+// Doer decides, at the agent of a member, which calls of an operation's owner the agent carries out. The host stores it on
+// disk before it begins anything, so that a step isn't begun twice after a restart.
 type Doer struct {
-	Start string          `json:"-"` // of this life of the agent
-	Bug   string          `json:"-"`
-	Notes map[string]Note `json:"notes"`
-	Halts map[string]Halt `json:"halts"` // told directly; they hold here until the record has them lifted
+	Start string          `json:"-"`     // this start of the agent
+	Bug   string          `json:"-"`     // a fault that a test injects, see Record.Bug
+	Notes map[string]Note `json:"notes"` // by member id
+	Halts map[string]Halt `json:"halts"` // by Halt.Of: halts set directly at this agent, in force here until they are on record and lifted there
 }
 
-// NewDoer knows of nothing begun.
+// NewDoer returns a Doer without notes and halts.
 func NewDoer(start string) *Doer {
 	return &Doer{Start: start, Notes: map[string]Note{}, Halts: map[string]Halt{}}
 }
 
-// Known is how a step stands that was begun before, if it was; a lower number than one begun is refused for good.
+// Known returns the result of a call about a step that has begun here before, if it has. A call about an earlier step of the
+// member than the last one begun is refused for good.
 func (d *Doer) Known(call Do) (Did, bool) {
 	note := d.Notes[call.Member]
 	switch {
@@ -33,13 +34,13 @@
 	case call.No == note.No && note.No > 0:
 		return Did{Reached: true, State: note.State, Why: note.Why, Start: d.Start}, true
 	case call.No < note.No:
-		return Did{Reached: true, State: "refused", Why: "a later step was begun", Start: d.Start}, true
+		return Did{Reached: true, State: "refused", Why: "a later step of this member has begun here", Start: d.Start}, true
 	}
 	return Did{}, false
 }
 
-// Begin decides whether a step that was not begun yet begins now. r is the record as read for sure since the call came, nil
-// where it could not be.
+// Begin decides whether a step that has not begun yet begins now. r is the record as of a linearizable read that started
+// after the call arrived, nil if that read failed.
 func (d *Doer) Begin(call Do, r *Record) (Did, bool) {
 	refuse := func(why string) (Did, bool) {
 		return Did{Reached: true, State: "refused", Why: why, Start: d.Start}, false
@@ -48,17 +49,18 @@
 		return did, false
 	}
 	if r == nil {
-		return refuse("the record can't be read for sure")
+		return refuse("the current record could not be read")
 	}
 	op := r.Ops[call.Op]
 	if op == nil {
 		return refuse("no such operation")
 	}
 	step, member := op.Steps[call.Member], r.Members[call.Member]
-	if transition := op.nextTransition(member, step); d.Bug != "stale-step" && (step.No != call.No || transition == nil || transition.agentCall != call.Call) {
-		return refuse("the record has it elsewhere by now")
+	if transition := op.nextTransition(member, step); d.Bug != "stale-step" &&
+		(step.No != call.No || transition == nil || transition.agentCall != call.Call) {
+		return refuse("the member is not in this step on record")
 	} else if d.Bug != "stale-step" && r.Matters[OpOf(call.Op)].Fence != call.Fence {
-		return refuse("another owner has it")
+		return refuse("another owner holds the operation's lease")
 	}
 	if Takes(step) {
 		if why := r.HaltReason(op, member.Zone); why != "" && d.Bug != "halt-at-owner" {
@@ -70,17 +72,18 @@
 	}
 	note := Note{No: call.No, Op: call.Op, Call: call.Call, State: "going"}
 	if call.Call == "command" && call.AgentStart != d.Start {
-		// It may have been run by a former life that lost its note of it.
-		note.State, note.Why = "unknown", "it was meant for a former life of this agent, which has no note of it"
+		// An earlier start of the agent may have run the command and lost its note of that.
+		note.State, note.Why = "unknown", "the call was meant for an earlier start of this agent, and there is no note of it"
 	}
 	d.Notes[call.Member] = note
 	return Did{Reached: true, State: note.State, Why: note.Why, Start: d.Start}, note.State == "going"
 }
 
-// Takes tells whether the next call at a step takes a member out that serves; any other brings one back.
+// Takes reports whether the next call about a member in this step takes it out of service. Any other call brings it back or
+// is made while it is out.
 func Takes(s Step) bool { return s.At == Granted && !s.Undo }
 
-// HaltOf is a halt that was told here and covers an operation at a zone, nil for none.
+// LocalHalt returns a halt set at this agent that applies to an operation in a zone, nil if there is none.
 func (d *Doer) LocalHalt(op *Op, zone string) *Halt {
 	for _, scope := range []string{"all", MatterOf(zone), op.ID} {
 		if halt, ok := d.Halts[scope]; ok && !(op.Back && scope == op.ID) {
@@ -90,13 +93,14 @@
 	return nil
 }
 
-// Holds tells whether a worker that an operation has out may not be told of now, where nobody has been yet.
+// Holds reports whether a halt set at this agent applies to an operation that takes a worker out. Schedulers that were not
+// told of the worker yet must then not be told; see Teller.Holds.
 func (d *Doer) Holds(r *Record, intent Intent) bool {
 	op := r.Ops[strings.TrimPrefix(intent.By, "op/")]
 	return intent.Out && op != nil && d.Bug != "halt-at-owner" && d.LocalHalt(op, intent.Zone) != nil
 }
 
-// Lifted drops halts that stood in the record and do not any more.
+// Lifted removes the halts that were on record and have been lifted there, and reports whether there were any.
 func (d *Doer) Lifted(r *Record) (changed bool) {
 	for scope, halt := range d.Halts {
 		if _, onRecord := r.Halts[scope]; halt.No > 0 && r.No >= halt.No && !onRecord {
@@ -107,8 +111,9 @@
 	return changed
 }
 
-// ShouldRun tells whether a scheduler is meant to run by the record, for an agent that starts: its own notes may be of an
-// older disk. Nobody has it out who holds no permit; one that was drained stays so.
+// ShouldRun reports whether a scheduler should run according to the record, for an agent that starts and whose own note of
+// that (noted) may be out of date, as after its disk was restored. A scheduler without a permit should run; one that was
+// drained should not. The note decides only where the record doesn't.
 func (r *Record) ShouldRun(id string, noted bool) bool {
 	permit, out := r.Permits[id]
 	if !out {
--- a/fleet/duty.go
+++ b/fleet/duty.go
@@ -8,33 +8,36 @@
 )
 
 const (
-	// An agent that comes back is left alone for so many terms: matters that follow each blink change hands all day.
+	// handoverDelayTerms is for how many terms an agent must have been present before a lease is handed over to it. Leases
+	// that followed each short absence would change owners all the time.
 	handoverDelayTerms = 10
 )
 
-// Duty decides which matters one agent claims, and which it passes on. Each zone's matter has an order of agents, the
-// zone's own first, that is the same for all who know the same members.
+// Duty decides which leases one agent claims and which it hands over. Each lease has an order of preference of the agents,
+// which is the same at all agents that know the same members. In that of a zone's lease the agents of the zone come first.
 type Duty struct {
-	Agent, Owner   string
+	Agent, Owner   string // the agent's id, and the owner name of its current start
 	TermMs         float64
-	Hurry          bool                   // a bug planted by a test of what finds it: it leaves all waiting to the leader
-	lastChange     map[string]leaseChange // what was last known of each matter
-	preferredSince map[string]float64     // since when an agent that comes before this one has been there
-	claimedAt      map[string]float64
+	Hurry          bool                   // a fault that a test injects: the agent claims leases without waiting for the end of a term
+	lastChange     map[string]leaseChange // by lease name
+	preferredSince map[string]float64     // by lease name: since when a more preferred agent has been present
+	claimedAt      map[string]float64     // by lease name: when a claim was last sent
 }
 
+// leaseChange is the last change of a lease that the agent has seen.
 type leaseChange struct {
-	recordNo uint64
+	recordNo uint64 // Lease.Renewed
 	seenAt   float64
 }
 
-// NewDuty returns an agent's duties; start tells its starts apart.
+// NewDuty returns the Duty of one start of an agent; start is the name of that start.
 func NewDuty(agent, start string, termMs float64) *Duty {
 	return &Duty{Agent: agent, Owner: OwnerOf(agent, start), TermMs: termMs, lastChange: map[string]leaseChange{},
 		preferredSince: map[string]float64{}, claimedAt: map[string]float64{}}
 }
 
-// Zones lists the zones that have work: of workers that are or were out, and of schedulers.
+// Zones lists the zones whose leases have to have an owner: those of all workers with an intent, and of all schedulers and
+// workers on record.
 func (r *Record) Zones() []string {
 	zones := map[string]bool{}
 	for _, intent := range r.Workers {
@@ -48,10 +51,11 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-// task is one that has to have an owner, and what the order of agents goes by.
+// neededLease is a lease that has to have an owner. The agents' order of preference is derived from orderKey: a zone, or an
+// operation's id.
 type neededLease struct{ lease, orderKey string }
 
-// tasks lists the matters that have work: zones, and operations that are not over.
+// neededLeases lists the leases of all zones with work and of all open operations.
 func (r *Record) neededLeases() (all []neededLease) {
 	for _, zone := range r.Zones() {
 		all = append(all, neededLease{MatterOf(zone), zone})
@@ -64,7 +68,8 @@
 	return all
 }
 
-// Order is who should have a zone's matter: agents of the zone first, then by hash.
+// AgentOrder returns the agents by preference for a lease: first those whose zone is the order key, then the others, each
+// group by a hash of key and id, which spreads the leases over the agents.
 func AgentOrder(orderKey string, agents []Member) []Member {
 	ordered := slices.Clone(agents)
 	hash := func(m Member) uint32 { return crc32.ChecksumIEEE([]byte(orderKey + "/" + m.ID)) }
@@ -80,7 +85,8 @@
 	return ordered
 }
 
-// rank is this agent's place among those that are there, -1 where it is no member.
+// rank returns this agent's rank among the agents that are present, from 0, or -1 if it isn't on record, and the id of the
+// most preferred agent that is present.
 func (d *Duty) rank(orderKey string, r *Record, absent map[string]bool) (rank int, first string) {
 	rank = -1
 	present := 0
@@ -99,7 +105,8 @@
 	return rank, first
 }
 
-// NextClaim decides the next matter to claim. absent are the agents that the leader has not heard of lately.
+// NextClaim returns the next claim to send, if any. absent has the agents from which the leader has not heard lately. An
+// agent of rank n waits for n quarters of a term longer than the most preferred one, so that claims don't collide.
 func (d *Duty) NextClaim(now float64, r *Record, absent map[string]bool) (Command, bool) {
 	for _, needed := range r.neededLeases() {
 		name := needed.lease
@@ -111,7 +118,8 @@
 		}
 		claimedAt, claimed := d.claimedAt[name]
 		if lease.Owner == d.Owner || claimed && now < claimedAt+d.TermMs/4 ||
-			lease.Owner != "" && now < change.seenAt+leaderTermFraction*lease.TermMs && !d.Hurry { // by far the most: with hundreds of agents an order is dear
+			lease.Owner != "" && now < change.seenAt+leaderTermFraction*lease.TermMs && !d.Hurry {
+			// Most leases end here. The order below is only computed for the others, as with hundreds of agents it is expensive.
 			continue
 		}
 		rank, _ := d.rank(needed.orderKey, r, absent)
@@ -141,8 +149,8 @@
 	return Command{}, false
 }
 
-// NextPass decides the next matter of its own that is to go to an agent that comes before this one and has been there
-// for long.
+// NextPass returns the next request to hand a lease of this agent over, if any: to a more preferred agent that has been
+// present for handoverDelayTerms.
 func (d *Duty) NextPass(now float64, r *Record, absent map[string]bool) (Command, bool) {
 	for _, needed := range r.neededLeases() {
 		name := needed.lease
--- a/fleet/gates.go
+++ b/fleet/gates.go
@@ -5,14 +5,16 @@
 	"slices"
 )
 
-const defaultMinTxns = 50 // on either side, where the file names no number
+const defaultMinTxns = 50 // on either side, if Gates.Txns is 0
 
-// figures are what schedulers answered since a wave is watched.
+// txnComparison compares the txns answered by released and unreleased schedulers since the observation of a wave began.
 type txnComparison struct {
-	lastCounts, totals map[string]Txns
+	lastCounts map[string]Txns // by scheduler id: the last sample
+	totals     map[string]Txns // by scheduler id: the increase since the first sample
 }
 
-// add takes a scheduler's count. One that is below the last is of a new process.
+// addSample takes a sample of a scheduler's counts, which grow since its process started. Counts that are lower than those
+// of the last sample come from a new process.
 func (f *txnComparison) addSample(id string, counts Txns) {
 	if f.lastCounts == nil {
 		f.lastCounts, f.totals = map[string]Txns{}, map[string]Txns{}
@@ -25,13 +27,16 @@
 		former = Txns{}
 	}
 	total := f.totals[id]
-	f.totals[id] = Txns{total.Settled + counts.Settled - former.Settled, total.Declined + counts.Declined - former.Declined, total.Reversed + counts.Reversed - former.Reversed}
+	f.totals[id] = Txns{total.Settled + counts.Settled - former.Settled, total.Declined + counts.Declined - former.Declined,
+		total.Reversed + counts.Reversed - former.Reversed}
 }
 
+// total returns the number of all answered txns.
 func (t Txns) total() int { return t.Settled + t.Declined + t.Reversed }
 
-// worse tells in what the released part is worse than the part that is not, in the same minutes; "" where it is not, or
-// where too little was answered on either side. With yesterday, a bug that a test plants, it is held against a good day.
+// regression returns in which outcome the released schedulers are worse than the unreleased ones over the same time, by more
+// than the operation's gates allow, "" if they aren't or if either side answered too few txns. againstFixedGoodDay is a
+// fault that a test injects: it compares with a fixed number of settled txns instead of the unreleased schedulers.
 func (f *txnComparison) regression(op *Op, againstFixedGoodDay bool) string {
 	var released, unreleased Txns
 	for id, counts := range f.totals {
@@ -53,16 +58,16 @@
 	}
 	share := func(counts int, of Txns) float64 { return float64(counts) / float64(of.total()) }
 	for _, gate := range []struct {
-		name          string
-		released, out float64 // how much worse
-		may           float64
+		name         string
+		upper, lower float64 // shares; their difference is by how much the released schedulers are worse
+		allowed      float64
 	}{
 		{"settled", share(unreleased.Settled, unreleased), share(released.Settled, released), op.Gates.Settled},
 		{"declined", share(released.Declined, released), share(unreleased.Declined, unreleased), op.Gates.Declined},
 		{"reversed", share(released.Reversed, released), share(unreleased.Reversed, unreleased), op.Gates.Reversed},
 	} {
-		if gate.may > 0 && gate.released-gate.out > gate.may {
-			return fmt.Sprintf("gate: %s share is worse by %.2f than where it is not released (%d and %d txns)", gate.name, gate.released-gate.out,
+		if gate.allowed > 0 && gate.upper-gate.lower > gate.allowed {
+			return fmt.Sprintf("gate: %s share is worse by %.2f on released schedulers than on the others (%d and %d txns)", gate.name, gate.upper-gate.lower,
 				released.total(), unreleased.total())
 		}
 	}
--- a/fleet/minder.go
+++ b/fleet/minder.go
@@ -3,43 +3,43 @@
 import "slices"
 
 const (
-	initialRestartBackoffMs = 500.0   // after a process that ended by itself; doubled each time
-	maxRestartBackoffMs     = 30000.0 //
-	crashLoopCount          = 5       // in the time below: then it stays down until somebody wants something else
+	initialRestartBackoffMs = 500.0 // after the first failure in a row; doubled with each further one
+	maxRestartBackoffMs     = 30000.0
+	crashLoopCount          = 5 // failures within crashLoopWindowMs after which a generation is not restarted
 	crashLoopWindowMs       = 60000.0
 )
 
-// Proc is one process of a scheduler. Gen is the step that wanted it, 0 for the first.
+// Proc is one process of a scheduler.
 type Proc struct {
-	Slot       int // which of the two places it has: each its own second address
-	Gen        uint64
-	Since      float64
+	Slot       int     // 0 or 1; each slot has its own management address
+	Gen        uint64  // the generation: Step.No of the step that wanted the process, 0 for the first one
+	Since      float64 // when it was started or adopted
 	Ready      bool
-	termSentAt float64
-	killSentAt float64
+	termSentAt float64 // when it was told to end by SIGTERM, 0 if it was not
+	killSentAt float64 // when it was killed, 0 if it was not
 }
 
-// Deed is what to do with a process.
+// Deed is an action on a process.
 type Deed struct {
-	Do   string // start, term, kill
+	Do   string // start, term (send SIGTERM) or kill (send SIGKILL)
 	Slot int
 	Gen  uint64
 }
 
-// Minder decides over the processes of one scheduler: at most two, of which one takes over from the other.
+// Minder supervises the processes of one scheduler. There are at most two, of which the newer one takes over from the other.
 type Minder struct {
-	ReadyMost    float64 // ms for a new process to be ready
-	KillAfter    float64 // ms after SIGTERM: longer than any txn may be open
+	ReadyMost    float64 // ms that a new process may take to be ready
+	KillAfter    float64 // ms between SIGTERM and SIGKILL; longer than any txn may be open
 	shouldRun    bool
 	wantedGen    uint64
-	lastReadyGen uint64 // the last one that was ready: it serves on where a newer one fails
+	lastReadyGen uint64 // the last generation that was ready; it serves if a newer one fails
 	processes    []*Proc
-	failure      string // why gen can't be had
-	crashedAt    []float64
-	nextStartAt  float64
+	failure      string    // why wantedGen can't run, "" if it may
+	crashedAt    []float64 // failures of wantedGen within crashLoopWindowMs
+	nextStartAt  float64   // the earliest time of the next start
 }
 
-// Wants takes what is wanted: nothing runs, or the processes of this step do.
+// Wants sets what should run: a process of the generation gen, or none. A change ends any backoff.
 func (m *Minder) Wants(now float64, run bool, gen uint64) {
 	if m.shouldRun == run && m.wantedGen == gen {
 		return
@@ -47,12 +47,13 @@
 	m.shouldRun, m.wantedGen, m.failure, m.crashedAt, m.nextStartAt = run, gen, "", nil, now
 }
 
-// Adopt takes a process that is there already.
+// Adopt adds a process that an earlier start of the agent left running.
 func (m *Minder) Adopt(p Proc) { m.processes = append(m.processes, &p) }
 
-// Procs lists the processes.
+// Procs lists the processes that have not ended.
 func (m *Minder) Procs() []*Proc { return m.processes }
 
+// currentProcess returns the process of a generation that was not told to end, nil if there is none.
 func (m *Minder) currentProcess(gen uint64) *Proc {
 	for _, process := range m.processes {
 		if process.Gen == gen && process.termSentAt == 0 && process.killSentAt == 0 {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// target is the step whose processes are to run now.
+// targetGen returns the generation that should run now: the wanted one or, if that has failed, the last one that was ready.
 func (m *Minder) targetGen() uint64 {
 	if m.failure != "" {
 		return m.lastReadyGen
@@ -70,7 +71,7 @@
 	return m.wantedGen
 }
 
-// Next decides what to do next.
+// Next returns the next action, if any, and assumes that the host carries it out.
 func (m *Minder) Next(now float64) (Deed, bool) {
 	current := m.currentProcess(m.targetGen())
 	for _, process := range m.processes {
@@ -79,13 +80,13 @@
 		case process.termSentAt > 0 && now >= process.termSentAt+m.KillAfter:
 			process.killSentAt = now
 			return Deed{"kill", process.Slot, process.Gen}, true
-		// What was begun and is not wanted any more goes at once, what serves once another one does.
+		// A process that is not wanted any more is ended: at once if it isn't ready, else once the current one serves.
 		case process.termSentAt == 0 && (!m.shouldRun || process != current && (!process.Ready || current != nil && current.Ready)):
 			process.termSentAt = now
 			return Deed{"term", process.Slot, process.Gen}, true
 		case m.shouldRun && process == current && !process.Ready && now >= process.Since+m.ReadyMost:
 			process.killSentAt = now
-			m.recordFailure(now, "it was not ready in time")
+			m.recordFailure(now, "the process was not ready in time")
 			return Deed{"kill", process.Slot, process.Gen}, true
 		}
 	}
@@ -100,29 +101,30 @@
 	return Deed{"start", process.Slot, process.Gen}, true
 }
 
-// fell takes that the process that is wanted is no more, or can't be had.
+// recordFailure takes note that the current process ended, was not ready in time or could not be started. It decides
+// whether to give the generation up, and when to start a process again.
 func (m *Minder) recordFailure(now float64, why string) {
 	otherServes := slices.ContainsFunc(m.processes, func(p *Proc) bool { return p.Ready && p.termSentAt == 0 && p.Gen != m.targetGen() })
 	m.crashedAt = append(slices.DeleteFunc(m.crashedAt, func(at float64) bool { return at < now-crashLoopWindowMs }), now)
 	switch {
 	case m.failure != "":
 	case otherServes && m.wantedGen != m.lastReadyGen:
-		m.failure = why + "; the former one serves on"
+		m.failure = why + "; the former process keeps serving"
 	case len(m.crashedAt) >= crashLoopCount && m.wantedGen != m.lastReadyGen:
-		m.failure, m.crashedAt = "crash loop: "+why+"; back to the former one", nil
+		m.failure, m.crashedAt = "crash loop: "+why+"; back to the former version", nil
 	case len(m.crashedAt) >= crashLoopCount:
 		m.failure = "crash loop: " + why
 	}
 	m.nextStartAt = now + min(initialRestartBackoffMs*float64(int(1)<<min(max(len(m.crashedAt)-1, 0), 10)), maxRestartBackoffMs)
 }
 
-// Started takes that a start came to nothing.
+// Started takes note that a process could not be started.
 func (m *Minder) Started(now float64, slot int, why string) {
 	m.removeProcess(slot)
 	m.recordFailure(now, why)
 }
 
-// Ready takes that a process is.
+// Ready takes note that the process in a slot is ready.
 func (m *Minder) Ready(slot int) {
 	for _, process := range m.processes {
 		if process.Slot == slot && process.killSentAt == 0 {
@@ -134,11 +136,11 @@
 	}
 }
 
-// Ended takes that a process is gone.
+// Ended takes note that the process in a slot has ended.
 func (m *Minder) Ended(now float64, slot int) {
 	process := m.removeProcess(slot)
 	if process != nil && process.termSentAt == 0 && process.killSentAt == 0 && m.shouldRun && process.Gen == m.targetGen() {
-		m.recordFailure(now, "it ended by itself")
+		m.recordFailure(now, "the process ended by itself")
 	}
 }
 
@@ -152,7 +154,7 @@
 	return removed
 }
 
-// State is how far what is wanted is: done, going, or failed with the reason.
+// State returns how far the wanted state is reached: done, going (under way), or failed with the reason.
 func (m *Minder) State() (state, why string) {
 	switch process := m.currentProcess(m.wantedGen); {
 	case m.failure != "":
@@ -163,8 +165,8 @@
 	return "going", ""
 }
 
-// Serves tells in which place the process is that serves: the one that is wanted, or else the newest that is ready and not
-// told to end. Of a new one that was ready and called back the former one's place holds again.
+// Serves returns the slot of the process that serves: the one of the target generation if it is ready, else the newest that
+// is ready and was not told to end. If a new process was ready and then told to end, that is the former one's slot again.
 func (m *Minder) Serves() (slot int, ok bool) {
 	if process := m.currentProcess(m.targetGen()); process != nil && process.Ready {
 		return process.Slot, true
@@ -178,10 +180,10 @@
 	return slot, ok
 }
 
-// Down tells whether no process serves.
+// Down reports whether no process serves.
 func (m *Minder) Down() bool {
 	return !slices.ContainsFunc(m.processes, func(p *Proc) bool { return p.Ready && p.termSentAt == 0 && p.killSentAt == 0 })
 }
 
-// Good sets which step's process was last known to be ready, as kept by a former life of the agent.
+// Good sets the last generation that was ready, as an earlier start of the agent stored it.
 func (m *Minder) Good(gen uint64) { m.lastReadyGen = gen }
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Waves orders members for a release: one first, then zone after zone, each wave up to twice as large as the one before, so
-// that what is wrong shows while it is small.
+// Waves divides members into waves for a release. The first wave has one member and each further one at most twice as many as
+// the one before, up to 64, so that a fault shows while few members have it. A wave has members of one zone only; zones
+// follow one another.
 func Waves(members []Member) (waves [][]string) {
 	remaining := slices.Clone(members)
 	slices.SortFunc(remaining, func(a, b Member) int {
@@ -35,15 +36,15 @@
 	return waves
 }
 
-// Forecast is what an operation would do, as things stand.
+// Forecast is what an operation would do in the current state of the fleet.
 type Forecast struct {
 	Waves   [][]string     `json:"waves"`
-	Most    map[string]int `json:"most"`    // out together in each zone, by the limits
-	Seconds float64        `json:"seconds"` // at so long each
-	Blocks  []string       `json:"blocks"`  // what would keep it from beginning now
+	Most    map[string]int `json:"most"`    // by zone: how many members would be out at the same time at most, by the limits
+	Seconds float64        `json:"seconds"` // duration of the whole operation
+	Blocks  []string       `json:"blocks"`  // what would keep it from beginning now; permits are only checked for waves of one member
 }
 
-// Plan tells what an operation would do when each member takes so many seconds.
+// Plan forecasts an operation, given how many seconds each member takes.
 func (r *Record) Plan(op *Op, secondsEach float64) (forecast Forecast) {
 	forecast.Waves, forecast.Most = op.Waves, map[string]int{}
 	for _, scope := range []string{"all", op.ID} {
--- a/fleet/terms.go
+++ b/fleet/terms.go
@@ -1,38 +1,39 @@
 package fleet
 
-// An owner must have stopped before the next one begins, though neither sees the other's clock. Both count in spans of
-// their own monotonic clock: the owner from before its renewal went out and less than the whole term, the leader from
-// when the renewal stood in the record and more than the whole. A clock may be off by up to a tenth of its rate for
-// that: 0.8 of a term by a clock that is a tenth slow are 0.89, 1.2 by one that is a tenth fast are 1.09.
+// The owner of a lease must have stopped before the next one begins, although neither knows the other's clock. Each side
+// measures a duration on its own monotonic clock: the owner less than the term, from before it sent its last renewal; the
+// quorum's leader more than the term, from when it applied that renewal. This tolerates clocks whose rate is off by up to a
+// tenth: 0.8 terms on a clock that is a tenth slow take 0.89 terms, and 1.2 terms on one that is a tenth fast take 1.09.
 const (
 	ownerTermFraction  = 0.8
 	leaderTermFraction = 1.2
 
-	urgentRenewalGapMs = 50.0 // ms between renewals at the least
+	urgentRenewalGapMs = 50.0 // least time between two renewals
 )
 
-// Hold is an owner's own knowledge of a matter that it has.
+// Hold is a lease from the view of its owner.
 type Hold struct {
 	Fence          uint64
 	TermMs         float64
 	heldUntil      float64
-	renewalSentAt  float64 // when the renewal that is under way went out
-	renewalPending bool
+	renewalSentAt  float64 // when the last renewal, or before that the claim, was sent
+	renewalPending bool    // a renewal is under way
 }
 
-// Held begins a hold by a claim that went out at asked and was carried out.
+// Held returns the Hold for a claim that was sent at sentAt and carried out.
 func Held(sentAt float64, fence uint64, termMs float64) *Hold {
 	return &Hold{Fence: fence, TermMs: termMs, heldUntil: sentAt + ownerTermFraction*termMs, renewalSentAt: sentAt}
 }
 
-// Holds tells whether the owner may act now. It is asked before each action, and after each wait.
+// Holds reports whether the owner may act now. It has to be checked before each action, and again after each wait.
 func (h *Hold) Holds(now float64) bool { return h != nil && now < h.heldUntil }
 
-// Until is when it has to stop.
+// Until returns when the owner has to stop, unless a renewal is carried out before.
 func (h *Hold) Until() float64 { return h.heldUntil }
 
-// NextRenewal decides whether to renew now: three times in a term, so that one lost call is none, or soon where something
-// waits for what goes with it.
+// NextRenewal reports whether the owner has to send a renewal now, and assumes that it does. A renewal is due after each
+// quarter of a term, so that the loss of one doesn't lose the lease; after urgentRenewalGapMs if it is urgent, because an
+// operation waits for the health report that it carries.
 func (h *Hold) NextRenewal(now float64, urgent bool) bool {
 	if h.renewalPending || now < h.renewalSentAt+h.TermMs/4 && !(urgent && now >= h.renewalSentAt+urgentRenewalGapMs) {
 		return false
@@ -41,35 +42,37 @@
 	return true
 }
 
-// Renewed tells what came of the renewal: it holds from when it was asked for, whenever the answer came.
+// Renewed takes the result of the renewal under way. The lease is extended from when the renewal was sent, however late the
+// answer came.
 func (h *Hold) Renewed(done bool) {
 	if h.renewalPending = false; done {
 		h.heldUntil = max(h.heldUntil, h.renewalSentAt+ownerTermFraction*h.TermMs)
 	}
 }
 
-// Whole marks a renewal whose owner has looked at all members of its zone.
+// Whole in Command.To marks a renewal by an owner that has called every scheduler since it got the zone's lease.
 const Whole = "whole"
 
-// Keeper is the leader's knowledge of how old each claim is. It counts only what it saw itself as leader: a new one
-// waits for a whole term, as it can't know when its predecessor last let an owner renew.
+// Keeper measures, at the quorum's leader, the age of each lease. It only knows what was applied while this process was the
+// leader. A new leader waits for a whole term before it lets a lease change owners, as it can't know when its predecessor
+// last accepted a renewal.
 type Keeper struct {
 	isLeader     bool
 	leaderSince  float64
-	appliedAt    map[string]float64
-	fullReportAt map[string]float64 // when each zone's owner last renewed, and with it reported
-	Hurry        bool               // a bug planted by a test of what finds it: a new leader does not wait
+	appliedAt    map[string]float64 // by lease name: when the last claim or renewal was applied
+	fullReportAt map[string]float64 // by lease name: when the last renewal marked Whole was applied
+	Hurry        bool               // a fault that a test injects: a new leader does not wait
 }
 
-// Leads tells that this process leads from now on.
+// Leads takes note that this process is the leader from now on.
 func (k *Keeper) Leads(now float64) {
 	*k = Keeper{isLeader: true, leaderSince: now, appliedAt: map[string]float64{}, fullReportAt: map[string]float64{}, Hurry: k.Hurry}
 }
 
-// Follows tells that it does not lead any more.
+// Follows takes note that this process is no longer the leader.
 func (k *Keeper) Follows() { *k = Keeper{Hurry: k.Hurry} }
 
-// Applied takes that a claim or renewal of a matter was carried out.
+// Applied takes note that a claim or renewal of a lease was carried out.
 func (k *Keeper) Applied(now float64, c *Command) {
 	if k.isLeader {
 		if k.appliedAt[c.Matter] = now; c.Do == "renew" && c.To == Whole {
@@ -78,16 +81,17 @@
 	}
 }
 
-// fresh is why what stands on record of a zone's members may be old, "" where it was reported on within a term.
+// staleReportReason returns why the health on record of a zone's members may be out of date, "" if the zone's owner reported
+// on it within a term.
 func (k *Keeper) staleReportReason(now float64, r *Record, zone string) string {
 	lease := r.Matters[MatterOf(zone)]
 	if at, reported := k.fullReportAt[MatterOf(zone)]; !reported || now > at+lease.TermMs {
-		return "nobody has reported on zone " + zone + " lately"
+		return "the health of the members of zone " + zone + " was not fully reported within the term of its lease"
 	}
 	return ""
 }
 
-// Over decides whether the term of a matter's owner is over, so that another's claim may go on the record.
+// OwnerTermExpired reports whether the term of a lease's owner has expired, so that another agent may claim the lease.
 func (k *Keeper) OwnerTermExpired(now float64, matter string, lease Lease) bool {
 	if !k.isLeader {
 		return false
@@ -98,8 +102,9 @@
 	return now >= max(k.leaderSince, k.appliedAt[matter])+leaderTermFraction*lease.TermMs
 }
 
-// MayPropose decides whether the leader takes a command at all: a claim of a matter that another still has is refused
-// with the reason, all else is the record's to judge.
+// MayPropose returns why the leader refuses a command before it is replicated, "" if it accepts it. It refuses a claim of a
+// lease whose owner's term has not expired, and a command that takes a member out while the health that the limits count by
+// may be out of date. These depend on the leader's clock; everything else is decided when the record applies the command.
 func (k *Keeper) MayPropose(now float64, r *Record, c *Command) string {
 	if c.Do == "step" && c.To == Granted || c.Do == "out" && r.Members[c.ID].Kind == "worker" && !c.Force {
 		for _, zone := range r.zonesCountedWith(c.ID) {
@@ -112,7 +117,7 @@
 		return ""
 	}
 	if lease := r.Matters[c.Matter]; lease.Owner != "" && !k.OwnerTermExpired(now, c.Matter, lease) {
-		return "the term of " + lease.Owner + " is not over"
+		return "the term of " + lease.Owner + " has not expired"
 	}
 	return ""
 }
