--- a/fleet/ops_test.go
+++ b/fleet/ops_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// small is a record of four schedulers and two workers in two zones, all in service, with an agent.
+// smallRecord returns a record of one agent, four schedulers in two zones and two workers in one of them, all in service.
 func smallRecord(t *testing.T, limits ...Limit) *Record {
 	t.Helper()
 	r := NewRecord()
@@ -20,13 +20,13 @@
 		members = append(members, Member{ID: fmt.Sprint("w", i), Kind: "worker", Zone: "a", Addr: fmt.Sprint("w/", i), Agent: "a0", Capacity: float64(1 + 3*i)})
 	}
 	for _, m := range members {
-		apply(t, r, Command{Do: "member", Member: &m})
+		applyCommand(t, r, Command{Do: "member", Member: &m})
 		if m.Kind != "agent" {
 			r.Health[m.ID] = Seen{State: InService}
 		}
 	}
 	if len(limits) > 0 {
-		if a := apply(t, r, Command{Do: "limits", By: "ann", Limits: limits}); !a.Done {
+		if a := applyCommand(t, r, Command{Do: "limits", By: "ann", Limits: limits}); !a.Done {
 			t.Fatal(a.Why)
 		}
 	}
@@ -35,17 +35,18 @@
 
 func intPtr(n int) *int { return &n }
 
-// What is out counts whatever took it out; shares round so that fewer are out; zones and labels count by themselves.
-func TestLimits(t *testing.T) {
-	for i, x := range []struct {
+// A member counts as out whatever the cause. Shares are rounded down, and limits with "each" count every zone or label value
+// separately.
+func TestLimitsOnMembersOut(t *testing.T) {
+	for i, test := range []struct {
 		limits []Limit
 		out    string
 		ask    string
 		may    bool
 	}{
-		{nil, "", "s0", true}, // one at a time where nothing is said
+		{nil, "", "s0", true}, // the default limit is one at a time
 		{nil, "s1", "s0", false},
-		{nil, "s0", "s0", true}, // it takes no more room than it does
+		{nil, "s0", "s0", true}, // it counts as out already
 		{nil, "w0", "s0", true},
 		{[]Limit{{Kind: "scheduler", Share: 0.49}}, "", "s0", true},
 		{[]Limit{{Kind: "scheduler", Share: 0.49}}, "s1", "s0", false},
@@ -57,58 +58,61 @@
 		{[]Limit{{Kind: "worker", Capacity: 0.5}}, "", "w0", true},
 		{[]Limit{{Kind: "worker", Capacity: 0.5}}, "", "w1", false},
 	} {
-		r := smallRecord(t, x.limits...)
-		if x.out != "" {
-			r.Health[x.out] = Seen{State: "cold"}
+		r := smallRecord(t, test.limits...)
+		if test.out != "" {
+			r.Health[test.out] = Seen{State: "cold"}
 		}
-		if why := r.limitRefusal(x.ask, nil); (why == "") != x.may {
-			t.Errorf("case %d: %s", i, why)
+		if why := r.limitRefusal(test.ask, nil); (why == "") != test.may {
+			t.Errorf("case %d: refused with %q, want allowed %t", i, why, test.may)
 		}
 	}
 	for _, bad := range []Limit{{Kind: "box", Least: 1}, {Kind: "worker"}, {Kind: "scheduler", Capacity: 0.5}, {Kind: "worker", Share: 2}} {
 		if CheckLimits([]Limit{bad}) == "" {
-			t.Errorf("%+v was taken", bad)
+			t.Errorf("the invalid limit %+v was accepted", bad)
 		}
 	}
 }
 
-// One restart, command by command: a grant needs room and no halt, what waits to be seen needs a look that began after the
-// step, a permit ends then alone, and nobody but the owner moves it on.
-func TestStepsOfOneMember(t *testing.T) {
+// A restart of two schedulers, command by command: a grant needs free room under the limits and no halt, a member is in
+// service again only by an observation that began after its last step, its permit ends at that point and not before, and
+// only the owner of the operation's lease advances it.
+func TestStepsOfOneRestart(t *testing.T) {
 	r := smallRecord(t)
 	if r.V != 2 {
-		t.Fatal("members that agents run are of form 2")
+		t.Fatal("members with an agent don't raise the record to format version 2")
 	}
-	if a := apply(t, r, Command{Do: "begin", By: "ann", Op: &Op{Kind: "restart", Waves: [][]string{{"s0"}}, Together: 2}}); a.Done {
-		t.Error("together over the limit was taken")
+	if answer := applyCommand(t, r, Command{Do: "begin", By: "ann", Op: &Op{Kind: "restart", Waves: [][]string{{"s0"}}, Together: 2}}); answer.Done {
+		t.Error("an operation with together above the limit was accepted")
 	}
-	apply(t, r, Command{Do: "member", Member: &Member{ID: "a1", Kind: "agent", Zone: "b", Addr: "x:9"}})
-	if a := apply(t, r, Command{Do: "member", Force: true, Member: &Member{ID: "s0", Kind: "scheduler", Zone: "a", Addr: "x:8", Agent: "a1"}}); a.Done {
-		t.Error("a name that another agent runs was taken")
+	applyCommand(t, r, Command{Do: "member", Member: &Member{ID: "a1", Kind: "agent", Zone: "b", Addr: "x:9"}})
+	if answer := applyCommand(t, r, Command{Do: "member", Force: true, Member: &Member{ID: "s0", Kind: "scheduler", Zone: "a", Addr: "x:8", Agent: "a1"}}); answer.Done {
+		t.Error("a member that another agent runs was replaced")
 	}
 	r.Permits["s3"] = Permit{"drain-1", 1}
-	if a := apply(t, r, Command{Do: "begin", By: "bob", Op: &Op{Kind: "drain", Waves: [][]string{{"s3"}}}}); a.Done {
-		t.Error("a member that is out was taken into a second operation")
+	if answer := applyCommand(t, r, Command{Do: "begin", By: "bob", Op: &Op{Kind: "drain", Waves: [][]string{{"s3"}}}}); answer.Done {
+		t.Error("a member that is out was accepted in a second operation")
 	}
 	delete(r.Permits, "s3")
-	begun := apply(t, r, Command{Do: "begin", By: "ann", Op: &Op{Kind: "restart", Waves: [][]string{{"s0", "s1"}}}})
-	id := fmt.Sprint("restart-", begun.No)
-	if a := apply(t, r, Command{Do: "begin", By: "bob", Op: &Op{Kind: "drain", Waves: [][]string{{"s1"}}}}); a.Done {
-		t.Error("a member of two operations")
+	beginAnswer := applyCommand(t, r, Command{Do: "begin", By: "ann", Op: &Op{Kind: "restart", Waves: [][]string{{"s0", "s1"}}}})
+	id := fmt.Sprint("restart-", beginAnswer.No)
+	if answer := applyCommand(t, r, Command{Do: "begin", By: "bob", Op: &Op{Kind: "drain", Waves: [][]string{{"s1"}}}}); answer.Done {
+		t.Error("a member was accepted in two open operations")
 	}
-	m := OpOf(id)
-	apply(t, r, Command{Do: "claim", Matter: m, Owner: "a0#1", Term: 3000})
+	lease := OpOf(id)
+	applyCommand(t, r, Command{Do: "claim", Matter: lease, Owner: "a0#1", Term: 3000})
 	step := func(member, to string, fence uint64) string {
-		return apply(t, r, Command{Do: "step", Matter: m, Owner: "a0#1", Fence: fence, ID: member, To: to, Renewed: r.Ops[id].Steps[member].No}).Why
+		return applyCommand(t, r, Command{Do: "step", Matter: lease, Owner: "a0#1", Fence: fence, ID: member, To: to, Renewed: r.Ops[id].Steps[member].No}).Why
 	}
-	apply(t, r, Command{Do: "halt", ID: "zone/a", By: "ann"})
-	for i, x := range []struct {
-		do   func() string
+	applyCommand(t, r, Command{Do: "halt", ID: "zone/a", By: "ann"})
+	for i, test := range []struct {
+		call func() string
 		want string
 	}{
 		{func() string { return step("s0", Granted, 1) }, "halted"},
-		{func() string { return apply(t, r, Command{Do: "lift", ID: "zone/a", By: m, Owner: "a0#1"}).Why }, "only a person"},
-		{func() string { return apply(t, r, Command{Do: "lift", ID: "zone/a", By: "ann"}).Why }, ""},
+		{func() string {
+			return applyCommand(t, r, Command{Do: "lift", ID: "zone/a", By: lease, Owner: "a0#1"}).Why
+		}, "only a person"},
+		{func() string { return applyCommand(t, r, Command{Do: "lift", ID: "zone/a", By: "ann"}).Why }, ""},
 		{func() string { return step("s0", Granted, 2) }, "another owner"},
 		{func() string { return step("s0", StepReturning, 1) }, "no such step"},
 		{func() string { return step("s0", Granted, 1) }, ""},
@@ -125,102 +129,103 @@
 		}, ""},
 		{func() string { return step("s1", Granted, 1) }, ""},
 	} {
-		if why := x.do(); x.want == "" && why != "" || x.want != "" && !strings.Contains(why, x.want) {
-			t.Errorf("case %d: %q, want %q", i, why, x.want)
+		if why := test.call(); test.want == "" && why != "" || test.want != "" && !strings.Contains(why, test.want) {
+			t.Errorf("case %d: %q, want %q", i, why, test.want)
 		}
 	}
 	if len(r.Permits) != 1 || r.Permits["s1"].Op != id {
 		t.Errorf("permits %v", r.Permits)
 	}
-	// What an agent begins of it: not without the record, not under a halt that was told to it, not twice, not for an old owner.
-	d := NewDoer("life")
-	d.Bug = os.Getenv("SHALEBEAM_BUG") // stale-step and halt-at-owner are named here
-	do := Do{Op: id, Member: "s1", Call: "run", No: r.Ops[id].Steps["s1"].No, Fence: 1}
-	late := do
-	late.Fence = 9
-	for _, x := range []struct {
-		do  Do
-		rec *Record
-	}{{do, nil}, {late, r}, {Do{Op: id, Member: "s1", Call: "stop", No: do.No, Fence: 1}, r}, {Do{Op: id, Member: "s1", Call: "run", No: do.No - 1, Fence: 1}, r}} {
-		if did, begins := d.Begin(x.do, x.rec); begins || did.State != "refused" {
-			t.Errorf("%+v began: %+v", x.do, did)
+	// The agent begins nothing without the record, under a halt set at it, twice, for an owner with another fencing token, or
+	// by a call that doesn't match the step on record.
+	doer := NewDoer("life")
+	doer.Bug = os.Getenv("SHALEBEAM_BUG") // stale-step or halt-at-owner, to check that this test finds them
+	call := Do{Op: id, Member: "s1", Call: "run", No: r.Ops[id].Steps["s1"].No, Fence: 1}
+	wrongFence := call
+	wrongFence.Fence = 9
+	for _, test := range []struct {
+		call Do
+		rec  *Record
+	}{{call, nil}, {wrongFence, r}, {Do{Op: id, Member: "s1", Call: "stop", No: call.No, Fence: 1}, r}, {Do{Op: id, Member: "s1", Call: "run", No: call.No - 1, Fence: 1}, r}} {
+		if did, begins := doer.Begin(test.call, test.rec); begins || did.State != "refused" {
+			t.Errorf("the call %+v was begun: %+v", test.call, did)
 		}
 	}
-	d.Halts["all"] = Halt{Of: "all", By: "ann"}
-	if _, begins := d.Begin(do, r); begins {
-		t.Error("it began under a halt")
+	doer.Halts["all"] = Halt{Of: "all", By: "ann"}
+	if _, begins := doer.Begin(call, r); begins {
+		t.Error("the call was begun under a halt")
 	}
-	delete(d.Halts, "all")
-	if _, begins := d.Begin(do, r); !begins {
-		t.Error("it did not begin")
+	delete(doer.Halts, "all")
+	if _, begins := doer.Begin(call, r); !begins {
+		t.Error("the call was not begun")
 	}
-	if did, begins := d.Begin(do, r); begins || did.State != "going" {
-		t.Error("it began twice")
+	if did, begins := doer.Begin(call, r); begins || did.State != "going" {
+		t.Error("the call was begun twice")
 	}
 	raw, _ := os.ReadFile("../docs/design/releases.md")
 	if !strings.Contains(string(raw), TransitionTable()) {
-		t.Errorf("the drawing in docs/design/releases.md is not that of the table:\n%s", TransitionTable())
+		t.Errorf("docs/design/releases.md does not have the state table as it is:\n%s", TransitionTable())
 	}
 }
 
-// A new process that is never ready leaves the old one serving; one that falls again and again is left down; what is not
-// wanted any more ends, by force if it must.
-func TestMinder(t *testing.T) {
-	m := &Minder{ReadyMost: 1000, KillAfter: 500}
-	m.Wants(0, true, 0)
+// A new process that is never ready leaves the former one serving. One that crashes again and again is not restarted any
+// more. A process that is not wanted any more is ended, by SIGKILL if it doesn't end after SIGTERM.
+func TestProcessSupervision(t *testing.T) {
+	minder := &Minder{ReadyMost: 1000, KillAfter: 500}
+	minder.Wants(0, true, 0)
 	expect := func(now float64, want Deed) {
 		t.Helper()
-		if d, ok := m.Next(now); d != want || ok != (want.Do != "") {
-			t.Fatalf("at %g: %+v, want %+v", now, d, want)
+		if deed, ok := minder.Next(now); deed != want || ok != (want.Do != "") {
+			t.Fatalf("at %g: %+v, want %+v", now, deed, want)
 		}
 	}
 	expect(0, Deed{"start", 0, 0})
 	expect(10, Deed{})
-	m.Ready(0)
-	m.Wants(100, true, 7)
+	minder.Ready(0)
+	minder.Wants(100, true, 7)
 	expect(100, Deed{"start", 1, 7})
 	expect(1099, Deed{})
 	expect(1100, Deed{"kill", 1, 7})
-	m.Ended(1110, 1)
+	minder.Ended(1110, 1)
 	expect(1200, Deed{})
-	if state, why := m.State(); state != "failed" || !strings.Contains(why, "the former process keeps serving") {
+	if state, why := minder.State(); state != "failed" || !strings.Contains(why, "the former process keeps serving") {
 		t.Error(state, why)
 	}
-	m.Wants(2000, true, 9)
+	minder.Wants(2000, true, 9)
 	expect(2000, Deed{"start", 1, 9})
-	m.Ready(1)
+	minder.Ready(1)
 	expect(2100, Deed{"term", 0, 0})
 	expect(2500, Deed{})
 	expect(2600, Deed{"kill", 0, 0})
-	m.Ended(2610, 0)
-	if state, _ := m.State(); state != "done" {
+	minder.Ended(2610, 0)
+	if state, _ := minder.State(); state != "done" {
 		t.Error(state)
 	}
 	serves := func(want int) {
 		t.Helper()
-		if slot, ok := m.Serves(); !ok || slot != want {
-			t.Errorf("place %d %t, want %d", slot, ok, want)
+		if slot, ok := minder.Serves(); !ok || slot != want {
+			t.Errorf("serves: slot %d, %t, want slot %d", slot, ok, want)
 		}
 	}
-	// A new one is called back just before it is seen to be ready: the former one serves on, at its own place.
-	m.Wants(2700, true, 11)
+	// The former generation is wanted again just before a newer process is ready: the former one keeps serving, at its slot.
+	minder.Wants(2700, true, 11)
 	expect(2700, Deed{"start", 0, 11})
 	serves(1)
-	m.Wants(2750, true, 9)
-	m.Ready(0)
+	minder.Wants(2750, true, 9)
+	minder.Ready(0)
 	serves(1)
 	expect(2750, Deed{"term", 0, 11})
-	m.Ended(2800, 0)
+	minder.Ended(2800, 0)
 	serves(1)
 	now, starts, slot := 3000.0, 0, 1
-	for m.Ended(now, slot); now < 60000; now += 50 {
-		if d, ok := m.Next(now); ok {
+	for minder.Ended(now, slot); now < 60000; now += 50 {
+		if deed, ok := minder.Next(now); ok {
 			starts++
-			slot = d.Slot
-			m.Ended(now+10, slot)
+			slot = deed.Slot
+			minder.Ended(now+10, slot)
 		}
 	}
-	if state, why := m.State(); starts != crashLoopCount-1 || state != "failed" || !strings.Contains(why, "crash loop") {
+	if state, why := minder.State(); starts != crashLoopCount-1 || state != "failed" || !strings.Contains(why, "crash loop") {
 		t.Errorf("%d starts, %s %s", starts, state, why)
 	}
 }
