--- a/fleet/ops.go
+++ b/fleet/ops.go
@@ -7,267 +7,282 @@
 	"strings"
 )
 
-// Operations are steps in the record. Whoever owns one carries it; a successor goes on at what stands here.
+// An operation is a state machine per member. Its state is in the record; the agent that holds the operation's lease
+// advances it, and after a change of owner the next one continues from the recorded state.
 
-// Where a member stands in an operation.
+// States of a member in an operation, the values of Step.At.
 const (
-	Waits   = "waits"
-	Granted = "granted" // it has its permit, and may have been told to go
-	Gone    = "out"     // nothing new goes there, and nothing runs there
-	Acting  = "acting"  // the site's own command is about to be, is being, or was run
-	Acted   = "acted"   // it is to come back
-	In      = "in"      // it was seen in service since
+	Waits         = "waits"   // nothing was done yet
+	Granted       = "granted" // the member has a permit to be out, and its agent or the schedulers may have been told
+	Gone          = "out"     // the member gets no new work and runs none
+	StepCommand   = "acting"  // the site's command for the worker is about to be run, is running or has run
+	StepReturning = "acted"   // the work on the member is done; it has yet to be seen in service
+	StepInService = "in"      // the member was seen in service after that
 )
 
-// What is seen of a member, by who owns its zone.
+// Health states that the code compares with, values of Seen.State.
 const (
-	InService = "in"
-	NotLooked = "not reached"
+	InService        = "in"
+	HealthNotReached = "not reached"
 )
 
-const isDown = "down" // by its own agent: no process of it serves
+// downByAgent in Command.Then says that by its own agent's answer no process of a scheduler serves.
+const downByAgent = "down"
 
 const (
-	mostLimits  = 100
-	endedKept   = 50 // operations that are over
-	mostPlan    = 2000
-	mostTargets = 5000 // of one operation
+	maxLimits           = 100
+	maxClosedOperations = 50   // closed operations that stay on record
+	maxVersionBytes     = 2000 // of all fields of a Version together
+	maxOperationMembers = 5000 // of one operation
 )
 
-// Seen is how a member was last seen to stand.
+// Seen is the health of a member, as the owner of its zone's lease last reported it.
 type Seen struct {
-	State string `json:"state"` // in, or what else: starting, draining, cold, unlisted, out, not reached
-	Of    uint64 `json:"of"`    // what the record was at, for who looked, when the look began
+	State    string `json:"state"` // in, starting, draining, cold, unlisted, out, not reached, or another phase that a scheduler names
+	RecordNo uint64 `json:"of"`    // Record.No as the observer knew it when the observation began
 }
 
-// Permit is one member's leave to be out. Only its being seen in service ends it.
+// Permit allows one member to be out of service for an operation. It ends when the member is seen in service again, or
+// when a person removes the member by force.
 type Permit struct {
-	Op string `json:"op"`
-	No uint64 `json:"no"`
+	Op string `json:"op"` // the operation's id
+	No uint64 `json:"no"` // number of the command that granted it
 }
 
-// Version is what a release brings: a program and, where it changes, a configuration, named by what they hold.
+// Version is what a release installs: on schedulers a program, a configuration or both, on workers whatever the site's
+// command makes of Name.
 type Version struct {
-	Program string `json:"program,omitempty" toml:"program,omitempty"` // its path on each machine
-	Digest  string `json:"digest,omitempty" toml:"digest,omitempty"`   // sha256 of it
-	Config  string `json:"config,omitempty" toml:"config,omitempty"`   // path on each machine; {id} stands for the member
-	Name    string `json:"name,omitempty" toml:"name,omitempty"`       // of what the site's own command brings to workers
+	Program string `json:"program,omitempty" toml:"program,omitempty"` // path on each machine
+	Digest  string `json:"digest,omitempty" toml:"digest,omitempty"`   // SHA-256 of the program, in hexadecimal
+	Config  string `json:"config,omitempty" toml:"config,omitempty"`   // path on each machine; {id} stands for the member's id
+	Name    string `json:"name,omitempty" toml:"name,omitempty"`       // passed to the site's command for a worker
 }
 
-// Gates say when the released part is worse than the part that is not.
+// Gates are the thresholds that halt a release. Shares are parts of the txns that schedulers answered, from 0 to 1, and
+// released schedulers are compared with those that aren't released yet; 0 turns a comparison off.
 type Gates struct {
-	Settled  float64 `json:"settled,omitempty" toml:"settled"`   // the settled share may be so much lower
-	Declined float64 `json:"declined,omitempty" toml:"declined"` // the declined share so much higher
-	Reversed float64 `json:"reversed,omitempty" toml:"reversed"` // the reversed share so much higher
-	Txns     int     `json:"txns,omitempty" toml:"txns"`         // with fewer on either side nothing is said
-	Lost     int     `json:"lost,omitempty" toml:"lost"`         // so many released members that left service again halt it
+	Settled  float64 `json:"settled,omitempty" toml:"settled"`   // by how much the settled share may be lower
+	Declined float64 `json:"declined,omitempty" toml:"declined"` // by how much the declined share may be higher
+	Reversed float64 `json:"reversed,omitempty" toml:"reversed"` // by how much the reversed share may be higher
+	Txns     int     `json:"txns,omitempty" toml:"txns"`         // txns needed on either side for a comparison; 0: defaultMinTxns
+	Lost     int     `json:"lost,omitempty" toml:"lost"`         // released members out of service again that halt it; 0: defaultMaxLost
 }
 
-// Op is an operation.
+// Op is an operation on schedulers and workers, carried out wave by wave.
 type Op struct {
-	ID       string          `json:"id"`
+	ID       string          `json:"id"`   // the kind and the number of the command that began it
 	Kind     string          `json:"kind"` // drain, undrain, restart, maintain, release
 	By       string          `json:"by"`
 	Why      string          `json:"why,omitempty"`
-	Waves    [][]string      `json:"waves"`
-	Wave     int             `json:"wave"`
-	Together int             `json:"together,omitempty"` // so many of it out at once at the most, beside the limits
-	Back     bool            `json:"back,omitempty"`     // it goes back
-	Done     bool            `json:"done,omitempty"`
-	Closed   bool            `json:"closed,omitempty"`
-	Steps    map[string]Step `json:"steps"`
+	Waves    [][]string      `json:"waves"`              // member ids
+	Wave     int             `json:"wave"`               // index of the last wave that has begun
+	Together int             `json:"together,omitempty"` // most members out at once, in addition to the limits; 0: no bound
+	Back     bool            `json:"back,omitempty"`     // the operation is being rolled back
+	Done     bool            `json:"done,omitempty"`     // every wave is through; a release can still be rolled back
+	Closed   bool            `json:"closed,omitempty"`   // the operation is over for good
+	Steps    map[string]Step `json:"steps"`              // by member id
 	Version  Version         `json:"version"`
 	Gates    Gates           `json:"gates"`
-	Watch    float64         `json:"watch,omitempty"`     // ms after each wave
-	Pause    float64         `json:"pause,omitempty"`     // ms that what is maintained stays out
-	WaveMost float64         `json:"wave_ms,omitempty"`   // a wave that takes longer halts it
-	AutoBack bool            `json:"auto_back,omitempty"` // a halt that comes by itself also turns it back
+	Watch    float64         `json:"watch,omitempty"`     // ms to observe after each wave before the next one begins
+	Pause    float64         `json:"pause,omitempty"`     // ms that a member stays out before its maintenance ends or the site's command runs
+	WaveMost float64         `json:"wave_ms,omitempty"`   // ms; a wave that takes longer halts the operation; 0: no bound
+	AutoBack bool            `json:"auto_back,omitempty"` // a halt by the operation's owner also rolls it back
 }
 
-// Step is where one member stands.
+// Step is the state of one member in an operation.
 type Step struct {
-	At    string `json:"at"`
-	No    uint64 `json:"no"`              // the command that moved it there
-	Undo  bool   `json:"undo,omitempty"`  // it comes back without having been acted on
-	Start string `json:"start,omitempty"` // the life of the agent that was to act
-	Why   string `json:"why,omitempty"`   // why it can't go on
+	At         string `json:"at"`
+	No         uint64 `json:"no"`              // number of the command that moved the member there; agents know the step by it
+	Undo       bool   `json:"undo,omitempty"`  // a halt came while the member was Granted, so it is brought back instead of going on
+	AgentStart string `json:"start,omitempty"` // the start of the agent that is to run the site's command; no other start of it may
+	Why        string `json:"why,omitempty"`   // why the member can't go on, "" if it can
 }
 
-// Halt stops new steps of one operation, a zone or all.
+// Halt keeps members from being taken out, in one operation, in a zone or everywhere, until a person lifts it. Members
+// that are out still come back. A halt of one operation also keeps its next wave from beginning.
 type Halt struct {
-	Of   string `json:"of"` // an operation's id, zone/ZONE, or all
+	Of   string `json:"of"` // the scope: an operation's id, "zone/ZONE" or "all"
 	By   string `json:"by"`
 	Why  string `json:"why,omitempty"`
-	No   uint64 `json:"no"`
-	Then string `json:"then,omitempty"` // finish or back
+	No   uint64 `json:"no"`             // number of the command that set it
+	Then string `json:"then,omitempty"` // "back" also rolls the operation back; "finish" or "" doesn't
 }
 
-// row is one line of the table of steps: a member of a kind, in an operation of these kinds, standing at from.
-type row struct {
-	kind  string
-	ops   string // kinds of operations, and "back" for any that goes back; "" for all
-	from  string
-	call  string // at the member's agent, till it says that it is done: stop, run, command
-	till  string // what has to hold in the record besides: room, out, in, pause
-	to    string
-	where string // in words, for the drawing
+// transition is one row of the state table: it applies to members of one kind that are in the state from.
+type transition struct {
+	memberKind     string
+	operationKinds string // separated by spaces, with "back" for any operation that is being rolled back; "" for all
+	from           string
+	agentCall      string // call to the member's agent that has to be done first: stop, run, command; "" for none
+	condition      string // also required: room (under the limits), out or in (as last seen), pause (Op.Pause is over); "" for none
+	to             string
+	description    string // of the condition, for TransitionTable
 }
 
-// steps is the table that runs; docs/design/releases.md has its drawing.
-var steps = []row{
+// transitions is the state table. docs/design/releases.md shows it, as TransitionTable renders it.
+var transitions = []transition{
 	{"scheduler", "drain restart maintain release back", Waits, "", "room", Granted, "a permit"},
 	{"scheduler", "drain maintain", Granted, "stop", "", Gone, "its process has ended"},
-	{"scheduler", "restart release back", Granted, "run", "", Acted, "the new process took over"},
-	{"scheduler", "undrain back restart", Gone, "run", "", Acted, "its process is ready"},
-	{"scheduler", "maintain", Gone, "run", "pause", Acted, "the pause is over, its process is ready"},
-	{"scheduler", "", Acted, "", "in", In, "seen in service"},
+	{"scheduler", "restart release back", Granted, "run", "", StepReturning, "the new process took over"},
+	{"scheduler", "undrain back restart", Gone, "run", "", StepReturning, "its process is ready"},
+	{"scheduler", "maintain", Gone, "run", "pause", StepReturning, "the pause is over, its process is ready"},
+	{"scheduler", "", StepReturning, "", "in", StepInService, "seen in service"},
 	{"worker", "drain restart maintain release back", Waits, "", "room", Granted, "a permit, and all are told"},
 	{"worker", "", Granted, "", "out", Gone, "all said yes, nothing runs there"},
-	{"worker", "restart maintain release", Gone, "", "pause", Acting, "noted before it is told"},
-	{"worker", "", Acting, "command", "", Acted, "the site's command has ended well"},
-	{"worker", "undrain", Gone, "", "", Acted, "all are told that it is back"},
-	{"worker", "", Acted, "", "in", In, "seen in service, warm"},
+	{"worker", "restart maintain release", Gone, "", "pause", StepCommand, "noted before it is told"},
+	{"worker", "", StepCommand, "command", "", StepReturning, "the site's command has ended well"},
+	{"worker", "undrain", Gone, "", "", StepReturning, "all are told that it is back"},
+	{"worker", "", StepReturning, "", "in", StepInService, "seen in service, warm"},
 }
 
-// stepOf is the row that a member is at, nil where it has arrived.
-func (o *Op) stepOf(m Member, s Step) *row {
+// nextTransition returns the transition that a member in the state s has to make next, nil if it has arrived.
+func (o *Op) nextTransition(m Member, s Step) *transition {
 	if o.Kind == "drain" && !o.Back && s.At == Gone && !s.Undo {
 		return nil
 	}
-	for i := range steps {
-		w := &steps[i]
+	for i := range transitions {
+		candidate := &transitions[i]
 		kind := o.Kind
-		if (o.Back || s.Undo) && !(m.Kind == "worker" && o.Kind == "release") { // a worker's way back is a release of the former
+		// A worker is rolled back from a release like it was released: by the site's command, which installs the former version.
+		if (o.Back || s.Undo) && !(m.Kind == "worker" && o.Kind == "release") {
 			kind = "back"
 		}
-		if w.kind == m.Kind && w.from == s.At && (w.ops == "" || slices.Contains(strings.Fields(w.ops), kind)) {
-			return w
+		if candidate.memberKind == m.Kind && candidate.from == s.At &&
+			(candidate.operationKinds == "" || slices.Contains(strings.Fields(candidate.operationKinds), kind)) {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// Arrived tells whether a member has nothing more to do in an operation.
+// Arrived reports whether a member in the state s has nothing more to do in the operation.
 func (o *Op) Arrived(s Step) bool {
-	return s.At == In || o.Kind == "drain" && !o.Back && s.At == Gone
+	return s.At == StepInService || o.Kind == "drain" && !o.Back && s.At == Gone
 }
 
-// Raises tells whether an operation starts schedulers that are down, where their agents say so.
-func (o *Op) Raises(m Member) bool {
+// StartsDownSchedulers reports whether the operation may start the scheduler m without first taking it out, if its agent
+// reports it as down.
+func (o *Op) StartsDownSchedulers(m Member) bool {
 	return m.Kind == "scheduler" && (o.Back || o.Kind == "restart")
 }
 
-// Open tells whether an operation still has something to do, or may yet go back.
+// Open reports whether the operation still has something to do. A release that is done but not closed isn't open, though it
+// can be rolled back.
 func (o *Op) Open() bool { return !o.Done && !o.Closed }
 
-// now lists the members of the waves that have begun, in their order.
-func (o *Op) now() (ids []string) {
-	for _, w := range o.Waves[:min(o.Wave+1, len(o.Waves))] {
-		ids = append(ids, w...)
+// begunMembers lists the members of the waves that have begun, in their order.
+func (o *Op) begunMembers() (ids []string) {
+	for _, wave := range o.Waves[:min(o.Wave+1, len(o.Waves))] {
+		ids = append(ids, wave...)
 	}
 	return ids
 }
 
-// OpOf names the matter of an operation.
+// OpOf returns the name of an operation's lease.
 func OpOf(id string) string { return "op/" + id }
 
-// Halted is why nothing new may be taken out for an operation at a member, "" where nothing keeps it.
-func (r *Record) Halted(op *Op, zone string) string {
-	for _, of := range []string{"all", MatterOf(zone), op.ID} {
-		if h, ok := r.Halts[of]; ok && !(op.Back && of == op.ID) {
-			return fmt.Sprintf("halted (%s) by %s: %s", of, h.By, h.Why)
+// HaltReason returns why no further member in the zone may be taken out for the operation, "" if no halt forbids it. A halt
+// of the operation itself doesn't apply while it is being rolled back.
+func (r *Record) HaltReason(op *Op, zone string) string {
+	for _, scope := range []string{"all", MatterOf(zone), op.ID} {
+		if h, ok := r.Halts[scope]; ok && !(op.Back && scope == op.ID) {
+			return fmt.Sprintf("halted (%s) by %s: %s", scope, h.By, h.Why)
 		}
 	}
 	return ""
 }
 
-// Grant is why a member may not be taken out now for an operation, "" where it may.
-func (r *Record) Grant(op *Op, id string) string { return r.grant(op, id, nil) }
+// Grant returns why a member may not be taken out now for an operation, "" if it may.
+func (r *Record) Grant(op *Op, id string) string { return r.grantRefusal(op, id, nil) }
 
-// grant takes further members as granted already: an owner asks for many at once.
-func (r *Record) grant(op *Op, id string, also map[string]bool) string {
-	m, known := r.Members[id]
-	switch p, has := r.Permits[id]; {
+// grantRefusal is Grant with the members in alsoOut taken as out: an owner asks for many permits at once, and has to count
+// those that are not on record yet.
+func (r *Record) grantRefusal(op *Op, id string, alsoOut map[string]bool) string {
+	member, known := r.Members[id]
+	switch permit, has := r.Permits[id]; {
 	case !known:
 		return "no such member any more"
-	case has && p.Op != op.ID && r.Bug != "two-permits":
-		return "it has a permit of " + p.Op
-	case m.Kind == "worker" && r.Workers[id].Out && r.Workers[id].By != OpOf(op.ID):
+	case has && permit.Op != op.ID && r.Bug != "two-permits":
+		return "it has a permit of " + permit.Op
+	case member.Kind == "worker" && r.Workers[id].Out && r.Workers[id].By != OpOf(op.ID):
 		return "it was taken out by " + r.Workers[id].By
 	}
-	if why := r.Halted(op, m.Zone); why != "" {
+	if why := r.HaltReason(op, member.Zone); why != "" {
 		return why
 	}
 	if op.Together > 0 {
-		n := len(also)
-		for _, p := range r.Permits {
-			if p.Op == op.ID {
-				n++
+		out := len(alsoOut)
+		for _, permit := range r.Permits {
+			if permit.Op == op.ID {
+				out++
 			}
 		}
-		if n >= op.Together {
-			return fmt.Sprintf("%d of this operation are out, %d may be", n, op.Together)
+		if out >= op.Together {
+			return fmt.Sprintf("%d of this operation are out, %d may be", out, op.Together)
 		}
 	}
 	if r.Bug == "back-unlimited" && op.Back {
 		return ""
 	}
-	return r.room(id, also)
+	return r.limitRefusal(id, alsoOut)
 }
 
-func (r *Record) begin(no uint64, c *Command) (string, uint64) {
-	o := c.Op
-	if o == nil || c.By == "" || !slices.Contains([]string{"drain", "undrain", "restart", "maintain", "release"}, o.Kind) {
+// beginOperation puts a new operation on record.
+func (r *Record) beginOperation(no uint64, c *Command) (string, uint64) {
+	requested := c.Op
+	if requested == nil || c.By == "" || !slices.Contains([]string{"drain", "undrain", "restart", "maintain", "release"}, requested.Kind) {
 		return "an operation is a drain, undrain, restart, maintain or release, by somebody", 0
 	}
-	if h, ok := r.Halts["all"]; ok && o.Kind != "undrain" {
-		return "everything is halted by " + h.By + ": " + h.Why, 0
+	if halt, ok := r.Halts["all"]; ok && requested.Kind != "undrain" {
+		return "everything is halted by " + halt.By + ": " + halt.Why, 0
 	}
-	op := *o
-	op.ID, op.By, op.Why = fmt.Sprintf("%s-%d", o.Kind, no), c.By, c.Why
+	op := *requested
+	op.ID, op.By, op.Why = fmt.Sprintf("%s-%d", requested.Kind, no), c.By, c.Why
 	op.Steps, op.Wave, op.Back, op.Done, op.Closed = map[string]Step{}, 0, false, false, false
-	n := 0
-	for _, w := range op.Waves {
-		for _, id := range w {
-			m, known := r.Members[id]
-			_, again := op.Steps[id]
-			switch n++; {
-			case !known || m.Kind != "scheduler" && m.Kind != "worker":
+	count := 0
+	for _, wave := range op.Waves {
+		for _, id := range wave {
+			member, known := r.Members[id]
+			_, repeated := op.Steps[id]
+			switch count++; {
+			case !known || member.Kind != "scheduler" && member.Kind != "worker":
 				return id + ": no such scheduler or worker", 0
-			case again:
+			case repeated:
 				return id + " is named twice", 0
-			case n > mostTargets:
-				return fmt.Sprintf("more than %d members", mostTargets), 0
-			case m.Agent == "" && (m.Kind == "scheduler" || o.Kind != "drain" && o.Kind != "undrain"):
+			case count > maxOperationMembers:
+				return fmt.Sprintf("more than %d members", maxOperationMembers), 0
+			case member.Agent == "" && (member.Kind == "scheduler" || requested.Kind != "drain" && requested.Kind != "undrain"):
 				return id + ": no agent runs it, or a command for it", 0
 			}
 			for _, other := range r.Ops {
-				if _, in := other.Steps[id]; in && other.Open() { // also where it has arrived: that one may yet go back
+				if _, inOther := other.Steps[id]; inOther && other.Open() { // also if the member has arrived there: the other operation may still be rolled back
 					return fmt.Sprintf("%s is in %s, which is not over", id, other.ID), 0
 				}
 			}
 			op.Steps[id] = Step{At: Waits, No: no}
-			// It would wait for what only its undrain ends, and keep that from beginning.
-			if p, out := r.Permits[id]; out && o.Kind != "undrain" && r.Bug != "two-permits" {
-				return fmt.Sprintf("%s is out for %s: bring it back first, with undrain", id, p.Op), 0
+			// The new operation would wait for the end of a permit that only an undrain ends, and as an open operation keep the
+			// undrain from beginning.
+			if permit, hasPermit := r.Permits[id]; hasPermit && requested.Kind != "undrain" && r.Bug != "two-permits" {
+				return fmt.Sprintf("%s is out for %s: bring it back first, with undrain", id, permit.Op), 0
 			}
-			if o.Kind == "undrain" {
-				// Of a drain, or of what ended without it: a person says that it is well.
-				if p, ok := r.Permits[id]; !ok || r.Ops[p.Op] != nil && r.Ops[p.Op].Open() {
+			if requested.Kind == "undrain" {
+				// The permit is of a drain, or of an operation that ended while the member was still out. By an undrain a person
+				// states that the member may serve again.
+				if permit, ok := r.Permits[id]; !ok || r.Ops[permit.Op] != nil && r.Ops[permit.Op].Open() {
 					return id + " is not out, or its operation is not over", 0
 				}
 				op.Steps[id] = Step{At: Gone, No: no}
 				continue
 			}
-			// What can never begin is refused before anything moves.
-			if most, by := r.allowed(id); most < 1 {
-				return fmt.Sprintf("%s can never go out: %s", id, by), 0
-			} else if op.Together > most {
-				return fmt.Sprintf("together = %d, and %s lets %d be out", op.Together, by, most), 0
+			// If the limits never let this member go out, the operation is refused before it changes anything.
+			if maxOut, limit := r.maxOut(id); maxOut < 1 {
+				return fmt.Sprintf("%s can never go out: %s", id, limit), 0
+			} else if op.Together > maxOut {
+				return fmt.Sprintf("together = %d, and %s lets %d be out", op.Together, limit, maxOut), 0
 			}
 		}
 	}
-	if n == 0 {
+	if count == 0 {
 		return "it names no member", 0
 	}
 	if op.Kind == "undrain" {
@@ -276,44 +291,46 @@
 		}
 	}
 	r.Ops[op.ID] = &op
-	r.tidy()
-	r.note(no, "begin", op.ID, c)
+	r.pruneClosedOperations()
+	r.appendAudit(no, "begin", op.ID, c)
 	return "", no
 }
 
-// tidy forgets the oldest operations that are over, beyond those that are kept, where nobody is out for them.
-func (r *Record) tidy() {
-	held := map[string]bool{}
+// pruneClosedOperations removes the oldest closed operations beyond maxClosedOperations, with their leases and halts. One
+// for which a member still has a permit is kept, and not counted.
+func (r *Record) pruneClosedOperations() {
+	inUse := map[string]bool{}
 	for _, p := range r.Permits {
-		held[p.Op] = true
+		inUse[p.Op] = true
 	}
-	var over []*Op
+	var closed []*Op
 	for _, id := range slices.Sorted(maps.Keys(r.Ops)) {
-		if o := r.Ops[id]; o.Closed && !held[id] {
-			over = append(over, o)
+		if op := r.Ops[id]; op.Closed && !inUse[id] {
+			closed = append(closed, op)
 		}
 	}
-	first := func(o *Op) (no uint64) {
-		_, text, _ := strings.Cut(o.ID, "-")
+	beginNo := func(op *Op) (no uint64) {
+		_, text, _ := strings.Cut(op.ID, "-")
 		fmt.Sscan(text, &no)
 		return no
 	}
-	slices.SortFunc(over, func(a, b *Op) int { return int(int64(first(a)) - int64(first(b))) })
-	for _, o := range over[:max(len(over)-endedKept, 0)] {
-		delete(r.Ops, o.ID)
-		delete(r.Matters, OpOf(o.ID))
-		delete(r.Halts, o.ID)
+	slices.SortFunc(closed, func(a, b *Op) int { return int(int64(beginNo(a)) - int64(beginNo(b))) })
+	for _, op := range closed[:max(len(closed)-maxClosedOperations, 0)] {
+		delete(r.Ops, op.ID)
+		delete(r.Matters, OpOf(op.ID))
+		delete(r.Halts, op.ID)
 	}
 }
 
-// owned is the operation of a command of its owner, with why it does not count, "" where it does.
-func (r *Record) owned(c *Command) (*Op, string) {
+// ownedOperation returns the operation that a command of its owner is about, and why the command is refused, "" if it isn't:
+// the sender has to hold the operation's lease with the current fencing token.
+func (r *Record) ownedOperation(c *Command) (*Op, string) {
 	op := r.Ops[strings.TrimPrefix(c.Matter, "op/")]
-	m := r.Matters[c.Matter]
+	lease := r.Matters[c.Matter]
 	switch {
 	case op == nil:
 		return nil, "no such operation"
-	case c.Owner == "" || m.Owner != c.Owner || m.Fence != c.Fence:
+	case c.Owner == "" || lease.Owner != c.Owner || lease.Fence != c.Fence:
 		return op, "another owner has it"
 	case op.Closed:
 		return op, "it is closed"
@@ -321,123 +338,129 @@
 	return op, ""
 }
 
-// step moves one member on, by its operation's owner: along the table, one row, from where the owner saw it stand.
-func (r *Record) step(no uint64, c *Command) (string, uint64) {
-	op, why := r.owned(c)
+// advanceMember moves one member to its next state, at the request of the operation's owner: by one transition of the
+// table, provided that the member is still in the step that the owner saw (compare-and-set on Step.No).
+func (r *Record) advanceMember(no uint64, c *Command) (string, uint64) {
+	op, why := r.ownedOperation(c)
 	if why != "" {
 		return why, 0
 	}
-	s, in := op.Steps[c.ID]
-	if !in || s.No != c.Renewed {
-		return "it has moved since", s.No
+	step, known := op.Steps[c.ID]
+	if !known || step.No != c.Renewed {
+		return "it has moved since", step.No
 	}
-	m := r.Members[c.ID]
-	if c.To == "" { // it can't go on
-		s.Why = c.Why
-		op.Steps[c.ID] = s
-		r.note(no, "stuck", op.ID+" "+c.ID, c)
-		return "", s.No
+	member := r.Members[c.ID]
+	if c.To == "" { // the owner reports that the member can't go on
+		step.Why = c.Why
+		op.Steps[c.ID] = step
+		r.appendAudit(no, "stuck", op.ID+" "+c.ID, c)
+		return "", step.No
 	}
 	if c.To == "undo" {
-		if s.At != Granted {
-			return "only what was granted, and not acted on, is undone", s.No
+		if step.At != Granted {
+			return "only what was granted, and not acted on, is undone", step.No
 		}
-		s.Undo = true
-		if m.Kind == "worker" {
-			r.intend(no, m, false, c)
-			s.At = Acted
+		step.Undo = true
+		if member.Kind == "worker" {
+			r.setIntent(no, member, false, c)
+			step.At = StepReturning
 		}
-		s.No = no
-		op.Steps[c.ID] = s
-		r.note(no, "undo", op.ID+" "+c.ID, c)
+		step.No = no
+		op.Steps[c.ID] = step
+		r.appendAudit(no, "undo", op.ID+" "+c.ID, c)
 		return "", no
 	}
-	// One that its own agent knows to be down takes no room to be started: else two that fell would keep each other out.
-	if _, out := r.IsOut(c.ID); c.Then == isDown && c.To == Gone && s.At == Waits && op.Raises(m) && out && r.Permits[c.ID].Op == "" {
+	// A scheduler that its own agent reports as down is started without regard to the limits, as it counts as out already.
+	// Otherwise two schedulers that crashed would each keep the other from being started.
+	if _, out := r.IsOut(c.ID); c.Then == downByAgent && c.To == Gone && step.At == Waits &&
+		op.StartsDownSchedulers(member) && out && r.Permits[c.ID].Op == "" {
 		r.Permits[c.ID] = Permit{op.ID, no}
-		s.At, s.No, s.Why = Gone, no, ""
-		op.Steps[c.ID] = s
-		r.note(no, isDown, op.ID+" "+c.ID, c)
+		step.At, step.No, step.Why = Gone, no, ""
+		op.Steps[c.ID] = step
+		r.appendAudit(no, downByAgent, op.ID+" "+c.ID, c)
 		return "", no
 	}
-	w := op.stepOf(m, s)
-	if w == nil || w.to != c.To {
-		return "no such step from " + s.At, s.No
+	transition := op.nextTransition(member, step)
+	if transition == nil || transition.to != c.To {
+		return "no such step from " + step.At, step.No
 	}
-	h := r.Health[c.ID]
-	switch w.till {
+	health := r.Health[c.ID]
+	switch transition.condition {
 	case "room":
 		if why := r.Grant(op, c.ID); why != "" {
-			return why, s.No
+			return why, step.No
 		}
 		r.Permits[c.ID] = Permit{op.ID, no}
 	case "out":
-		if h.State != "out" || h.Of < s.No {
-			return "not all have said yes", s.No
+		if health.State != "out" || health.RecordNo < step.No {
+			return "not all have said yes", step.No
 		}
 	case "in":
-		if h.State != InService || h.Of < s.No {
-			return "it was not seen in service since", s.No
+		if health.State != InService || health.RecordNo < step.No {
+			return "it was not seen in service since", step.No
 		}
 		delete(r.Permits, c.ID)
-		if s.Undo && !op.Back {
+		if step.Undo && !op.Back {
 			c.To = Waits
 		}
-		s.Undo = false
+		step.Undo = false
 	}
-	if m.Kind == "worker" && (c.To == Granted || c.To == Acted) {
-		r.intend(no, m, c.To == Granted, c)
+	if member.Kind == "worker" && (c.To == Granted || c.To == StepReturning) {
+		r.setIntent(no, member, c.To == Granted, c)
 	}
-	s.At, s.No, s.Start, s.Why = c.To, no, c.Start, ""
-	op.Steps[c.ID] = s
-	if c.To == Granted || c.To == In || c.To == Gone {
-		r.note(no, c.To, op.ID+" "+c.ID, c)
+	step.At, step.No, step.AgentStart, step.Why = c.To, no, c.AgentStart, ""
+	op.Steps[c.ID] = step
+	if c.To == Granted || c.To == StepInService || c.To == Gone {
+		r.appendAudit(no, c.To, op.ID+" "+c.ID, c)
 	}
 	return "", no
 }
 
-// intend has schedulers told about a worker, by the owner of its zone.
-func (r *Record) intend(no uint64, m Member, out bool, c *Command) {
-	if w := r.Workers[m.ID]; w.Out != out {
-		r.Workers[m.ID] = Intent{Zone: m.Zone, Out: out, Since: no, By: c.Matter, Why: c.Why}
+// setIntent records whether a worker is to be out, under the lease in c.Matter. The owner of the worker's zone then tells
+// the schedulers.
+func (r *Record) setIntent(no uint64, member Member, out bool, c *Command) {
+	if intent := r.Workers[member.ID]; intent.Out != out {
+		r.Workers[member.ID] = Intent{Zone: member.Zone, Out: out, Since: no, By: c.Matter, Why: c.Why}
 	}
 }
 
-// wave begins the next wave, or ends the operation.
-func (r *Record) wave(no uint64, c *Command) (string, uint64) {
-	op, why := r.owned(c)
+// advanceWave begins the next wave, or after the last one marks the operation as done. All members of the waves that have
+// begun must have arrived; in a rollback a member that can't go on does not hold up the rest.
+func (r *Record) advanceWave(no uint64, c *Command) (string, uint64) {
+	op, why := r.ownedOperation(c)
 	if why != "" {
 		return why, 0
 	}
 	if uint64(op.Wave) != c.Renewed || op.Done {
 		return "it has moved since", 0
 	}
-	for _, id := range op.now() {
-		if s := op.Steps[id]; !op.Arrived(s) && !(op.Back && s.Why != "") {
+	for _, id := range op.begunMembers() {
+		if step := op.Steps[id]; !op.Arrived(step) && !(op.Back && step.Why != "") {
 			return id + " has not arrived", 0
 		}
 	}
 	if op.Wave+1 < len(op.Waves) {
-		if h, halted := r.Halts[op.ID]; halted {
-			return "halted: " + h.Why, 0
+		if halt, halted := r.Halts[op.ID]; halted {
+			return "halted: " + halt.Why, 0
 		}
 		op.Wave++
-		r.note(no, "wave", fmt.Sprint(op.ID, " ", op.Wave+1), c)
+		r.appendAudit(no, "wave", fmt.Sprint(op.ID, " ", op.Wave+1), c)
 		return "", no
 	}
 	op.Done = true
 	if op.Kind != "release" {
-		op.Closed = true // nothing is kept for a way back
+		op.Closed = true // only a release can be rolled back after it is done
 	}
-	r.note(no, "done", op.ID, c)
+	r.appendAudit(no, "done", op.ID, c)
 	return "", no
 }
 
-// turn has an operation go back, from any point: by a person, or by its owner where the file says so.
-func (r *Record) turn(no uint64, c *Command) (string, uint64) {
+// turnBack begins to roll an operation back, whatever state it is in: at a person's request, or at that of its owner if
+// Op.AutoBack is set.
+func (r *Record) turnBack(no uint64, c *Command) (string, uint64) {
 	op := r.Ops[strings.TrimPrefix(c.Matter, "op/")]
 	if c.Owner != "" {
-		if _, why := r.owned(c); why != "" {
+		if _, why := r.ownedOperation(c); why != "" {
 			return why, 0
 		}
 	}
@@ -449,45 +472,46 @@
 	case op.Back:
 		return "", 0
 	}
-	var first, last []string
-	for _, id := range op.now() {
-		s, m := op.Steps[id], r.Members[id]
+	var alreadyOut, inService []string
+	for _, id := range op.begunMembers() {
+		step, member := op.Steps[id], r.Members[id]
 		switch {
-		case s.At == Waits:
-			s.At = In // nothing was done
-		case s.At == In && op.Kind == "release":
-			s.At, last = Waits, append(last, id)
-		case s.At == In:
-		case m.Kind == "worker" && op.Kind != "release" && s.At != Acted && s.At != Acting:
-			r.intend(no, m, false, &Command{Matter: OpOf(op.ID)})
-			s.At = Acted
-			first = append(first, id)
-		case m.Kind == "worker" && op.Kind != "release":
-			first = append(first, id) // what runs there ends first
-		case m.Kind == "worker":
-			s.At = Granted // nothing may run there when the former version comes
-			r.intend(no, m, true, &Command{Matter: OpOf(op.ID)})
-			first = append(first, id)
+		case step.At == Waits:
+			step.At = StepInService // nothing was done to the member
+		case step.At == StepInService && op.Kind == "release":
+			step.At, inService = Waits, append(inService, id)
+		case step.At == StepInService:
+		case member.Kind == "worker" && op.Kind != "release" && step.At != StepReturning && step.At != StepCommand:
+			r.setIntent(no, member, false, &Command{Matter: OpOf(op.ID)})
+			step.At = StepReturning
+			alreadyOut = append(alreadyOut, id)
+		case member.Kind == "worker" && op.Kind != "release":
+			alreadyOut = append(alreadyOut, id) // the site's command, if it runs, has to end first
+		case member.Kind == "worker":
+			step.At = Granted // the worker must run nothing when the former version is installed, so it has to be seen out again
+			r.setIntent(no, member, true, &Command{Matter: OpOf(op.ID)})
+			alreadyOut = append(alreadyOut, id)
 		default:
-			s.At = Gone
-			first = append(first, id)
+			step.At = Gone
+			alreadyOut = append(alreadyOut, id)
 		}
-		s.No, s.Undo, s.Why, s.Start = no, false, "", ""
-		op.Steps[id] = s
+		step.No, step.Undo, step.Why, step.AgentStart = no, false, "", ""
+		op.Steps[id] = step
 	}
-	for _, w := range op.Waves[min(op.Wave+1, len(op.Waves)):] {
-		for _, id := range w {
-			op.Steps[id] = Step{At: In, No: no} // never begun
+	for _, wave := range op.Waves[min(op.Wave+1, len(op.Waves)):] {
+		for _, id := range wave {
+			op.Steps[id] = Step{At: StepInService, No: no} // its wave never began
 		}
 	}
-	// Those that are out come first, then those that still serve and have to go out once more.
-	slices.Sort(first)
-	op.Waves, op.Wave, op.Back, op.Done = [][]string{append(first, last...)}, 0, true, false
-	r.note(no, "back", op.ID, c)
+	// Members that are out are brought back first, then those that serve, which have to go out once more.
+	slices.Sort(alreadyOut)
+	op.Waves, op.Wave, op.Back, op.Done = [][]string{append(alreadyOut, inService...)}, 0, true, false
+	r.appendAudit(no, "back", op.ID, c)
 	return "", no
 }
 
-func (r *Record) halt(no uint64, c *Command) (string, uint64) {
+// addHalt sets a halt, at a person's request or at that of an operation's owner.
+func (r *Record) addHalt(no uint64, c *Command) (string, uint64) {
 	op := r.Ops[c.ID]
 	zone, isZone := strings.CutPrefix(c.ID, "zone/")
 	switch {
@@ -497,40 +521,40 @@
 		return "then: finish or back", 0
 	}
 	if c.Owner != "" {
-		if _, why := r.owned(c); why != "" {
+		if _, why := r.ownedOperation(c); why != "" {
 			return why, 0
 		}
 	}
 	if _, ok := r.Halts[c.ID]; ok {
 		return "", r.Halts[c.ID].No
 	}
-	if len(r.Halts) >= mostMatters {
+	if len(r.Halts) >= maxLeases {
 		return "the record holds no more halts", 0
 	}
 	r.Halts[c.ID] = Halt{Of: c.ID, By: c.By, Why: c.Why, No: no, Then: c.Then}
-	r.note(no, "halt", c.ID, c)
+	r.appendAudit(no, "halt", c.ID, c)
 	if c.Then == "back" && op != nil {
-		r.turn(no, &Command{Matter: OpOf(op.ID), By: c.By, Why: c.Why})
+		r.turnBack(no, &Command{Matter: OpOf(op.ID), By: c.By, Why: c.Why})
 	}
 	return "", no
 }
 
-// lift ends a halt. Only a person does.
-func (r *Record) lift(no uint64, c *Command) (string, uint64) {
-	switch h, ok := r.Halts[c.ID]; {
+// liftHalt removes a halt. Only a person may.
+func (r *Record) liftHalt(no uint64, c *Command) (string, uint64) {
+	switch halt, ok := r.Halts[c.ID]; {
 	case c.By == "" || c.Owner != "":
 		return "only a person lifts a halt", 0
 	case !ok:
 		return "nothing of that name is halted", 0
 	default:
 		delete(r.Halts, c.ID)
-		r.note(no, "lift", c.ID, c)
-		return "", h.No
+		r.appendAudit(no, "lift", c.ID, c)
+		return "", halt.No
 	}
 }
 
-// close ends an operation for good: what was kept for its way back may go.
-func (r *Record) close(no uint64, c *Command) (string, uint64) {
+// closeOperation ends an operation for good. Agents may then delete the former version that they kept for a rollback.
+func (r *Record) closeOperation(no uint64, c *Command) (string, uint64) {
 	op := r.Ops[strings.TrimPrefix(c.Matter, "op/")]
 	switch {
 	case op == nil:
@@ -541,52 +565,54 @@
 		return "it is not over", 0
 	}
 	for _, id := range slices.Sorted(maps.Keys(op.Steps)) {
-		if p, ok := r.Permits[id]; ok && p.Op == op.ID {
+		if permit, ok := r.Permits[id]; ok && permit.Op == op.ID {
 			return id + " is still out for it", 0
 		}
 	}
 	op.Done, op.Closed = true, true
 	delete(r.Halts, op.ID)
-	r.note(no, "close", op.ID, c)
+	r.appendAudit(no, "close", op.ID, c)
 	return "", no
 }
 
+// setLimits replaces all limits.
 func (r *Record) setLimits(no uint64, c *Command) (string, uint64) {
 	if why := CheckLimits(c.Limits); why != "" || c.By == "" {
 		return why, 0
 	}
 	r.Limits = c.Limits
-	r.note(no, "limits", fmt.Sprint(len(c.Limits)), c)
+	r.appendAudit(no, "limits", fmt.Sprint(len(c.Limits)), c)
 	return "", no
 }
 
-// saw takes what the owner of a zone saw of its members.
-func (r *Record) saw(zone string, seen map[string]Seen) {
-	for id, s := range seen {
-		if m, ok := r.Members[id]; ok && m.Zone == zone && len(s.State) <= mostName {
-			if r.Bug == "cold-in" && s.State == "cold" || r.Bug == "unreached-in" && s.State == NotLooked {
-				s.State = InService
+// recordHealth takes over what the owner of a zone's lease saw of the zone's members. An observation that is older than the
+// one on record is ignored.
+func (r *Record) recordHealth(zone string, seen map[string]Seen) {
+	for id, health := range seen {
+		if member, ok := r.Members[id]; ok && member.Zone == zone && len(health.State) <= maxNameBytes {
+			if r.Bug == "cold-in" && health.State == "cold" || r.Bug == "unreached-in" && health.State == HealthNotReached {
+				health.State = InService
 			}
-			if was := r.Health[id]; s.Of >= was.Of {
-				r.Health[id] = s
+			if former := r.Health[id]; health.RecordNo >= former.RecordNo {
+				r.Health[id] = health
 			}
 		}
 	}
 }
 
-// Drawing is the table of steps as text, for docs/design/releases.md.
-func Drawing() string {
-	var b strings.Builder
-	for _, w := range steps {
-		kinds := w.ops
+// TransitionTable renders the state table as rows of a Markdown table, for docs/design/releases.md.
+func TransitionTable() string {
+	var text strings.Builder
+	for _, transition := range transitions {
+		kinds := transition.operationKinds
 		if kinds == "" {
 			kinds = "all"
 		}
-		does := w.call
-		if does == "" {
-			does = "-"
+		call := transition.agentCall
+		if call == "" {
+			call = "-"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s -> %s | %s | %s |\n", w.kind, kinds, w.from, w.to, does, w.where)
+		fmt.Fprintf(&text, "| %s | %s | %s -> %s | %s | %s |\n", transition.memberKind, kinds, transition.from, transition.to, call, transition.description)
 	}
-	return b.String()
+	return text.String()
 }
