--- a/quorum/disk.go
+++ b/quorum/disk.go
@@ -6,52 +6,56 @@
 	"path/filepath"
 )
 
-// Disk is all that a voter asks of its disk. What lies in it can be made to fail, tear, rot or lie behind this, in tests
-// and in a build with the tag faults; the ordinary build has none of that.
+// Disk is the set of file operations that a voter needs of its data directory. Tests, and builds with the tag faults,
+// put an implementation behind it whose writes fail, are truncated, are corrupted or are lost; the ordinary build has none.
 type Disk interface {
-	// Read returns a whole file, or an error that os.IsNotExist knows.
+	// Read returns the content of a whole file, or an error for which os.IsNotExist is true.
 	Read(name string) ([]byte, error)
-	// Create makes a file anew, Append goes on with one.
+	// Create creates or truncates a file.
 	Create(name string) (File, error)
+	// Append opens an existing file for writing at its end.
 	Append(name string) (File, error)
-	// Rename puts a file in the place of another, and returns once that is kept.
+	// Rename replaces the file to by the file from, and returns once the change is durable.
 	Rename(from, to string) error
 }
 
-// File is one that is written. What was written is kept once Sync has returned nil, and not before.
+// File is a file open for writing. Written bytes are durable once Sync has returned nil, and not before.
 type File interface {
 	io.WriteCloser
 	Sync() error
 }
 
-// Folder is the disk's folder of this name, which is made.
+// Folder creates the directory path if it does not exist and returns it as a Disk.
 func Folder(path string) (Disk, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	return wrap(folder(path)), nil
+	return wrapDisk(directory(path)), nil
 }
 
-type folder string
+// directory is the path of a directory of the operating system, as a Disk.
+type directory string
 
-func (f folder) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(string(f), name)) }
+func (d directory) Read(name string) ([]byte, error) {
+	return os.ReadFile(filepath.Join(string(d), name))
+}
 
-func (f folder) Create(name string) (File, error) {
-	return os.OpenFile(filepath.Join(string(f), name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+func (d directory) Create(name string) (File, error) {
+	return os.OpenFile(filepath.Join(string(d), name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
-func (f folder) Append(name string) (File, error) {
-	return os.OpenFile(filepath.Join(string(f), name), os.O_APPEND|os.O_WRONLY, 0o600)
+func (d directory) Append(name string) (File, error) {
+	return os.OpenFile(filepath.Join(string(d), name), os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
-func (f folder) Rename(from, to string) error {
-	if err := os.Rename(filepath.Join(string(f), from), filepath.Join(string(f), to)); err != nil {
+func (d directory) Rename(from, to string) error {
+	if err := os.Rename(filepath.Join(string(d), from), filepath.Join(string(d), to)); err != nil {
 		return err
 	}
-	dir, err := os.Open(string(f))
+	parent, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	defer dir.Close()
-	return dir.Sync() // else the name may be gone after a power cut, and the log with it
+	defer parent.Close()
+	return parent.Sync() // without it a power failure may undo the rename, and the log file is lost
 }
--- a/quorum/faults.go
+++ b/quorum/faults.go
@@ -11,29 +11,32 @@
 	"time"
 )
 
-// A build with the tag faults, for the lab alone: disk and clock fail as the file says that SHALEBEAM_FAULTS names. It is
-// read anew at each use, so faults come and go while the process runs. What is written and not synced stands in memory
-// and dies with the process, as it would with the machine.
+// A build with the tag faults is for fault injection in tests only. Disk and clock fail as described in the JSON file
+// that the environment variable SHALEBEAM_FAULTS names. The file is read at each use, so faults can be changed while the
+// process runs. Bytes that were written and not synced are held in memory and are lost when the process ends, as they
+// would be when the machine loses power.
 
-// Faults is what that file holds.
+// Faults is the content of that file. Its keys are the names in the tags.
 type Faults struct {
-	LieSync  bool    // a sync says yes and keeps nothing
-	FailSync string  // EIO or ENOSPC, of each sync
-	FailAdd  string  // the same of each write
-	SlowSync float64 // ms that a sync takes
-	Rate     float64 // of the clock, 0 for 1
-	Jump     float64 // ms that the wall clock is ahead: nothing may go by it
+	LoseSync        bool    `json:"LieSync"`  // Sync returns nil and makes nothing durable
+	SyncError       string  `json:"FailSync"` // error of each Sync: EIO or ENOSPC; "" for none
+	WriteError      string  `json:"FailAdd"`  // error of each Write: EIO or ENOSPC; "" for none
+	SyncDelayMs     float64 `json:"SlowSync"` // added to each Sync
+	ClockRate       float64 `json:"Rate"`     // ms that the monotonic clock advances per true ms; 0 stands for 1
+	WallClockJumpMs float64 `json:"Jump"`     // added to the wall clock; no decision may depend on it
 }
 
-func faults() (f Faults) {
+// readFaults returns the faults that apply now, none if the file is missing or is not valid JSON.
+func readFaults() (f Faults) {
 	if raw, err := os.ReadFile(os.Getenv("SHALEBEAM_FAULTS")); err == nil {
 		_ = json.Unmarshal(raw, &f)
 	}
 	return f
 }
 
-func named(e string) error {
-	switch e {
+// errorByName returns the error for a value of Faults.SyncError or Faults.WriteError, nil for "".
+func errorByName(name string) error {
+	switch name {
 	case "":
 		return nil
 	case "ENOSPC":
@@ -41,80 +44,84 @@
 	case "EIO":
 		return syscall.EIO
 	}
-	return errors.New(e)
+	return errors.New(name)
 }
 
-type badDisk struct{ Disk }
+// faultyDisk is a disk whose files fail as Faults says.
+type faultyDisk struct{ Disk }
 
-func wrap(d Disk) Disk { return badDisk{d} }
+func wrapDisk(d Disk) Disk { return faultyDisk{d} }
 
-type badFile struct {
+type faultyFile struct {
 	File
-	wait []byte // written and not yet synced
+	unsynced []byte // written since the last successful Sync
 }
 
-func (d badDisk) Create(name string) (File, error) { return bad(d.Disk.Create(name)) }
-func (d badDisk) Append(name string) (File, error) { return bad(d.Disk.Append(name)) }
+func (d faultyDisk) Create(name string) (File, error) { return wrapFile(d.Disk.Create(name)) }
+func (d faultyDisk) Append(name string) (File, error) { return wrapFile(d.Disk.Append(name)) }
 
-func bad(f File, err error) (File, error) {
+func wrapFile(f File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
-	return &badFile{File: f}, nil
+	return &faultyFile{File: f}, nil
 }
 
-func (f *badFile) Write(b []byte) (int, error) {
-	if err := named(faults().FailAdd); err != nil {
-		n, _ := f.File.Write(b[:len(b)/2]) // and some of it is there
+func (f *faultyFile) Write(b []byte) (int, error) {
+	if err := errorByName(readFaults().WriteError); err != nil {
+		n, _ := f.File.Write(b[:len(b)/2]) // a failed write leaves its first half in the file
 		return n, err
 	}
-	f.wait = append(f.wait, b...)
+	f.unsynced = append(f.unsynced, b...)
 	return len(b), nil
 }
 
-func (f *badFile) Sync() error {
-	now := faults()
-	time.Sleep(time.Duration(now.SlowSync * float64(time.Millisecond)))
-	if err := named(now.FailSync); err != nil {
+func (f *faultyFile) Sync() error {
+	faults := readFaults()
+	time.Sleep(time.Duration(faults.SyncDelayMs * float64(time.Millisecond)))
+	if err := errorByName(faults.SyncError); err != nil {
 		return err
 	}
-	if now.LieSync {
+	if faults.LoseSync {
 		return nil
 	}
-	if _, err := f.File.Write(f.wait); err != nil {
+	if _, err := f.File.Write(f.unsynced); err != nil {
 		return err
 	}
-	f.wait = nil
+	f.unsynced = nil
 	return f.File.Sync()
 }
 
-func (f *badFile) Close() error { return f.File.Close() }
+func (f *faultyFile) Close() error { return f.File.Close() }
 
-// badClock runs at another rate. That changes what is still to come, never what was.
-type badClock struct {
-	mu    sync.Mutex
-	clock Clock
-	at    float64 // of the true clock
-	now   float64
+// skewedClock advances at Faults.ClockRate. A change of the rate applies from the next reading on and never alters the
+// time that has already passed.
+type skewedClock struct {
+	mu         sync.Mutex
+	clock      Clock
+	lastTrueMs float64 // reading of clock at the last call of Now
+	nowMs      float64 // what that call returned
 }
 
-func wrapClock(c Clock) Clock { return &badClock{clock: c, at: c.Now()} }
+func wrapClock(c Clock) Clock { return &skewedClock{clock: c, lastTrueMs: c.Now()} }
 
-func (c *badClock) Now() float64 {
+func (c *skewedClock) Now() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f, at := faults(), c.clock.Now()
-	if f.Rate == 0 {
-		f.Rate = 1
+	faults, trueMs := readFaults(), c.clock.Now()
+	if faults.ClockRate == 0 {
+		faults.ClockRate = 1
 	}
-	c.now += (at - c.at) * f.Rate
-	c.at = at
-	return c.now
+	c.nowMs += (trueMs - c.lastTrueMs) * faults.ClockRate
+	c.lastTrueMs = trueMs
+	return c.nowMs
 }
 
-// WallClock is what a planted bug counts terms by.
-func WallClock() Clock { return jumping{} }
+// WallClock returns a clock that follows the wall clock, jumps included. A planted bug measures leases by it.
+func WallClock() Clock { return wallClock{} }
 
-type jumping struct{}
+type wallClock struct{}
 
-func (jumping) Now() float64 { return float64(time.Now().UnixNano())/1e6 + faults().Jump }
+func (wallClock) Now() float64 {
+	return float64(time.Now().UnixNano())/1e6 + readFaults().WallClockJumpMs
+}
--- a/quorum/memory.go
+++ b/quorum/memory.go
@@ -7,34 +7,36 @@
 	"slices"
 )
 
-// Memory is a disk in memory, for tests and simulated time: what was not synced is lost at a crash, and a lying sync keeps
-// nothing.
+// Memory is a disk in memory, for tests and simulated time. Bytes that were not synced are lost in a crash.
 type Memory struct {
-	files map[string]*memFile
-	Lies  bool  // syncs say yes and keep nothing
-	Fails error // of each sync
+	files map[string]*memoryFile
+	Lies  bool  // Sync returns nil and makes nothing durable
+	Fails error // returned by each Sync; nil for none
 }
 
-type memFile struct {
-	d          *Memory
-	kept, wait []byte
+type memoryFile struct {
+	disk             *Memory
+	synced, unsynced []byte
 }
 
-// NewMemory returns an empty one.
-func NewMemory() *Memory { return &Memory{files: map[string]*memFile{}} }
+// NewMemory returns an empty disk.
+func NewMemory() *Memory { return &Memory{files: map[string]*memoryFile{}} }
 
+// Read implements Disk: as on an operating system, a running process also reads what was not synced yet.
 func (d *Memory) Read(name string) ([]byte, error) {
 	if f := d.files[name]; f != nil {
-		return append(slices.Clone(f.kept), f.wait...), nil
+		return append(slices.Clone(f.synced), f.unsynced...), nil
 	}
 	return nil, os.ErrNotExist
 }
 
+// Create implements Disk.
 func (d *Memory) Create(name string) (File, error) {
-	d.files[name] = &memFile{d: d}
+	d.files[name] = &memoryFile{disk: d}
 	return d.files[name], nil
 }
 
+// Append implements Disk.
 func (d *Memory) Append(name string) (File, error) {
 	if f := d.files[name]; f != nil {
 		return f, nil
@@ -42,46 +44,48 @@
 	return nil, os.ErrNotExist
 }
 
+// Rename implements Disk.
 func (d *Memory) Rename(from, to string) error {
 	d.files[to] = d.files[from]
 	delete(d.files, from)
 	return nil
 }
 
-// Copy is what is kept now.
+// Copy returns a disk that holds the synced bytes of each file.
 func (d *Memory) Copy() *Memory {
 	c := NewMemory()
 	for name, f := range d.files {
-		c.files[name] = &memFile{d: c, kept: slices.Clone(f.kept)}
+		c.files[name] = &memoryFile{disk: c, synced: slices.Clone(f.synced)}
 	}
 	return c
 }
 
-// Crash loses what was not kept, but for some bytes of it.
+// Crash drops the unsynced bytes of each file, except for a random prefix of them in half of the cases. Afterwards Sync
+// makes writes durable again.
 func (d *Memory) Crash(r *rand.Rand) {
 	for _, name := range slices.Sorted(maps.Keys(d.files)) {
 		f := d.files[name]
-		if len(f.wait) > 0 && r.IntN(2) == 0 {
-			f.kept = append(f.kept, f.wait[:r.IntN(len(f.wait))]...)
+		if len(f.unsynced) > 0 && r.IntN(2) == 0 {
+			f.synced = append(f.synced, f.unsynced[:r.IntN(len(f.unsynced))]...)
 		}
-		f.wait = nil
+		f.unsynced = nil
 	}
 	d.Lies = false
 }
 
-func (f *memFile) Write(b []byte) (int, error) {
-	f.wait = append(f.wait, b...)
+func (f *memoryFile) Write(b []byte) (int, error) {
+	f.unsynced = append(f.unsynced, b...)
 	return len(b), nil
 }
 
-func (f *memFile) Sync() error {
-	if f.d.Fails != nil {
-		return f.d.Fails
+func (f *memoryFile) Sync() error {
+	if f.disk.Fails != nil {
+		return f.disk.Fails
 	}
-	if !f.d.Lies {
-		f.kept, f.wait = append(f.kept, f.wait...), nil
+	if !f.disk.Lies {
+		f.synced, f.unsynced = append(f.synced, f.unsynced...), nil
 	}
 	return nil
 }
 
-func (f *memFile) Close() error { return nil }
+func (f *memoryFile) Close() error { return nil }
--- a/quorum/plain.go
+++ b/quorum/plain.go
@@ -2,10 +2,11 @@
 
 package quorum
 
-// wrap is where a build with the tag faults puts its failing disk.
-func wrap(d Disk) Disk { return d }
+// wrapDisk returns d as it is; a build with the tag faults puts a disk with injected faults around it.
+func wrapDisk(d Disk) Disk { return d }
 
+// wrapClock returns c as it is; a build with the tag faults puts a clock with injected faults around it.
 func wrapClock(c Clock) Clock { return c }
 
-// WallClock is there for a bug that the lab plants.
+// WallClock returns the same clock as NewClock. In a build with the tag faults it is a wall clock, for a planted bug.
 func WallClock() Clock { return NewClock() }
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -239,14 +239,14 @@
 	id := s.leader().o.ID%3 + 1
 	f := s.disks[id].files[logName]
 	s.kill(id)
-	f.kept = append(f.kept, 0, 0, 0, 9, 1, 2, 3)
+	f.synced = append(f.synced, 0, 0, 0, 9, 1, 2, 3)
 	if s.start(id, false); s.nodes[id] == nil || s.nodes[id].Cut != 7 {
 		t.Fatal("a torn tail")
 	}
 	s.until("it counts", func() bool { return s.nodes[id].counts })
 	s.kill(id)
 	f = s.disks[id].files[logName]
-	f.kept[len(f.kept)/3] ^= 4
+	f.synced[len(f.synced)/3] ^= 4
 	s.start(id, false)
 	s.until("rot in the middle is found", func() bool { return errors.Is(s.errs[id], ErrRotten) })
 	// It still tells what it has seen: else one more restart would leave nobody who counts.
@@ -312,18 +312,18 @@
 	if err := l.anew(&pb.Snapshot{Data: []byte("x")}, nil, nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	base := len(d.files[logName].kept)
+	base := len(d.files[logName].synced)
 	var ends []int
 	for i := range uint64(6) {
 		if err := l.add(nil, []*pb.Entry{{Index: proto.Uint64(i + 1), Term: proto.Uint64(1), Data: []byte(fmt.Sprint(i))}}, nil, true); err != nil {
 			t.Fatal(err)
 		}
-		ends = append(ends, len(d.files[logName].kept))
+		ends = append(ends, len(d.files[logName].synced))
 	}
-	whole := d.files[logName].kept
+	whole := d.files[logName].synced
 	for cut := base; cut <= len(whole); cut++ {
 		c := NewMemory()
-		c.files[logName] = &memFile{d: c, kept: whole[:cut]}
+		c.files[logName] = &memoryFile{disk: c, synced: whole[:cut]}
 		_, k, err := openLog(c, "")
 		want := 0
 		for _, e := range ends {
@@ -337,8 +337,8 @@
 	}
 	for at := base; at < ends[4]; at++ { // a flipped bit before the last record is rot, never another record
 		c := NewMemory()
-		c.files[logName] = &memFile{d: c, kept: append([]byte{}, whole...)}
-		c.files[logName].kept[at] ^= 16
+		c.files[logName] = &memoryFile{disk: c, synced: append([]byte{}, whole...)}
+		c.files[logName].synced[at] ^= 16
 		if _, _, err := openLog(c, ""); !errors.Is(err, ErrRotten) {
 			t.Fatalf("a bit flipped at %d: %v", at, err)
 		}
@@ -510,7 +510,7 @@
 	}
 	s.kill(id)
 	f := s.disks[id].files[logName]
-	f.kept[len(f.kept)/3] ^= 4
+	f.synced[len(f.synced)/3] ^= 4
 	s.start(id, false)
 	if a := s.change("bob", 1, "out", "w2"); !a.Done {
 		t.Error(a.Why)
