--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -26,11 +26,11 @@
 		b.Fatal(err)
 	}
 	l, _, _ := openLog(d, "")
-	if err := l.anew(&pb.Snapshot{Data: []byte("x")}, nil, nil, nil); err != nil {
+	if err := l.replace(&pb.Snapshot{Data: []byte("x")}, nil, nil, nil); err != nil {
 		b.Fatal(err)
 	}
 	for i := 1; b.Loop(); i++ {
-		if err := l.add(nil, entries(i, 1), nil, true); err != nil {
+		if err := l.persist(nil, entries(i, 1), nil, true); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -48,7 +48,7 @@
 			if err != nil {
 				return err
 			}
-			return at.Put(binary.BigEndian.AppendUint64(nil, uint64(i)), must(entries(i, 1)[0]))
+			return at.Put(binary.BigEndian.AppendUint64(nil, uint64(i)), mustMarshal(entries(i, 1)[0]))
 		}); err != nil {
 			b.Fatal(err)
 		}
@@ -68,7 +68,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			if err := v.log.add(&pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(uint64(n + 1))},
+			if err := v.log.persist(&pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(uint64(n + 1))},
 				entries(2, n), nil, true); err != nil {
 				b.Fatal(err)
 			}
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -12,85 +12,92 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The log is one file of records, each with its length, a checksum and its place, so that a torn tail, a flipped bit and
-// a record that stands where another should are all told apart from what was written. It is made anew, whole, when the
-// record was snapshot: written beside the old one, kept, then renamed.
+// The log is one file of records. The header of each has the payload's length (4 bytes), a CRC-32C of all that follows
+// the checksum (4), a sequence number (8) and the record's kind (1), numbers in big-endian order. So a torn tail, a
+// flipped bit and a record in the wrong place are each recognized. After each snapshot the whole file is replaced: the
+// new one is written and synced under another name, then renamed.
 
 const (
-	logName  = "log"
-	newName  = "log.new"
-	headSize = 4 + 4 + 8 + 1
-	mostSize = 64 << 20 // of a record: more is no length, but rot
+	logName         = "log"
+	newLogName      = "log.new"
+	headerBytes     = 4 + 4 + 8 + 1
+	maxPayloadBytes = 64 << 20 // a larger length field is a corrupt one
 )
 
-type kind byte
+// recordKind says what a record's payload is. Its values are stored.
+type recordKind byte
 
 const (
-	kindSnapshot kind = 1
-	kindState    kind = 2
-	kindEntry    kind = 3
-	kindMarks    kind = 4
+	kindSnapshot  recordKind = 1 // pb.Snapshot
+	kindHardState recordKind = 2 // pb.HardState
+	kindEntry     recordKind = 3 // pb.Entry
+	kindPositions recordKind = 4 // JSON of the map from voter to LogPosition
 )
 
-// ErrRotten says that a record before the log's end can't be read: what follows it was kept, and can't be trusted to be
-// all.
-var ErrRotten = errors.New("a record in the middle can't be read")
+// ErrCorrupt says that a record before the end of the log is unreadable. The records behind it were synced, and which ones
+// are missing is unknown, so the log can't be trusted.
+var ErrCorrupt = errors.New("the log is corrupt: a record before its end is unreadable")
 
-// Mark is the furthest that a process was seen to have kept: acknowledged, voted or sent.
-type Mark struct {
-	Term  uint64 `json:"term"`
-	Index uint64 `json:"index"`        // acknowledged or sent in that term
-	Of    uint64 `json:"of,omitempty"` // the term of the entry at Index, 0 where that is not known
+// LogPosition is a point in a voter's log that the voter was seen to have persisted: by an acknowledgement, a vote, or a
+// message that it sent.
+type LogPosition struct {
+	Term      uint64 `json:"term"`         // the voter's own term then
+	Index     uint64 `json:"index"`        // of the entry acknowledged or sent in that term
+	EntryTerm uint64 `json:"of,omitempty"` // the term of the entry at Index; 0 if unknown
 }
 
-// kept is all that the log holds.
-type kept struct {
-	snap    *pb.Snapshot
-	state   *pb.HardState
-	entries []*pb.Entry
-	marks   map[uint64]Mark
-	cut     int // bytes of a torn tail
+// logContents is the content of the log file.
+type logContents struct {
+	snapshot      *pb.Snapshot
+	hardState     *pb.HardState
+	entries       []*pb.Entry
+	positions     map[uint64]LogPosition // see Node.observed
+	tornTailBytes int                    // length of an incomplete record at the end
 }
 
-type log struct {
-	disk  Disk
-	file  File
-	place uint64
-	bytes int
-	syncs int
-	marks []byte // as last written
+// diskLog is the log file open for writing.
+type diskLog struct {
+	disk          Disk
+	file          File   // nil until the first append
+	nextSequence  uint64 // of the next record; goes on when the file is replaced
+	sizeBytes     int
+	syncs         int    // how often a write has waited for the disk
+	lastPositions []byte // the positions as they were last written
 }
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func (l *log) record(b []byte, k kind, payload []byte) []byte {
-	at := len(b)
+// appendRecord appends a record to b, under the next sequence number.
+func (l *diskLog) appendRecord(b []byte, kind recordKind, payload []byte) []byte {
+	start := len(b)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(payload)))
 	b = binary.BigEndian.AppendUint32(b, 0)
-	b = binary.BigEndian.AppendUint64(b, l.place)
-	b = append(append(b, byte(k)), payload...)
-	binary.BigEndian.PutUint32(b[at+4:], crc32.Checksum(b[at+8:], table))
-	l.place++
+	b = binary.BigEndian.AppendUint64(b, l.nextSequence)
+	b = append(append(b, byte(kind)), payload...)
+	binary.BigEndian.PutUint32(b[start+4:], crc32.Checksum(b[start+8:], castagnoli))
+	l.nextSequence++
 	return b
 }
 
-// next reads the record at the front of b. place is the one it has to have, 0 for any.
-func next(b []byte, place uint64) (k kind, payload []byte, at uint64, ok bool) {
-	if len(b) < headSize {
+// readRecord reads the record at the start of b. It must have the sequence number wanted, or any if that is 0.
+func readRecord(b []byte, wanted uint64) (kind recordKind, payload []byte, sequence uint64, ok bool) {
+	if len(b) < headerBytes {
 		return 0, nil, 0, false
 	}
-	n := int(binary.BigEndian.Uint32(b))
-	if n > mostSize || len(b) < headSize+n || crc32.Checksum(b[8:headSize+n], table) != binary.BigEndian.Uint32(b[4:]) {
+	length := int(binary.BigEndian.Uint32(b))
+	if length > maxPayloadBytes || len(b) < headerBytes+length ||
+		crc32.Checksum(b[8:headerBytes+length], castagnoli) != binary.BigEndian.Uint32(b[4:]) {
 		return 0, nil, 0, false
 	}
-	at = binary.BigEndian.Uint64(b[8:])
-	return kind(b[16]), b[headSize : headSize+n], at, place == 0 || at == place
+	sequence = binary.BigEndian.Uint64(b[8:])
+	return recordKind(b[16]), b[headerBytes : headerBytes+length], sequence, wanted == 0 || sequence == wanted
 }
 
-// openLog reads the log; there may be none. A tail that can't be read and has nothing after it was being written when
-// the process ended: nobody was told that it is kept.
-func openLog(d Disk, bug string) (*log, *kept, error) {
-	l, k := &log{disk: d, place: 1}, &kept{marks: map[uint64]Mark{}}
+// openLog reads the log; the contents are nil if there is none yet. An unreadable record with no later record behind it was
+// being written when the process ended: it was never acknowledged to anybody, so it is dropped. bug names a planted bug,
+// "" for none.
+func openLog(d Disk, bug string) (*diskLog, *logContents, error) {
+	l, contents := &diskLog{disk: d, nextSequence: 1}, &logContents{positions: map[uint64]LogPosition{}}
 	raw, err := d.Read(logName)
 	if os.IsNotExist(err) {
 		return l, nil, nil
@@ -98,77 +105,79 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("log: %w", err)
 	}
-	for at, place := 0, uint64(0); at < len(raw); {
-		what, payload, seen, ok := next(raw[at:], place)
+	for offset, wanted := 0, uint64(0); offset < len(raw); {
+		kind, payload, sequence, ok := readRecord(raw[offset:], wanted)
 		if !ok {
-			for i := at + 1; i+headSize <= len(raw); i++ {
-				if _, _, later, ok := next(raw[i:], 0); ok && later > place {
-					return nil, nil, fmt.Errorf("log: record %d at byte %d: %w", place, at, ErrRotten)
+			for i := offset + 1; i+headerBytes <= len(raw); i++ {
+				if _, _, later, ok := readRecord(raw[i:], 0); ok && later > wanted {
+					return nil, nil, fmt.Errorf("log: record %d at byte %d: %w", wanted, offset, ErrCorrupt)
 				}
 			}
-			if k.cut = len(raw) - at; bug == "torn-whole" && k.cut > headSize {
-				_ = k.take(kind(raw[at+16]), raw[at+headSize:])
+			if contents.tornTailBytes = len(raw) - offset; bug == "torn-whole" && contents.tornTailBytes > headerBytes {
+				_ = contents.addRecord(recordKind(raw[offset+16]), raw[offset+headerBytes:])
 			}
 			break
 		}
-		if err := k.take(what, payload); err != nil {
-			return nil, nil, fmt.Errorf("log: record %d: %w", seen, err)
+		if err := contents.addRecord(kind, payload); err != nil {
+			return nil, nil, fmt.Errorf("log: record %d: %w", sequence, err)
 		}
-		place, at = seen+1, at+headSize+len(payload)
-		l.place = place
+		wanted, offset = sequence+1, offset+headerBytes+len(payload)
+		l.nextSequence = wanted
 	}
-	if k.snap == nil {
-		// A log begins with a snapshot, and is renamed into place only when that is kept.
-		return nil, nil, fmt.Errorf("log: it does not begin with a snapshot: %w", ErrRotten)
+	if contents.snapshot == nil {
+		// A log file is renamed into place only after the snapshot that it begins with was synced.
+		return nil, nil, fmt.Errorf("log: no snapshot at its start: %w", ErrCorrupt)
 	}
-	return l, k, nil
+	return l, contents, nil
 }
 
-func (k *kept) take(what kind, payload []byte) error {
-	switch what {
+// addRecord applies the next record of the file to the contents read so far.
+func (c *logContents) addRecord(kind recordKind, payload []byte) error {
+	switch kind {
 	case kindSnapshot:
-		k.snap, k.entries = &pb.Snapshot{}, nil
-		return proto.Unmarshal(payload, k.snap)
-	case kindState:
-		k.state = &pb.HardState{}
-		return proto.Unmarshal(payload, k.state)
-	case kindMarks:
-		return json.Unmarshal(payload, &k.marks)
+		c.snapshot, c.entries = &pb.Snapshot{}, nil
+		return proto.Unmarshal(payload, c.snapshot)
+	case kindHardState:
+		c.hardState = &pb.HardState{}
+		return proto.Unmarshal(payload, c.hardState)
+	case kindPositions:
+		return json.Unmarshal(payload, &c.positions)
 	case kindEntry:
 		e := &pb.Entry{}
 		if err := proto.Unmarshal(payload, e); err != nil {
 			return err
 		}
-		// A later leader's entry stands in place of all from its index on.
-		for n := len(k.entries); n > 0 && k.entries[n-1].GetIndex() >= e.GetIndex(); n-- {
-			k.entries = k.entries[:n-1]
+		// An entry of a later leader replaces all entries from its index on.
+		for n := len(c.entries); n > 0 && c.entries[n-1].GetIndex() >= e.GetIndex(); n-- {
+			c.entries = c.entries[:n-1]
 		}
-		k.entries = append(k.entries, e)
+		c.entries = append(c.entries, e)
 		return nil
 	}
-	return fmt.Errorf("kind %d is not known", what)
+	return fmt.Errorf("unknown record kind %d, want 1 to 4", kind)
 }
 
-func must(m proto.Message) []byte {
+// mustMarshal encodes a message that this program has built.
+func mustMarshal(m proto.Message) []byte {
 	raw, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // made by this program from numbers and bytes: there is nothing in it that can't be written
+		panic(err) // the messages hold only numbers and bytes, which can always be encoded
 	}
 	return raw
 }
 
-// add writes what has to be kept, and returns once it is.
-func (l *log) add(state *pb.HardState, entries []*pb.Entry, marks map[uint64]Mark, sync bool) error {
+// persist writes records at the end of the log and, with sync, returns once they are durable. hardState may be nil.
+func (l *diskLog) persist(hardState *pb.HardState, entries []*pb.Entry, positions map[uint64]LogPosition, sync bool) error {
 	var b []byte
-	if state != nil {
-		b = l.record(b, kindState, must(state))
+	if hardState != nil {
+		b = l.appendRecord(b, kindHardState, mustMarshal(hardState))
 	}
 	for _, e := range entries {
-		b = l.record(b, kindEntry, must(e))
+		b = l.appendRecord(b, kindEntry, mustMarshal(e))
 	}
-	// Marks ride along: by themselves they are worth no sync.
-	if raw, _ := json.Marshal(marks); b != nil && string(raw) != string(l.marks) {
-		b, l.marks = l.record(b, kindMarks, raw), raw
+	// Changed positions are written only together with other records: alone they are not worth a sync.
+	if raw, _ := json.Marshal(positions); b != nil && string(raw) != string(l.lastPositions) {
+		b, l.lastPositions = l.appendRecord(b, kindPositions, raw), raw
 	}
 	if b == nil {
 		return nil
@@ -183,7 +192,7 @@
 	if _, err := l.file.Write(b); err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	l.bytes += len(b)
+	l.sizeBytes += len(b)
 	if !sync {
 		return nil
 	}
@@ -194,22 +203,24 @@
 	return nil
 }
 
-// anew puts a log that begins with this snapshot in the place of the old one.
-func (l *log) anew(snap *pb.Snapshot, state *pb.HardState, entries []*pb.Entry, marks map[uint64]Mark) error {
-	b := l.record(nil, kindSnapshot, must(snap))
-	if state != nil {
-		b = l.record(b, kindState, must(state))
+// replace replaces the log file by one that begins with this snapshot, and returns once it is durable. hardState may be
+// nil.
+func (l *diskLog) replace(snapshot *pb.Snapshot, hardState *pb.HardState, entries []*pb.Entry,
+	positions map[uint64]LogPosition) error {
+	b := l.appendRecord(nil, kindSnapshot, mustMarshal(snapshot))
+	if hardState != nil {
+		b = l.appendRecord(b, kindHardState, mustMarshal(hardState))
 	}
-	raw, _ := json.Marshal(marks)
-	b, l.marks = l.record(b, kindMarks, raw), raw
+	raw, _ := json.Marshal(positions)
+	b, l.lastPositions = l.appendRecord(b, kindPositions, raw), raw
 	for _, e := range entries {
-		b = l.record(b, kindEntry, must(e))
+		b = l.appendRecord(b, kindEntry, mustMarshal(e))
 	}
 	if l.file != nil {
 		l.file.Close()
 		l.file = nil
 	}
-	f, err := l.disk.Create(newName)
+	f, err := l.disk.Create(newLogName)
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
@@ -217,20 +228,20 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = l.disk.Rename(newName, logName)
+		err = l.disk.Rename(newLogName, logName)
 	}
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	l.bytes, l.syncs = len(b), l.syncs+1
+	l.sizeBytes, l.syncs = len(b), l.syncs+1
 	return nil
 }
 
-func (l *log) close() {
+func (l *diskLog) close() {
 	if l.file != nil {
 		l.file.Close()
 	}
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -48,11 +48,11 @@
 	Raft     []byte `json:",omitempty"` // a message of the agreement
 	Ask      uint64 `json:",omitempty"` // else: what have you seen me keep? A number that tells this start from others
 	Told     uint64 `json:",omitempty"` // else: the answer to that
-	Mark     Mark
-	Last     Mark   // of the log of who answers
-	Term     uint64 `json:",omitempty"` // that it is in
-	Behind   bool   `json:",omitempty"` // the one who answers has itself lost what it acknowledged
-	Leads    bool   `json:",omitempty"` // the one who answers leads in that term
+	Mark     LogPosition
+	Last     LogPosition // of the log of who answers
+	Term     uint64      `json:",omitempty"` // that it is in
+	Behind   bool        `json:",omitempty"` // the one who answers has itself lost what it acknowledged
+	Leads    bool        `json:",omitempty"` // the one who answers leads in that term
 	// Who votes as far as the one who answers knows, and by which change: the one who asks may have missed some.
 	Voters   map[uint64]string `json:",omitempty"`
 	VotersNo uint64            `json:",omitempty"`
@@ -83,7 +83,7 @@
 	o      Options
 	raft   *raft.RawNode
 	mem    *raft.MemoryStorage
-	log    *log
+	log    *diskLog
 	state  *pb.HardState
 	Record *fleet.Record
 	Keeper fleet.Keeper
@@ -94,15 +94,15 @@
 	leader   uint64
 	counts   bool
 	behind   bool
-	need     map[uint64]Mark // how far others' logs went, as each told at the start
-	toldBy   map[uint64]bool // those who have said what they saw of this one
+	need     map[uint64]LogPosition // how far others' logs went, as each told at the start
+	toldBy   map[uint64]bool        // those who have said what they saw of this one
 	toldTerm uint64
 	ledTerm  uint64            // the highest term whose leader has said what it saw of this one
 	toldAt   int               // the tick at which enough had said so
 	newer    map[uint64]string // who votes, where others told of a later change than this one knows
 	newerNo  uint64
 	ticks    int
-	marks    map[uint64]Mark
+	marks    map[uint64]LogPosition
 	out      []Letter
 	done     []Done
 	reads    []string // those that may be answered
@@ -118,12 +118,12 @@
 
 // Open starts a voter from its disk.
 func Open(o Options) (n *Node, err error) {
-	n = &Node{o: o, mem: raft.NewMemoryStorage(), Record: fleet.NewRecord(), marks: map[uint64]Mark{}, need: map[uint64]Mark{},
+	n = &Node{o: o, mem: raft.NewMemoryStorage(), Record: fleet.NewRecord(), marks: map[uint64]LogPosition{}, need: map[uint64]LogPosition{},
 		toldBy: map[uint64]bool{}}
 	n.Record.Bug = o.Bug
 	l, k, err := openLog(o.Disk, o.Bug)
-	if errors.Is(err, ErrRotten) {
-		n.log, n.err, n.behind = &log{disk: o.Disk}, err, true
+	if errors.Is(err, ErrCorrupt) {
+		n.log, n.err, n.behind = &diskLog{disk: o.Disk}, err, true
 		n.newer = maps.Clone(o.Voters) // where it can still be of use: see Step
 		return n, nil
 	} else if err != nil {
@@ -131,32 +131,32 @@
 	}
 	n.log = l
 	if k == nil {
-		k = &kept{marks: map[uint64]Mark{}}
+		k = &logContents{positions: map[uint64]LogPosition{}}
 		if !o.Join {
 			for id, addr := range o.Voters {
 				n.Record.Voters[id], n.Record.VoterMax = addr, max(n.Record.VoterMax, id)
 			}
-			k.snap = &pb.Snapshot{Data: n.Record.Snapshot(), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1),
+			k.snapshot = &pb.Snapshot{Data: n.Record.Snapshot(), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1),
 				Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: slices.Sorted(maps.Keys(o.Voters))}}}
-			k.state = &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
+			k.hardState = &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
 		} else {
-			k.snap = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(0), Term: proto.Uint64(0),
+			k.snapshot = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(0), Term: proto.Uint64(0),
 				ConfState: &pb.ConfState{}}}
 		}
 	}
-	n.Cut, n.marks, n.state = k.cut, k.marks, k.state
-	if len(k.snap.Data) > 0 {
-		if err := n.Record.Restore(k.snap.Data); err != nil {
+	n.Cut, n.marks, n.state = k.tornTailBytes, k.positions, k.hardState
+	if len(k.snapshot.Data) > 0 {
+		if err := n.Record.Restore(k.snapshot.Data); err != nil {
 			return nil, err
 		}
-		if err := n.mem.ApplySnapshot(k.snap); err != nil {
+		if err := n.mem.ApplySnapshot(k.snapshot); err != nil {
 			return nil, err
 		}
 	}
-	n.applied = k.snap.GetMetadata().GetIndex()
+	n.applied = k.snapshot.GetMetadata().GetIndex()
 	n.snapAt = n.applied
-	if k.state != nil {
-		if err := n.mem.SetHardState(k.state); err != nil {
+	if k.hardState != nil {
+		if err := n.mem.SetHardState(k.hardState); err != nil {
 			return nil, err
 		}
 	}
@@ -164,7 +164,7 @@
 		return nil, err
 	}
 	// The file is made anew at each start: that cuts a torn tail off, which else would stand in the middle.
-	if err := l.anew(k.snap, k.state, k.entries, n.marks); err != nil {
+	if err := l.replace(k.snapshot, k.hardState, k.entries, n.marks); err != nil {
 		return nil, err
 	}
 	others := 0
@@ -188,7 +188,7 @@
 		if err := n.mem.SetHardState(n.state); err != nil {
 			return err
 		}
-		if err := n.log.add(n.state, nil, n.marks, true); err != nil {
+		if err := n.log.persist(n.state, nil, n.marks, true); err != nil {
 			return err
 		}
 	}
@@ -241,13 +241,15 @@
 }
 
 // last is how far this voter's own log goes.
-func (n *Node) last() Mark {
+func (n *Node) last() LogPosition {
 	i, _ := n.mem.LastIndex()
 	t, _ := n.mem.Term(i)
-	return Mark{t, i, t}
+	return LogPosition{t, i, t}
 }
 
-func (m Mark) before(o Mark) bool { return m.Term < o.Term || m.Term == o.Term && m.Index < o.Index }
+func (m LogPosition) before(o LogPosition) bool {
+	return m.Term < o.Term || m.Term == o.Term && m.Index < o.Index
+}
 
 // Counts tells whether this voter votes and acknowledges.
 func (n *Node) Counts() bool { return n.counts }
@@ -263,7 +265,7 @@
 
 // Syncs is how many times it has waited for its disk; Bytes how large its log is.
 func (n *Node) Syncs() int { return n.log.syncs }
-func (n *Node) Bytes() int { return n.log.bytes }
+func (n *Node) Bytes() int { return n.log.sizeBytes }
 
 // Tick moves time on by one tick.
 func (n *Node) Tick() (err error) {
@@ -314,7 +316,7 @@
 		}
 		n.see(m)
 		for _, far := range n.unmet() {
-			if m.GetType() == pb.MsgVote && (Mark{Term: m.GetLogTerm(), Index: m.GetIndex()}).before(n.need[far]) {
+			if m.GetType() == pb.MsgVote && (LogPosition{Term: m.GetLogTerm(), Index: m.GetIndex()}).before(n.need[far]) {
 				return nil // what this one kept may be in no other log than that one
 			}
 		}
@@ -325,20 +327,20 @@
 
 // see keeps the furthest that a letter shows its sender to have kept. All that is sent is sent after it was kept.
 func (n *Node) see(m *pb.Message) {
-	saw := Mark{Term: m.GetTerm()}
+	saw := LogPosition{Term: m.GetTerm()}
 	switch m.GetType() {
 	case pb.MsgAppResp:
 		if !m.GetReject() {
 			saw.Index = m.GetIndex()
 			// What a follower acknowledges in a leader's term is the leader's own entry.
 			if n.state.GetTerm() == m.GetTerm() {
-				saw.Of, _ = n.mem.Term(saw.Index)
+				saw.EntryTerm, _ = n.mem.Term(saw.Index)
 			}
 		}
 	case pb.MsgApp:
-		saw.Index, saw.Of = m.GetIndex(), m.GetLogTerm()
+		saw.Index, saw.EntryTerm = m.GetIndex(), m.GetLogTerm()
 		if k := len(m.GetEntries()); k > 0 {
-			saw.Index, saw.Of = m.GetEntries()[k-1].GetIndex(), m.GetEntries()[k-1].GetTerm()
+			saw.Index, saw.EntryTerm = m.GetEntries()[k-1].GetIndex(), m.GetEntries()[k-1].GetTerm()
 		}
 	case pb.MsgHeartbeat, pb.MsgHeartbeatResp, pb.MsgVote, pb.MsgVoteResp, pb.MsgSnap:
 	default:
@@ -352,7 +354,7 @@
 // lacks tells whether this voter's disk is from before a mark: a later term's was kept, or in the same term an entry that is
 // not there. That there is some entry of that number is not enough: an older disk may hold one of a leader that lost, and
 // the present one, which counts the mark, would have it applied.
-func (n *Node) lacks(m Mark) bool {
+func (n *Node) lacks(m LogPosition) bool {
 	if n.state.GetTerm() != m.Term {
 		return n.state.GetTerm() < m.Term
 	}
@@ -360,7 +362,7 @@
 		return true
 	}
 	of, err := n.mem.Term(m.Index)
-	return err == nil && m.Of != 0 && of != m.Of // one that is gone behind a snapshot was applied
+	return err == nil && m.EntryTerm != 0 && of != m.EntryTerm // one that is gone behind a snapshot was applied
 }
 
 // unmet lists those whose logs went further, when they told of them, than this one's does: it votes for nobody with a
@@ -573,7 +575,7 @@
 		if err := fresh.Restore(r.Snapshot.Data); err != nil {
 			return err
 		}
-		if err := n.log.anew(r.Snapshot, n.state, nil, n.marks); err != nil {
+		if err := n.log.replace(r.Snapshot, n.state, nil, n.marks); err != nil {
 			return err
 		}
 		if err := n.mem.ApplySnapshot(r.Snapshot); err != nil {
@@ -586,7 +588,7 @@
 	if r.HardState != nil && !raft.IsEmptyHardState(r.HardState) {
 		state = n.state
 	}
-	if err := n.log.add(state, r.Entries, n.marks, r.MustSync && n.o.Bug != "yes-before-sync"); err != nil {
+	if err := n.log.persist(state, r.Entries, n.marks, r.MustSync && n.o.Bug != "yes-before-sync"); err != nil {
 		return err // what the disk has of it is not known: no more is promised by this process
 	}
 	return n.mem.Append(r.Entries)
@@ -594,7 +596,7 @@
 
 func (n *Node) send(messages []*pb.Message) {
 	for _, m := range messages {
-		n.out = append(n.out, Letter{From: n.o.ID, To: m.GetTo(), Raft: must(m)})
+		n.out = append(n.out, Letter{From: n.o.ID, To: m.GetTo(), Raft: mustMarshal(m)})
 		if m.GetType() == pb.MsgSnap {
 			n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // one that is lost is found out by the next letter
 		}
@@ -660,7 +662,7 @@
 			return err
 		}
 	}
-	return n.log.anew(snap, n.state, rest, n.marks)
+	return n.log.replace(snap, n.state, rest, n.marks)
 }
 
 // NextLetter is the next letter to send. One that can't be sent is lost.
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -248,7 +248,7 @@
 	f = s.disks[id].files[logName]
 	f.synced[len(f.synced)/3] ^= 4
 	s.start(id, false)
-	s.until("rot in the middle is found", func() bool { return errors.Is(s.errs[id], ErrRotten) })
+	s.until("rot in the middle is found", func() bool { return errors.Is(s.errs[id], ErrCorrupt) })
 	// It still tells what it has seen: else one more restart would leave nobody who counts.
 	other := id%3 + 1
 	s.kill(other)
@@ -309,13 +309,13 @@
 func TestLogAtAnyByte(t *testing.T) {
 	d := NewMemory()
 	l, _, _ := openLog(d, "")
-	if err := l.anew(&pb.Snapshot{Data: []byte("x")}, nil, nil, nil); err != nil {
+	if err := l.replace(&pb.Snapshot{Data: []byte("x")}, nil, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	base := len(d.files[logName].synced)
 	var ends []int
 	for i := range uint64(6) {
-		if err := l.add(nil, []*pb.Entry{{Index: proto.Uint64(i + 1), Term: proto.Uint64(1), Data: []byte(fmt.Sprint(i))}}, nil, true); err != nil {
+		if err := l.persist(nil, []*pb.Entry{{Index: proto.Uint64(i + 1), Term: proto.Uint64(1), Data: []byte(fmt.Sprint(i))}}, nil, true); err != nil {
 			t.Fatal(err)
 		}
 		ends = append(ends, len(d.files[logName].synced))
@@ -339,7 +339,7 @@
 		c := NewMemory()
 		c.files[logName] = &memoryFile{disk: c, synced: append([]byte{}, whole...)}
 		c.files[logName].synced[at] ^= 16
-		if _, _, err := openLog(c, ""); !errors.Is(err, ErrRotten) {
+		if _, _, err := openLog(c, ""); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("a bit flipped at %d: %v", at, err)
 		}
 	}
@@ -389,7 +389,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.add(&pb.HardState{Term: s.nodes[lead].state.Term, Vote: &lead, Commit: k.state.Commit}, nil, k.marks, true); err != nil {
+	if err := l.persist(&pb.HardState{Term: s.nodes[lead].state.Term, Vote: &lead, Commit: k.hardState.Commit}, nil, k.positions, true); err != nil {
 		t.Fatal(err)
 	}
 	s.disks[id] = old
@@ -415,8 +415,8 @@
 	}
 	// In the leader's own term an entry of that number is not enough.
 	n := s.nodes[lead]
-	if m := n.last(); n.lacks(m) || !n.lacks(Mark{n.state.GetTerm(), m.Index + 1, 0}) || !n.lacks(Mark{n.state.GetTerm(), m.Index, m.Of - 1}) ||
-		!n.lacks(Mark{n.state.GetTerm() + 1, 0, 0}) || sees.Of == 0 {
+	if m := n.last(); n.lacks(m) || !n.lacks(LogPosition{n.state.GetTerm(), m.Index + 1, 0}) || !n.lacks(LogPosition{n.state.GetTerm(), m.Index, m.EntryTerm - 1}) ||
+		!n.lacks(LogPosition{n.state.GetTerm() + 1, 0, 0}) || sees.EntryTerm == 0 {
 		t.Errorf("marks are judged wrongly: %+v", sees)
 	}
 }
