--- a/quorum/format_test.go
+++ b/quorum/format_test.go
@@ -1,7 +1,9 @@
 package quorum
 
 import (
+	"encoding/json"
 	"maps"
+	"reflect"
 	"testing"
 
 	pb "go.etcd.io/raft/v3/raftpb"
@@ -56,3 +58,29 @@
 		t.Errorf("wrote %q, want %q", got, file)
 	}
 }
+
+// Voters of different builds exchange messages during an upgrade: each build reads what the others send, and sends the same
+// names.
+func TestMessageFormat(t *testing.T) {
+	const old = `[{"From":1,"To":2,"Raft":"YWJj","Mark":{"term":0,"index":0},"Last":{"term":0,"index":0}},` +
+		`{"From":3,"To":1,"Ask":7,"Mark":{"term":0,"index":0},"Last":{"term":0,"index":0}},` +
+		`{"From":2,"To":1,"Told":7,"Mark":{"term":4,"index":9,"of":3},"Last":{"term":5,"index":12,"of":5},"Term":6,` +
+		`"Behind":true,"Leads":true,"Voters":{"1":"v1","2":"v2"},"VotersNo":8}]`
+	want := []Letter{
+		{From: 1, To: 2, Raft: []byte("abc")},
+		{From: 3, To: 1, Ask: 7},
+		{From: 2, To: 1, Told: 7, Observed: LogPosition{Term: 4, Index: 9, EntryTerm: 3},
+			LastPosition: LogPosition{Term: 5, Index: 12, EntryTerm: 5}, Term: 6, Behind: true, IsLeader: true,
+			Voters: map[uint64]string{1: "v1", 2: "v2"}, VotersNo: 8},
+	}
+	var got []Letter
+	if err := json.Unmarshal([]byte(old), &got); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+	if raw, err := json.Marshal(want); err != nil || string(raw) != old {
+		t.Errorf("wrote %s (%v), want %s", raw, err, old)
+	}
+}
--- a/quorum/host.go
+++ b/quorum/host.go
@@ -83,8 +83,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if n.Cut > 0 {
-		l.Warn("torn tail cut off", "bytes", n.Cut)
+	if n.TornTailBytes > 0 {
+		l.Warn("torn tail cut off", "bytes", n.TornTailBytes)
 	}
 	h := &Host{ID: o.ID, ctx: ctx, clock: clock, client: client, slog: l, in: make(chan func(*Node), 64), dead: make(chan struct{}),
 		lanes: map[uint64]*lane{}, waits: map[string]chan fleet.Answer{}, reads: map[string]chan struct{}{},
@@ -185,7 +185,7 @@
 		v.LedAt = h.clock.Now()
 	}
 	changed := v.Raw == nil || v.No != n.Record.No || v.Leader != leader || v.Leads != leads || v.Counts != n.Counts()
-	v.Leader, v.Leads, v.Counts, v.Behind, v.Syncs, v.Bytes = leader, leads, n.Counts(), n.Behind(), n.Syncs(), n.Bytes()
+	v.Leader, v.Leads, v.Counts, v.Behind, v.Syncs, v.Bytes = leader, leads, n.Counts(), n.Behind(), n.Syncs(), n.LogBytes()
 	if changed || !n.Counts() {
 		v.Addrs = n.Addrs()
 	}
@@ -255,7 +255,7 @@
 		for _, l := range all {
 			if l.To == h.ID {
 				_ = n.Step(h.clock.Now(), l)
-			} else if l.Ask != 0 && l.To == n.o.Replaces {
+			} else if l.Ask != 0 && l.To == n.options.Replaces {
 				// This one was put in the place of the voter of that number, whose disk is no more.
 				h.post(h.ctx, Letter{From: l.To, To: l.From, Told: l.Ask, Behind: true, Voters: n.Record.Voters,
 					VotersNo: n.Record.VotersNo})
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -1,6 +1,7 @@
-// Package quorum keeps the fleet's record among a few processes, its voters. Agreement is go.etcd.io/raft's; this package
-// gives it a disk, a check that a disk has not gone back, and a host. Node is pulled by its host, has no clock and no
-// goroutine, and so plays in simulated time as well; Host is that host for a real process.
+// Package quorum replicates the fleet's record, a fleet.Record, among a few processes called voters. The consensus
+// algorithm is go.etcd.io/raft's; this package adds the log on disk, the detection of a disk that has lost what its voter
+// acknowledged, and a host. Node is one voter without clock, goroutine or network: its host passes in time and messages
+// and fetches what is to be sent, so that it runs in simulated time too. Host runs a Node in a real process.
 package quorum
 
 import (
@@ -19,152 +20,175 @@
 	"shalebeam/fleet"
 )
 
-// Times of the agreement, in ticks of the host.
+// Timing, in ticks of the host; see tickInterval.
 const (
-	electionTicks  = 20
-	heartbeatTicks = 4
-	askTicks       = 10
-	snapEvery      = 2000 // commands between two snapshots: a start then reads at most so many
-	entriesLeft    = 200  // kept behind a snapshot, for voters that are a little behind
+	electionTicks      = 20
+	heartbeatTicks     = 4
+	queryIntervalTicks = 10 // between two position queries to the same voter
+)
+
+const (
+	snapshotInterval = 2000 // entries between two snapshots; bounds what a start has to replay
+	retainedEntries  = 200  // kept before a snapshot, so that a voter slightly behind needs no snapshot
+
+	maxMessageBytes     = 1 << 20  // of entries in one raft message
+	maxInflightMessages = 64       // raft messages with entries to one follower without an answer
+	maxUncommittedBytes = 16 << 20 // of proposals; more are refused
+	unlimitedBytes      = 1 << 40
 )
 
 var (
-	// ErrBehind says that this voter's disk lacks what others have seen it keep: a lie of the disk, an older copy put
-	// back, or another voter's folder. It may have voted and must not do so again; it can only join as a new one.
+	// ErrBehind says that this voter's disk lacks what other voters have seen it persist: a sync that was not durable, an
+	// older copy put back, or another voter's directory. It may have voted and must not vote again; its process can only
+	// join as a new voter with a new number.
 	ErrBehind = errors.New("this disk lacks what this voter has acknowledged: replace the voter")
-	// ErrReplaced says that a person has put another voter in the place of this one.
+	// ErrReplaced says that an operator has put another voter in the place of this one.
 	ErrReplaced = errors.New("this voter was replaced by another: it does not vote any more")
-	// ErrUsed says that a change of voters names a number that was used before, or one that does not vote.
+	// ErrUsed says that a change of voters adds a number that is not higher than all former ones, or removes a number that is
+	// not a voter's.
 	ErrUsed = errors.New("the new voter's number has to be higher than any before, and the old one has to be a voter")
-	// ErrNotLeader says that another voter has to be asked, or that there is none.
-	ErrNotLeader = errors.New("this voter does not lead")
-	// ErrNotCounting says that the voter has just started and was not yet told what it acknowledged.
-	ErrNotCounting = errors.New("this voter waits to be told what it acknowledged")
+	// ErrNotLeader says that another voter has to be asked, or that there is no leader.
+	ErrNotLeader = errors.New("this voter is not the leader")
+	// ErrNotCounting says that the voter has just started and the other voters have not yet reported what it acknowledged.
+	ErrNotCounting = errors.New("this voter has just started: the other voters have not yet reported what it acknowledged")
 )
 
-// Letter is what one voter sends to another.
+// Letter is one message from a voter to another. It is one of three: a raft message, a position query, or the reply to one.
+// It is sent as JSON between voters of possibly different builds.
+//
+// At its start a voter sends position queries: what have you seen me persist? See Node.handleReply.
 type Letter struct {
-	From, To uint64
-	Raft     []byte `json:",omitempty"` // a message of the agreement
-	Ask      uint64 `json:",omitempty"` // else: what have you seen me keep? A number that tells this start from others
-	Told     uint64 `json:",omitempty"` // else: the answer to that
-	Mark     LogPosition
-	Last     LogPosition // of the log of who answers
-	Term     uint64      `json:",omitempty"` // that it is in
-	Behind   bool        `json:",omitempty"` // the one who answers has itself lost what it acknowledged
-	Leads    bool        `json:",omitempty"` // the one who answers leads in that term
-	// Who votes as far as the one who answers knows, and by which change: the one who asks may have missed some.
-	Voters   map[uint64]string `json:",omitempty"`
-	VotersNo uint64            `json:",omitempty"`
+	From uint64 `json:"From"`
+	To   uint64 `json:"To"`
+	Raft []byte `json:"Raft,omitempty"` // an encoded pb.Message; empty in a query or reply
+	Ask  uint64 `json:"Ask,omitempty"`  // in a position query, the sender's Options.Start; else 0
+	Told uint64 `json:"Told,omitempty"` // in a reply, the query's Ask; else 0
+
+	// The other fields are those of a reply.
+	Observed     LogPosition `json:"Mark"`             // the furthest that the replying voter saw the querying one persist
+	LastPosition LogPosition `json:"Last"`             // the end of the replying voter's own log
+	Term         uint64      `json:"Term,omitempty"`   // the replying voter's raft term
+	Behind       bool        `json:"Behind,omitempty"` // the replying voter's own disk has lost what it acknowledged
+	IsLeader     bool        `json:"Leads,omitempty"`  // the replying voter is the leader in Term
+	// Voters are the voters that the replying one knows, with their addresses, and VotersNo is the log index of the change
+	// that made them so: the querying voter may have missed some changes.
+	Voters   map[uint64]string `json:"Voters,omitempty"`
+	VotersNo uint64            `json:"VotersNo,omitempty"`
 }
 
-// Done is what came of a command.
+// Done is the result of a command, which Caller and Number identify.
 type Done struct {
 	Caller string
 	Number uint64
 	Answer fleet.Answer
 }
 
-// Options are what a voter is told at its start.
+// Options are what a voter is given at its start.
 type Options struct {
-	ID     uint64
-	Voters map[uint64]string // the first ones, with their addresses: the same at each of them
-	Join   bool              // begin with nothing and wait to be added
-	// Replaces is the number of the voter in whose place this one was put: it says that that one's disk is no more.
-	Replaces uint64
-	Trust    bool // a person says that this disk is whole: count without being told
+	ID       uint64            // this voter's number
+	Voters   map[uint64]string // the first voters with their addresses, the same at each of them
+	Join     bool              // begin with an empty log and wait to be added by the leader
+	Replaces uint64            // the voter that this one was put in the place of, whose disk is lost; 0 for none
+	Trust    bool              // an operator vouches for this disk: participate without asking the other voters
 	Disk     Disk
-	Start    uint64 // tells this start from others
-	Bug      string // one planted, for tests of what finds it
+	Start    uint64 // identifies this start of the process among all its starts; not 0
+	Bug      string // name of a planted bug, for tests of the checks that have to find it; "" for none
 }
 
-// Node is one voter.
+// Node is one voter. Each of its inputs (Tick, Step, Propose, ProposeVoters, Read) is followed by a call of Work, after
+// which the host fetches the outputs with NextLetter, NextDone and NextRead. Times are ms of the host's monotonic clock.
 type Node struct {
-	o      Options
-	raft   *raft.RawNode
-	mem    *raft.MemoryStorage
-	log    *diskLog
-	state  *pb.HardState
-	Record *fleet.Record
-	Keeper fleet.Keeper
-
-	applied  uint64
-	snapAt   uint64
-	leads    bool
-	leader   uint64
-	counts   bool
-	behind   bool
-	need     map[uint64]LogPosition // how far others' logs went, as each told at the start
-	toldBy   map[uint64]bool        // those who have said what they saw of this one
-	toldTerm uint64
-	ledTerm  uint64            // the highest term whose leader has said what it saw of this one
-	toldAt   int               // the tick at which enough had said so
-	newer    map[uint64]string // who votes, where others told of a later change than this one knows
-	newerNo  uint64
-	ticks    int
-	marks    map[uint64]LogPosition
-	out      []Letter
-	done     []Done
-	reads    []string // those that may be answered
-	waiting  []read
-	err      error // it has stopped for good
-	Cut      int   // bytes of a torn tail at the start
+	options   Options
+	raft      *raft.RawNode // nil until this voter participates
+	storage   *raft.MemoryStorage
+	log       *diskLog
+	hardState *pb.HardState // as last persisted; nil before the first
+	Record    *fleet.Record // the replicated state, with all entries up to appliedIndex
+	Leases    fleet.Keeper  // the leader's knowledge of the age of each claim
+
+	appliedIndex  uint64
+	snapshotIndex uint64 // of the last snapshot
+	isLeader      bool
+	leaderID      uint64 // 0 if unknown
+
+	// participating is true once this voter takes part in raft, after the other voters have confirmed its disk.
+	participating bool
+	diskBehind    bool                   // the disk has lost what this voter acknowledged
+	reportedLast  map[uint64]LogPosition // the end of each other voter's log, as it reported when this one started
+	repliedBy     map[uint64]bool        // voters that have reported what they saw this one persist
+	repliedTerm   uint64                 // the highest raft term in a reply
+	leaderTerm    uint64                 // the highest raft term in a reply of a leader
+	majorityTick  int                    // tick at which a majority had replied; 0 before
+	newerVoters   map[uint64]string      // the voters by a later change than this one's record has, from a reply; else nil
+	newerVotersNo uint64                 // the log index of that change
+	ticks         int
+	observed      map[uint64]LogPosition // the furthest that each other voter was seen to persist
+
+	outbox       []Letter
+	results      []Done
+	readyReads   []string // keys of reads that may be answered now
+	pendingReads []pendingRead
+	stopErr      error // why this voter has stopped for good
+
+	TornTailBytes int // length of the incomplete record that was cut off the log at the start
 }
 
-type read struct {
+// pendingRead is a read that waits until this voter has applied an index.
+type pendingRead struct {
 	key   string
 	index uint64
 }
 
 // Open starts a voter from its disk.
 func Open(o Options) (n *Node, err error) {
-	n = &Node{o: o, mem: raft.NewMemoryStorage(), Record: fleet.NewRecord(), marks: map[uint64]LogPosition{}, need: map[uint64]LogPosition{},
-		toldBy: map[uint64]bool{}}
+	n = &Node{options: o, storage: raft.NewMemoryStorage(), Record: fleet.NewRecord(), observed: map[uint64]LogPosition{},
+		reportedLast: map[uint64]LogPosition{}, repliedBy: map[uint64]bool{}}
 	n.Record.Bug = o.Bug
-	l, k, err := openLog(o.Disk, o.Bug)
+	log, contents, err := openLog(o.Disk, o.Bug)
 	if errors.Is(err, ErrCorrupt) {
-		n.log, n.err, n.behind = &diskLog{disk: o.Disk}, err, true
-		n.newer = maps.Clone(o.Voters) // where it can still be of use: see Step
+		n.log, n.stopErr, n.diskBehind = &diskLog{disk: o.Disk}, err, true
+		n.newerVoters = maps.Clone(o.Voters) // addresses: it still answers position queries, see Step
 		return n, nil
 	} else if err != nil {
 		return nil, err
 	}
-	n.log = l
-	if k == nil {
-		k = &logContents{positions: map[uint64]LogPosition{}}
+	n.log = log
+	if contents == nil {
+		contents = &logContents{positions: map[uint64]LogPosition{}}
 		if !o.Join {
 			for id, addr := range o.Voters {
 				n.Record.Voters[id], n.Record.VoterMax = addr, max(n.Record.VoterMax, id)
 			}
-			k.snapshot = &pb.Snapshot{Data: n.Record.Snapshot(), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1),
+			contents.snapshot = &pb.Snapshot{Data: n.Record.Snapshot(), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1),
 				Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: slices.Sorted(maps.Keys(o.Voters))}}}
-			k.hardState = &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
+			contents.hardState = &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
 		} else {
-			k.snapshot = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(0), Term: proto.Uint64(0),
+			contents.snapshot = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(0), Term: proto.Uint64(0),
 				ConfState: &pb.ConfState{}}}
 		}
 	}
-	n.Cut, n.marks, n.state = k.tornTailBytes, k.positions, k.hardState
-	if len(k.snapshot.Data) > 0 {
-		if err := n.Record.Restore(k.snapshot.Data); err != nil {
+	n.TornTailBytes, n.observed, n.hardState = contents.tornTailBytes, contents.positions, contents.hardState
+	if len(contents.snapshot.Data) > 0 {
+		if err := n.Record.Restore(contents.snapshot.Data); err != nil {
 			return nil, err
 		}
-		if err := n.mem.ApplySnapshot(k.snapshot); err != nil {
+		if err := n.storage.ApplySnapshot(contents.snapshot); err != nil {
 			return nil, err
 		}
 	}
-	n.applied = k.snapshot.GetMetadata().GetIndex()
-	n.snapAt = n.applied
-	if k.hardState != nil {
-		if err := n.mem.SetHardState(k.hardState); err != nil {
+	n.appliedIndex = contents.snapshot.GetMetadata().GetIndex()
+	n.snapshotIndex = n.appliedIndex
+	if contents.hardState != nil {
+		if err := n.storage.SetHardState(contents.hardState); err != nil {
 			return nil, err
 		}
 	}
-	if err := n.mem.Append(k.entries); err != nil {
+	if err := n.storage.Append(contents.entries); err != nil {
 		return nil, err
 	}
-	// The file is made anew at each start: that cuts a torn tail off, which else would stand in the middle.
-	if err := l.replace(k.snapshot, k.hardState, k.entries, n.marks); err != nil {
+	// The file is replaced at each start: that removes a torn tail, which later records would turn into a corrupt record
+	// before the end.
+	if err := log.replace(contents.snapshot, contents.hardState, contents.entries, n.observed); err != nil {
 		return nil, err
 	}
 	others := 0
@@ -174,279 +198,293 @@
 		}
 	}
 	if o.Trust || others == 0 && !o.Join {
-		err = n.begin(0)
+		err = n.participate(0)
 	}
 	return n, err
 }
 
-// begin joins the agreement in a term, or in its own if that is higher, once this voter counts. A term that others are in
-// and this one is not begins with a vote for itself: it may have voted in it and lost that.
-func (n *Node) begin(term uint64) (err error) {
-	defer n.guard(&err)
-	if term > n.state.GetTerm() {
-		n.state = &pb.HardState{Term: &term, Vote: &n.o.ID, Commit: proto.Uint64(n.state.GetCommit())}
-		if err := n.mem.SetHardState(n.state); err != nil {
+// participate begins to take part in raft, in the given term or in the persisted one if that is higher. A term above the
+// persisted one begins with a vote for itself: this voter may have voted in it, and its disk may have lost that vote.
+func (n *Node) participate(term uint64) (err error) {
+	defer n.recoverPanic(&err)
+	if term > n.hardState.GetTerm() {
+		n.hardState = &pb.HardState{Term: &term, Vote: &n.options.ID, Commit: proto.Uint64(n.hardState.GetCommit())}
+		if err := n.storage.SetHardState(n.hardState); err != nil {
 			return err
 		}
-		if err := n.log.persist(n.state, nil, n.marks, true); err != nil {
+		if err := n.log.persist(n.hardState, nil, n.observed, true); err != nil {
 			return err
 		}
 	}
-	n.raft, err = raft.NewRawNode(&raft.Config{ID: n.o.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
-		Storage: n.mem, Applied: n.applied, MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true,
-		DisableProposalForwarding: true, MaxUncommittedEntriesSize: 16 << 20,
+	n.raft, err = raft.NewRawNode(&raft.Config{ID: n.options.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
+		Storage: n.storage, Applied: n.appliedIndex, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages,
+		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, MaxUncommittedEntriesSize: maxUncommittedBytes,
 		Logger: &raft.DefaultLogger{Logger: stdlog.New(io.Discard, "", 0)}})
-	n.counts = err == nil
+	n.participating = err == nil
 	return err
 }
 
-// guard takes a panic of the agreement for what it says: a log that lacks what was acknowledged.
-func (n *Node) guard(err *error) {
+// recoverPanic, which has to be deferred, turns a panic of raft into ErrBehind and stops the voter. Raft panics when its log
+// lacks an entry that it has acknowledged.
+func (n *Node) recoverPanic(err *error) {
 	if r := recover(); r != nil {
-		n.err = fmt.Errorf("%w (%v)", ErrBehind, r)
-		n.behind = true
-		*err = n.err
+		n.stopErr = fmt.Errorf("%w (%v)", ErrBehind, r)
+		n.diskBehind = true
+		*err = n.stopErr
 	}
 }
 
+// voters returns the voters by this one's last snapshot.
 func (n *Node) voters() []uint64 {
-	_, conf, err := n.mem.InitialState()
+	_, conf, err := n.storage.InitialState()
 	if err != nil {
 		return nil
 	}
 	return conf.GetVoters()
 }
 
-// asked is who has to say what they saw this voter keep: those who vote by the latest change that anybody told of. One that
-// waited for a voter that was replaced meanwhile would wait for ever.
-func (n *Node) asked() []uint64 {
-	if n.newer != nil {
-		return slices.Sorted(maps.Keys(n.newer))
+// votersToQuery returns the voters that have to report what they saw this one persist: the voters by the latest change that
+// any reply told of. The former ones would not do: one that was replaced meanwhile never replies.
+func (n *Node) votersToQuery() []uint64 {
+	if n.newerVoters != nil {
+		return slices.Sorted(maps.Keys(n.newerVoters))
 	}
-	if all := n.voters(); len(all) > 0 || !n.o.Join {
-		return all
+	if voters := n.voters(); len(voters) > 0 || !n.options.Join {
+		return voters
 	}
-	// A new one knows nobody but by its file. It asks like any: its number is new, but its folder may have been lost since.
-	return slices.Sorted(maps.Keys(n.o.Voters))
+	// A voter that joins knows the others only from its options. It queries them as any other voter does: its number is new,
+	// but it may have taken part under it and lost its directory since.
+	return slices.Sorted(maps.Keys(n.options.Voters))
 }
 
-// Addrs is where voters are reached.
+// Addrs returns the addresses of the voters, by number.
 func (n *Node) Addrs() map[uint64]string {
-	all := maps.Clone(n.Record.Voters)
-	if n.o.Join && len(all) == 0 {
-		all = maps.Clone(n.o.Voters)
+	addrs := maps.Clone(n.Record.Voters)
+	if n.options.Join && len(addrs) == 0 {
+		addrs = maps.Clone(n.options.Voters)
 	}
-	maps.Copy(all, n.newer)
-	return all
+	maps.Copy(addrs, n.newerVoters)
+	return addrs
 }
 
-// last is how far this voter's own log goes.
-func (n *Node) last() LogPosition {
-	i, _ := n.mem.LastIndex()
-	t, _ := n.mem.Term(i)
-	return LogPosition{t, i, t}
+// lastPosition returns the end of this voter's log. Its Term is that of the last entry.
+func (n *Node) lastPosition() LogPosition {
+	index, _ := n.storage.LastIndex()
+	term, _ := n.storage.Term(index)
+	return LogPosition{term, index, term}
 }
 
-func (m LogPosition) before(o LogPosition) bool {
-	return m.Term < o.Term || m.Term == o.Term && m.Index < o.Index
+// before tells whether p comes before other, by Term and then by Index.
+func (p LogPosition) before(other LogPosition) bool {
+	return p.Term < other.Term || p.Term == other.Term && p.Index < other.Index
 }
 
-// Counts tells whether this voter votes and acknowledges.
-func (n *Node) Counts() bool { return n.counts }
+// Counts tells whether this voter takes part in raft: whether it votes and acknowledges.
+func (n *Node) Counts() bool { return n.participating }
 
-// Leader is who leads, as far as this voter knows, 0 for none; leads whether it is itself.
-func (n *Node) Leader() (id uint64, leads bool) { return n.leader, n.leads }
+// Leader returns the leader's number as far as this voter knows, 0 for none, and whether it is this voter.
+func (n *Node) Leader() (id uint64, isLeader bool) { return n.leaderID, n.isLeader }
 
-// Behind tells whether this voter's disk has lost what it acknowledged.
-func (n *Node) Behind() bool { return n.behind }
+// Behind tells whether this voter's disk has lost what the voter acknowledged.
+func (n *Node) Behind() bool { return n.diskBehind }
 
-// Err is why it has stopped for good, nil where it has not.
-func (n *Node) Err() error { return n.err }
+// Err returns why this voter has stopped for good, nil if it has not.
+func (n *Node) Err() error { return n.stopErr }
 
-// Syncs is how many times it has waited for its disk; Bytes how large its log is.
+// Syncs returns how often this voter has waited for its disk since its start.
 func (n *Node) Syncs() int { return n.log.syncs }
-func (n *Node) Bytes() int { return n.log.sizeBytes }
 
-// Tick moves time on by one tick.
+// LogBytes returns the size of its log file.
+func (n *Node) LogBytes() int { return n.log.sizeBytes }
+
+// Tick advances time by one tick.
 func (n *Node) Tick() (err error) {
-	defer n.guard(&err)
-	if n.err != nil {
-		return n.err
+	defer n.recoverPanic(&err)
+	if n.stopErr != nil {
+		return n.stopErr
 	}
-	if n.counts {
+	if n.participating {
 		n.raft.Tick()
-		if n.ticks++; n.ticks%askTicks == 1 {
-			for _, id := range n.unmet() {
-				n.out = append(n.out, Letter{From: n.o.ID, To: id, Ask: n.o.Start})
+		if n.ticks++; n.ticks%queryIntervalTicks == 1 {
+			for _, id := range n.votersAhead() {
+				n.outbox = append(n.outbox, Letter{From: n.options.ID, To: id, Ask: n.options.Start})
 			}
 		}
 		return nil
 	}
-	if n.toldAt > 0 {
-		if err := n.enough(); n.counts || err != nil {
+	if n.majorityTick > 0 {
+		if err := n.participateIfReady(); n.participating || err != nil {
 			return err
 		}
 	}
-	if n.ticks++; n.ticks%askTicks == 1 {
-		for _, id := range n.asked() {
-			if id != n.o.ID && (!n.toldBy[id] || n.toldAt > 0) { // who leads may have changed
-				n.out = append(n.out, Letter{From: n.o.ID, To: id, Ask: n.o.Start})
+	if n.ticks++; n.ticks%queryIntervalTicks == 1 {
+		for _, id := range n.votersToQuery() {
+			// After a majority has replied, those that did are queried again: one may have become the leader since.
+			if id != n.options.ID && (!n.repliedBy[id] || n.majorityTick > 0) {
+				n.outbox = append(n.outbox, Letter{From: n.options.ID, To: id, Ask: n.options.Start})
 			}
 		}
 	}
 	return nil
 }
 
-// Step takes a letter.
+// Step handles a message from another voter.
 func (n *Node) Step(now float64, l Letter) (err error) {
-	defer n.guard(&err)
+	defer n.recoverPanic(&err)
 	switch {
 	case l.Ask != 0:
-		// Also by one whose disk can't be trusted: of two at once nothing is promised, so that the other's can.
-		n.out = append(n.out, Letter{From: n.o.ID, To: l.From, Told: l.Ask, Mark: n.marks[l.From], Last: n.last(),
-			Term: n.state.GetTerm(), Behind: n.behind, Leads: n.leads, Voters: n.Record.Voters, VotersNo: n.Record.VotersNo})
-	case n.err != nil:
-		return n.err
+		// A voter whose own disk can't be trusted replies too. The guarantees cover one bad disk at a time: if it is this one,
+		// the querying voter's is sound.
+		n.outbox = append(n.outbox, Letter{From: n.options.ID, To: l.From, Told: l.Ask, Observed: n.observed[l.From],
+			LastPosition: n.lastPosition(), Term: n.hardState.GetTerm(), Behind: n.diskBehind, IsLeader: n.isLeader,
+			Voters: n.Record.Voters, VotersNo: n.Record.VotersNo})
+	case n.stopErr != nil:
+		return n.stopErr
 	case l.Told != 0:
-		return n.told(l)
-	case n.counts:
+		return n.handleReply(l)
+	case n.participating:
 		m := &pb.Message{}
 		if err := proto.Unmarshal(l.Raft, m); err != nil {
-			return nil // a letter that can't be read is lost, as any may be
+			return nil // an unreadable message counts as lost; raft copes with lost messages
 		}
-		n.see(m)
-		for _, far := range n.unmet() {
-			if m.GetType() == pb.MsgVote && (LogPosition{Term: m.GetLogTerm(), Index: m.GetIndex()}).before(n.need[far]) {
-				return nil // what this one kept may be in no other log than that one
+		n.observe(m)
+		for _, id := range n.votersAhead() {
+			if m.GetType() == pb.MsgVote && (LogPosition{Term: m.GetLogTerm(), Index: m.GetIndex()}).before(n.reportedLast[id]) {
+				return nil // see votersAhead
 			}
 		}
-		_ = n.raft.Step(m) // what it says is an error is a message of a voter that was removed, or of none
+		_ = n.raft.Step(m) // its errors are only about messages of removed or unknown voters
 	}
 	return nil
 }
 
-// see keeps the furthest that a letter shows its sender to have kept. All that is sent is sent after it was kept.
-func (n *Node) see(m *pb.Message) {
-	saw := LogPosition{Term: m.GetTerm()}
+// observe notes the furthest position that a raft message proves its sender to have persisted. Every message is sent only
+// after what it speaks of was persisted.
+func (n *Node) observe(m *pb.Message) {
+	position := LogPosition{Term: m.GetTerm()}
 	switch m.GetType() {
 	case pb.MsgAppResp:
 		if !m.GetReject() {
-			saw.Index = m.GetIndex()
-			// What a follower acknowledges in a leader's term is the leader's own entry.
-			if n.state.GetTerm() == m.GetTerm() {
-				saw.EntryTerm, _ = n.mem.Term(saw.Index)
+			position.Index = m.GetIndex()
+			// The entry that a follower acknowledges in a leader's term is the one in the leader's log.
+			if n.hardState.GetTerm() == m.GetTerm() {
+				position.EntryTerm, _ = n.storage.Term(position.Index)
 			}
 		}
 	case pb.MsgApp:
-		saw.Index, saw.EntryTerm = m.GetIndex(), m.GetLogTerm()
-		if k := len(m.GetEntries()); k > 0 {
-			saw.Index, saw.EntryTerm = m.GetEntries()[k-1].GetIndex(), m.GetEntries()[k-1].GetTerm()
+		position.Index, position.EntryTerm = m.GetIndex(), m.GetLogTerm()
+		if count := len(m.GetEntries()); count > 0 {
+			position.Index, position.EntryTerm = m.GetEntries()[count-1].GetIndex(), m.GetEntries()[count-1].GetTerm()
 		}
 	case pb.MsgHeartbeat, pb.MsgHeartbeatResp, pb.MsgVote, pb.MsgVoteResp, pb.MsgSnap:
 	default:
-		return // a vote asked for beforehand names a term that nobody has kept
+		return // pre-vote messages name a term that their sender has not persisted
 	}
-	if was := n.marks[m.GetFrom()]; was.before(saw) {
-		n.marks[m.GetFrom()] = saw
+	if former := n.observed[m.GetFrom()]; former.before(position) {
+		n.observed[m.GetFrom()] = position
 	}
 }
 
-// lacks tells whether this voter's disk is from before a mark: a later term's was kept, or in the same term an entry that is
-// not there. That there is some entry of that number is not enough: an older disk may hold one of a leader that lost, and
-// the present one, which counts the mark, would have it applied.
-func (n *Node) lacks(m LogPosition) bool {
-	if n.state.GetTerm() != m.Term {
-		return n.state.GetTerm() < m.Term
+// lacksPosition tells whether this voter's disk is older than a position that the voter was seen to persist: the persisted
+// term is lower, or it is the same and the entry is missing. An entry with the same index is not enough: an older disk may
+// hold one of a deposed leader, and the present leader, which relies on the acknowledgement, would have that one applied.
+func (n *Node) lacksPosition(p LogPosition) bool {
+	if n.hardState.GetTerm() != p.Term {
+		return n.hardState.GetTerm() < p.Term
 	}
-	if n.last().Index < m.Index {
+	if n.lastPosition().Index < p.Index {
 		return true
 	}
-	of, err := n.mem.Term(m.Index)
-	return err == nil && m.EntryTerm != 0 && of != m.EntryTerm // one that is gone behind a snapshot was applied
+	entryTerm, err := n.storage.Term(p.Index)
+	return err == nil && p.EntryTerm != 0 && entryTerm != p.EntryTerm // an error: the entry was compacted, hence applied
 }
 
-// unmet lists those whose logs went further, when they told of them, than this one's does: it votes for nobody with a
-// shorter one, as what it kept itself and lost may be there alone.
-func (n *Node) unmet() (far []uint64) {
-	for _, id := range slices.Sorted(maps.Keys(n.need)) {
-		if n.last().before(n.need[id]) {
-			far = append(far, id)
+// votersAhead returns the voters whose logs, when they reported, went further than this voter's log does now. Until it has
+// caught up with them, this voter grants no vote to a candidate with a shorter log than theirs: entries that it acknowledged
+// and lost may be in one of those logs alone.
+func (n *Node) votersAhead() (ids []uint64) {
+	for _, id := range slices.Sorted(maps.Keys(n.reportedLast)) {
+		if n.lastPosition().before(n.reportedLast[id]) {
+			ids = append(ids, id)
 		}
 	}
-	return far
+	return ids
 }
 
-// told takes what another voter saw this one keep. It counts once a majority that leaves itself out has said so: then
-// whatever it acknowledged towards a decision is known to one of them at least.
-func (n *Node) told(l Letter) error {
-	if l.Told != n.o.Start {
+// handleReply handles another voter's reply to a position query. This voter stops with ErrBehind if its disk lacks what the
+// other saw it persist. It participates once a majority of the voters, itself not included, has replied: then every
+// acknowledgement of this voter that helped to commit an entry is known to at least one of them.
+func (n *Node) handleReply(l Letter) error {
+	if l.Told != n.options.Start {
 		return nil
 	}
-	// What a voter had whose disk is found to lack something is not to be waited for: that disk is the one that lied, not this.
+	// The log of a voter whose own disk is found to lack something is not waited for: only one disk at a time may be bad, and
+	// that one is, so this voter's disk has lost nothing.
 	if l.Behind {
-		delete(n.need, l.From)
-	} else if !n.counts {
-		n.need[l.From] = l.Last
+		delete(n.reportedLast, l.From)
+	} else if !n.participating {
+		n.reportedLast[l.From] = l.LastPosition
 	}
-	if n.counts {
+	if n.participating {
 		return nil
 	}
-	if n.lacks(l.Mark) {
-		if n.o.Bug != "old-disk-votes" {
-			n.behind = true
-			n.err = fmt.Errorf("%w (voter %d saw term %d, %d; here term %d, %d)", ErrBehind, l.From, l.Mark.Term,
-				l.Mark.Index, n.state.GetTerm(), n.last().Index)
-			return n.err
+	if n.lacksPosition(l.Observed) {
+		if n.options.Bug != "old-disk-votes" {
+			n.diskBehind = true
+			n.stopErr = fmt.Errorf("%w (voter %d saw term %d, index %d; this disk has term %d, index %d)", ErrBehind, l.From,
+				l.Observed.Term, l.Observed.Index, n.hardState.GetTerm(), n.lastPosition().Index)
+			return n.stopErr
 		}
 	}
-	n.toldBy[l.From] = true
-	if n.toldTerm = max(n.toldTerm, l.Term); l.Leads {
-		n.ledTerm = max(n.ledTerm, l.Term)
+	n.repliedBy[l.From] = true
+	if n.repliedTerm = max(n.repliedTerm, l.Term); l.IsLeader {
+		n.leaderTerm = max(n.leaderTerm, l.Term)
 	}
-	if l.VotersNo > max(n.Record.VotersNo, n.newerNo) {
-		n.newer, n.newerNo = l.Voters, l.VotersNo
-		if _, in := l.Voters[n.o.ID]; !in && !n.o.Join {
-			n.err = ErrReplaced
-			return n.err
+	if l.VotersNo > max(n.Record.VotersNo, n.newerVotersNo) {
+		n.newerVoters, n.newerVotersNo = l.Voters, l.VotersNo
+		if _, isVoter := l.Voters[n.options.ID]; !isVoter && !n.options.Join {
+			n.stopErr = ErrReplaced
+			return n.stopErr
 		}
 	}
-	all, told := n.asked(), 0
-	for _, id := range all {
-		if n.toldBy[id] {
-			told++
+	voters, replied := n.votersToQuery(), 0
+	for _, id := range voters {
+		if n.repliedBy[id] {
+			replied++
 		}
 	}
-	if told < min(len(all)/2+1, len(all)-1) {
+	if replied < min(len(voters)/2+1, len(voters)-1) {
 		return nil
 	}
-	if n.toldAt == 0 {
-		n.toldAt = n.ticks
+	if n.majorityTick == 0 {
+		n.majorityTick = n.ticks
 	}
-	return n.enough()
+	return n.participateIfReady()
 }
 
-// enough begins once the one that leads has told too. What this voter acknowledged to it alone it still counts on, and would
-// have entries applied here by their number: where it does not say that they are there, this one begins in a term above
-// all that it was told of, which ends that leader's.
-func (n *Node) enough() error {
+// participateIfReady is called after a majority has replied. It participates once the leader of the highest reported term
+// has replied too. That leader still relies on what this voter has acknowledged to it alone, and would have the entries
+// here applied by their index. If no reply confirms that they are the leader's, this voter waits for two query intervals
+// and then begins in a term above all that were reported, which deposes that leader.
+func (n *Node) participateIfReady() error {
 	switch {
-	case n.ledTerm == n.toldTerm:
-		return n.begin(n.toldTerm)
-	case n.ticks >= n.toldAt+2*askTicks:
-		return n.begin(max(n.toldTerm, n.state.GetTerm()) + 1)
+	case n.leaderTerm == n.repliedTerm:
+		return n.participate(n.repliedTerm)
+	case n.ticks >= n.majorityTick+2*queryIntervalTicks:
+		return n.participate(max(n.repliedTerm, n.hardState.GetTerm()) + 1)
 	}
 	return nil
 }
 
-// Propose asks for a command. What comes of it is told by NextDone, or never.
+// Propose proposes a command, a fleet.Command as JSON. NextDone returns its result, unless the command is lost.
 func (n *Node) Propose(now float64, raw []byte) (err error) {
-	defer n.guard(&err)
+	defer n.recoverPanic(&err)
 	switch {
-	case n.err != nil:
-		return n.err
-	case !n.counts:
+	case n.stopErr != nil:
+		return n.stopErr
+	case !n.participating:
 		return ErrNotCounting
-	case !n.leads:
+	case !n.isLeader:
 		return ErrNotLeader
 	}
 	var c fleet.Command
@@ -456,25 +494,25 @@
 	if err := c.Check(); err != nil {
 		return err
 	}
-	if why := n.Keeper.MayPropose(now, n.Record, &c); why != "" {
-		n.done = append(n.done, Done{c.Caller, c.Number, fleet.Answer{Why: why}})
+	if why := n.Leases.MayPropose(now, n.Record, &c); why != "" {
+		n.results = append(n.results, Done{c.Caller, c.Number, fleet.Answer{Why: why}})
 		return nil
 	}
 	if err := n.raft.Propose(raw); err != nil {
-		return ErrNotLeader // dropped: too much is under way, or a leader is being chosen
+		return ErrNotLeader // raft dropped it: maxUncommittedBytes is reached, or leadership is about to change
 	}
 	return nil
 }
 
-// ProposeVoters asks for a change of who votes: one that is added, one that goes, or both.
+// ProposeVoters proposes a change of the voters: one to add, with its address, one to remove, or both. 0 stands for none.
 func (n *Node) ProposeVoters(add uint64, addr string, remove uint64) (err error) {
-	defer n.guard(&err)
-	if n.err != nil || !n.leads {
-		return errors.Join(ErrNotLeader, n.err)
+	defer n.recoverPanic(&err)
+	if n.stopErr != nil || !n.isLeader {
+		return errors.Join(ErrNotLeader, n.stopErr)
 	}
-	// A number that comes again would be a voter that acknowledged things, with a disk that knows nothing of them; one that is
-	// not there can't be replaced, as by a change that was asked for long ago.
-	if _, there := n.Record.Voters[remove]; add != 0 && add <= n.Record.VoterMax || remove != 0 && !there {
+	// A number used again would stand for a voter that has acknowledged entries, with a disk that has none of them. A number
+	// that is not a voter's can't be removed: the request may be a late repetition of an earlier one.
+	if _, isVoter := n.Record.Voters[remove]; add != 0 && add <= n.Record.VoterMax || remove != 0 && !isVoter {
 		return ErrUsed
 	}
 	var changes []*pb.ConfChangeSingle
@@ -484,206 +522,216 @@
 	if remove != 0 {
 		changes = append(changes, &pb.ConfChangeSingle{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: &remove})
 	}
-	more, _ := json.Marshal(voterChange{add, addr, remove})
-	return n.raft.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: more})
+	context, _ := json.Marshal(voterChange{add, addr, remove})
+	return n.raft.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: context})
 }
 
+// voterChange is the context of a change of voters in the raft log, as JSON. It adds the address, which raft doesn't know.
 type voterChange struct {
 	Add    uint64 `json:"add"`
 	Addr   string `json:"addr"`
 	Remove uint64 `json:"remove"`
 }
 
-// Read asks whether this voter's record is as new as any that was answered before; key tells the reads apart.
+// Read starts a linearizable read: NextRead returns the key once this voter's record is at least as new as any that was
+// returned before this call. The key must be different from those of other reads.
 func (n *Node) Read(key string) error {
 	switch {
-	case n.err != nil:
-		return n.err
-	case !n.counts:
+	case n.stopErr != nil:
+		return n.stopErr
+	case !n.participating:
 		return ErrNotCounting
 	}
-	if n.o.Bug == "stale-read" {
-		n.reads = append(n.reads, key)
+	if n.options.Bug == "stale-read" {
+		n.readyReads = append(n.readyReads, key)
 		return nil
 	}
 	n.raft.ReadIndex([]byte(key))
 	return nil
 }
 
-// Work carries out what the agreement has ready: keeps it, sends letters, applies commands. It is called after each
-// input until the node has nothing more.
+// Work carries out all that raft has ready: it persists, queues messages and applies committed entries, until nothing is
+// left. It is called after each input.
 func (n *Node) Work(now float64) (err error) {
-	defer n.guard(&err)
-	if n.err != nil || !n.counts {
-		return n.err
+	defer n.recoverPanic(&err)
+	if n.stopErr != nil || !n.participating {
+		return n.stopErr
 	}
 	for n.raft.HasReady() {
-		r := n.raft.Ready()
-		if err := n.keep(r); err != nil {
-			n.err = err
+		ready := n.raft.Ready()
+		if err := n.persist(ready); err != nil {
+			n.stopErr = err
 			return err
 		}
-		n.send(r.Messages)
-		if r.SoftState != nil {
-			n.leader = r.SoftState.Lead
-			if leads := r.SoftState.RaftState == raft.StateLeader; leads != n.leads {
-				if n.leads = leads; leads {
-					n.Keeper.Hurry = n.o.Bug == "new-leader-hurries"
-					n.Keeper.Leads(now)
+		n.queueMessages(ready.Messages)
+		if ready.SoftState != nil {
+			n.leaderID = ready.SoftState.Lead
+			if isLeader := ready.SoftState.RaftState == raft.StateLeader; isLeader != n.isLeader {
+				if n.isLeader = isLeader; isLeader {
+					n.Leases.Hurry = n.options.Bug == "new-leader-hurries"
+					n.Leases.Leads(now)
 				} else {
-					n.Keeper.Follows()
+					n.Leases.Follows()
 				}
 			}
 		}
-		for _, rs := range r.ReadStates {
-			n.waiting = append(n.waiting, read{string(rs.RequestCtx), rs.Index})
+		for _, state := range ready.ReadStates {
+			n.pendingReads = append(n.pendingReads, pendingRead{string(state.RequestCtx), state.Index})
 		}
-		for _, e := range r.CommittedEntries {
-			if err := n.apply(now, e); err != nil {
-				n.err = err
+		for _, entry := range ready.CommittedEntries {
+			if err := n.apply(now, entry); err != nil {
+				n.stopErr = err
 				return err
 			}
 		}
-		n.raft.Advance(r)
-		n.waiting = slices.DeleteFunc(n.waiting, func(r read) bool {
-			if r.index > n.applied {
+		n.raft.Advance(ready)
+		n.pendingReads = slices.DeleteFunc(n.pendingReads, func(r pendingRead) bool {
+			if r.index > n.appliedIndex {
 				return false
 			}
-			n.reads = append(n.reads, r.key)
+			n.readyReads = append(n.readyReads, r.key)
 			return true
 		})
 	}
-	if n.applied-n.snapAt >= snapEvery {
+	if n.appliedIndex-n.snapshotIndex >= snapshotInterval {
 		if err := n.snapshot(); err != nil {
-			n.err = err
+			n.stopErr = err
 			return err
 		}
 	}
 	return nil
 }
 
-func (n *Node) keep(r raft.Ready) error {
-	if r.HardState != nil && !raft.IsEmptyHardState(r.HardState) {
-		n.state = proto.Clone(r.HardState).(*pb.HardState)
-		if err := n.mem.SetHardState(n.state); err != nil {
+// persist writes the hard state, the snapshot and the entries that raft has ready to the log and to raft's storage.
+func (n *Node) persist(ready raft.Ready) error {
+	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
+		n.hardState = proto.Clone(ready.HardState).(*pb.HardState)
+		if err := n.storage.SetHardState(n.hardState); err != nil {
 			return err
 		}
 	}
-	if r.Snapshot != nil && !raft.IsEmptySnap(r.Snapshot) {
-		fresh := fleet.NewRecord()
-		fresh.Bug = n.o.Bug
-		if err := fresh.Restore(r.Snapshot.Data); err != nil {
+	if ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot) {
+		record := fleet.NewRecord()
+		record.Bug = n.options.Bug
+		if err := record.Restore(ready.Snapshot.Data); err != nil {
 			return err
 		}
-		if err := n.log.replace(r.Snapshot, n.state, nil, n.marks); err != nil {
+		if err := n.log.replace(ready.Snapshot, n.hardState, nil, n.observed); err != nil {
 			return err
 		}
-		if err := n.mem.ApplySnapshot(r.Snapshot); err != nil {
+		if err := n.storage.ApplySnapshot(ready.Snapshot); err != nil {
 			return err
 		}
-		n.Record, n.applied = fresh, r.Snapshot.GetMetadata().GetIndex()
-		n.snapAt = n.applied
+		n.Record, n.appliedIndex = record, ready.Snapshot.GetMetadata().GetIndex()
+		n.snapshotIndex = n.appliedIndex
 	}
-	var state *pb.HardState
-	if r.HardState != nil && !raft.IsEmptyHardState(r.HardState) {
-		state = n.state
+	var changedState *pb.HardState
+	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
+		changedState = n.hardState
 	}
-	if err := n.log.persist(state, r.Entries, n.marks, r.MustSync && n.o.Bug != "yes-before-sync"); err != nil {
-		return err // what the disk has of it is not known: no more is promised by this process
+	if err := n.log.persist(changedState, ready.Entries, n.observed, ready.MustSync && n.options.Bug != "yes-before-sync"); err != nil {
+		return err // how much of it is on disk is unknown, so the caller stops this voter
 	}
-	return n.mem.Append(r.Entries)
+	return n.storage.Append(ready.Entries)
 }
 
-func (n *Node) send(messages []*pb.Message) {
+// queueMessages puts raft messages into the outbox.
+func (n *Node) queueMessages(messages []*pb.Message) {
 	for _, m := range messages {
-		n.out = append(n.out, Letter{From: n.o.ID, To: m.GetTo(), Raft: mustMarshal(m)})
+		n.outbox = append(n.outbox, Letter{From: n.options.ID, To: m.GetTo(), Raft: mustMarshal(m)})
 		if m.GetType() == pb.MsgSnap {
-			n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // one that is lost is found out by the next letter
+			// Reported as sent at once: if it is lost, the follower's answer to the next message shows that.
+			n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
 }
 
+// apply applies a committed entry to the record.
 func (n *Node) apply(now float64, e *pb.Entry) error {
-	defer func() { n.applied = e.GetIndex() }()
+	defer func() { n.appliedIndex = e.GetIndex() }()
 	switch e.GetType() {
 	case pb.EntryConfChangeV2, pb.EntryConfChange:
-		var cc pb.ConfChangeV2
-		if err := proto.Unmarshal(e.Data, &cc); err != nil {
+		var change pb.ConfChangeV2
+		if err := proto.Unmarshal(e.Data, &change); err != nil {
 			return err
 		}
-		conf := n.raft.ApplyConfChange(&cc)
+		conf := n.raft.ApplyConfChange(&change)
 		var v voterChange
-		if json.Unmarshal(cc.Context, &v) == nil {
+		if json.Unmarshal(change.Context, &v) == nil {
 			n.Record.SetVoter(e.GetIndex(), v.Add, v.Addr, v.Remove)
 		}
-		// The storage's own idea of who votes is that of its last snapshot.
+		// Raft's storage knows the voters only from its last snapshot, so one is taken at each change.
 		return n.snapshotAt(e.GetIndex(), conf)
 	case pb.EntryNormal:
 		if len(e.Data) == 0 {
-			return nil // a new leader's first
+			return nil // a new leader begins its term with an empty entry
 		}
-		a, err := n.Record.Apply(e.GetIndex(), e.Data)
+		answer, err := n.Record.Apply(e.GetIndex(), e.Data)
 		if err != nil {
-			return err // of a newer form: this process stops as it is
+			return err // the command is of a newer form than this build reads: the voter stops with its record unchanged
 		}
 		var c fleet.Command
 		_ = json.Unmarshal(e.Data, &c)
-		if a.Done && (c.Do == "claim" || c.Do == "renew") {
-			n.Keeper.Applied(now, &c)
+		if answer.Done && (c.Do == "claim" || c.Do == "renew") {
+			n.Leases.Applied(now, &c)
 		}
-		n.done = append(n.done, Done{c.Caller, c.Number, a})
+		n.results = append(n.results, Done{c.Caller, c.Number, answer})
 	}
 	return nil
 }
 
+// snapshot takes a snapshot at the last applied entry.
 func (n *Node) snapshot() error {
-	_, conf, err := n.mem.InitialState()
+	_, conf, err := n.storage.InitialState()
 	if err != nil {
 		return err
 	}
-	return n.snapshotAt(n.applied, conf)
+	return n.snapshotAt(n.appliedIndex, conf)
 }
 
+// snapshotAt takes a snapshot of the record, which has all entries up to index, and replaces the log file by one that begins
+// with it. Raft's storage keeps retainedEntries before it.
 func (n *Node) snapshotAt(index uint64, conf *pb.ConfState) error {
-	snap, err := n.mem.CreateSnapshot(index, conf, n.Record.Snapshot())
+	snapshot, err := n.storage.CreateSnapshot(index, conf, n.Record.Snapshot())
 	if err != nil {
 		return err
 	}
-	if first, _ := n.mem.FirstIndex(); index > entriesLeft+first {
-		if err := n.mem.Compact(index - entriesLeft); err != nil {
+	if first, _ := n.storage.FirstIndex(); index > retainedEntries+first {
+		if err := n.storage.Compact(index - retainedEntries); err != nil {
 			return err
 		}
 	}
-	n.snapAt = index
-	last, _ := n.mem.LastIndex()
-	var rest []*pb.Entry
+	n.snapshotIndex = index
+	last, _ := n.storage.LastIndex()
+	var later []*pb.Entry
 	if last > index {
-		if rest, err = n.mem.Entries(index+1, last+1, 1<<40); err != nil {
+		if later, err = n.storage.Entries(index+1, last+1, unlimitedBytes); err != nil {
 			return err
 		}
 	}
-	return n.log.replace(snap, n.state, rest, n.marks)
+	return n.log.replace(snapshot, n.hardState, later, n.observed)
 }
 
-// NextLetter is the next letter to send. One that can't be sent is lost.
-func (n *Node) NextLetter() (Letter, bool) { return pop(&n.out) }
+// NextLetter returns the next message to send. One that can't be sent may be dropped.
+func (n *Node) NextLetter() (Letter, bool) { return popFront(&n.outbox) }
 
-// NextDone is the next command that something came of.
-func (n *Node) NextDone() (Done, bool) { return pop(&n.done) }
+// NextDone returns the next result of a command.
+func (n *Node) NextDone() (Done, bool) { return popFront(&n.results) }
 
-// NextRead is the next read that may be answered from the record as it is now.
-func (n *Node) NextRead() (string, bool) { return pop(&n.reads) }
+// NextRead returns the key of the next read that may be answered from the record as it is now.
+func (n *Node) NextRead() (string, bool) { return popFront(&n.readyReads) }
 
-func pop[T any](all *[]T) (x T, ok bool) {
-	if len(*all) == 0 {
-		return x, false
+// popFront removes and returns the first element; ok is false if there is none.
+func popFront[T any](queue *[]T) (first T, ok bool) {
+	if len(*queue) == 0 {
+		return first, false
 	}
-	x = (*all)[0]
-	if *all = (*all)[1:]; len(*all) == 0 {
-		*all = nil
+	first = (*queue)[0]
+	if *queue = (*queue)[1:]; len(*queue) == 0 {
+		*queue = nil
 	}
-	return x, true
+	return first, true
 }
 
-// Close leaves the disk.
+// Close closes the log file.
 func (n *Node) Close() { n.log.close() }
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -92,7 +92,7 @@
 				s.post = append(s.post, l)
 			}
 			for d, ok := n.NextDone(); ok; d, ok = n.NextDone() {
-				if n.leads {
+				if n.isLeader {
 					s.done[fmt.Sprint(d.Caller, d.Number)] = d.Answer
 				}
 			}
@@ -102,7 +102,7 @@
 
 func (s *set) leader() *Node {
 	for id := uint64(1); id < 10; id++ {
-		if n := s.nodes[id]; n != nil && n.leads && n.err == nil {
+		if n := s.nodes[id]; n != nil && n.isLeader && n.stopErr == nil {
 			return n
 		}
 	}
@@ -151,7 +151,7 @@
 		t.Errorf("%+v, %d carried out again", a, l.Record.Retries)
 	}
 	// One is gone for good, and a new one joins under its own number.
-	gone := s.leader().o.ID%3 + 1
+	gone := s.leader().options.ID%3 + 1
 	s.kill(gone)
 	s.disks[4] = NewMemory()
 	s.until("a leader", func() bool { return s.leader() != nil })
@@ -181,7 +181,7 @@
 	s.change("ann", 1, "out", "w1")
 	old := s.leader()
 	for id := range s.first {
-		s.cut[[2]uint64{id, old.o.ID}], s.cut[[2]uint64{old.o.ID, id}] = true, true
+		s.cut[[2]uint64{id, old.options.ID}], s.cut[[2]uint64{old.options.ID, id}] = true, true
 	}
 	_ = old.Read("r")
 	_ = old.Propose(s.now, command("bob", 1, "in", "w1"))
@@ -191,7 +191,7 @@
 			t.Fatalf("read %s was answered", key)
 		}
 	}
-	if _, ok := s.done["bob1"]; ok || old.leads || !errors.Is(old.Propose(s.now, command("bob", 1, "in", "w1")), ErrNotLeader) {
+	if _, ok := s.done["bob1"]; ok || old.isLeader || !errors.Is(old.Propose(s.now, command("bob", 1, "in", "w1")), ErrNotLeader) {
 		t.Error("a change in a minority")
 	}
 	s.change("cid", 1, "out", "w2")
@@ -224,11 +224,11 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSet(t, 3, 3)
 			s.change("ann", 1, "out", "w1")
-			id := s.leader().o.ID%3 + 1
+			id := s.leader().options.ID%3 + 1
 			spoil(s, id)
 			s.start(id, false)
 			s.until("it is found out", func() bool { return errors.Is(s.errs[id], ErrBehind) })
-			if n := s.nodes[id]; n.counts || !errors.Is(n.Read("r"), ErrBehind) {
+			if n := s.nodes[id]; n.participating || !errors.Is(n.Read("r"), ErrBehind) {
 				t.Error("it counts, or answers")
 			}
 			s.change("cid", 1, "in", "w1") // the others go on
@@ -236,14 +236,14 @@
 	}
 	s := newSet(t, 3, 4)
 	s.change("ann", 1, "out", "w1")
-	id := s.leader().o.ID%3 + 1
+	id := s.leader().options.ID%3 + 1
 	f := s.disks[id].files[logName]
 	s.kill(id)
 	f.synced = append(f.synced, 0, 0, 0, 9, 1, 2, 3)
-	if s.start(id, false); s.nodes[id] == nil || s.nodes[id].Cut != 7 {
+	if s.start(id, false); s.nodes[id] == nil || s.nodes[id].TornTailBytes != 7 {
 		t.Fatal("a torn tail")
 	}
-	s.until("it counts", func() bool { return s.nodes[id].counts })
+	s.until("it counts", func() bool { return s.nodes[id].participating })
 	s.kill(id)
 	f = s.disks[id].files[logName]
 	f.synced[len(f.synced)/3] ^= 4
@@ -253,11 +253,11 @@
 	other := id%3 + 1
 	s.kill(other)
 	s.start(other, false)
-	s.until("the other counts", func() bool { return s.nodes[other].counts })
+	s.until("the other counts", func() bool { return s.nodes[other].participating })
 	// A sync that fails ends the voter: what its disk holds is not known.
 	s = newSet(t, 3, 5)
 	s.change("ann", 1, "out", "w1")
-	id = s.leader().o.ID
+	id = s.leader().options.ID
 	s.disks[id].Fails = errors.New("EIO")
 	_ = s.nodes[id].Propose(s.now, command("bob", 1, "out", "w2"))
 	s.until("it stops", func() bool { return s.errs[id] != nil })
@@ -290,7 +290,7 @@
 	for range 40 {
 		s.step()
 	}
-	s.kill(s.leader().o.ID)
+	s.kill(s.leader().options.ID)
 	s.until("a new leader", func() bool { return s.leader() != nil })
 	led := s.now
 	for number := uint64(1); ; number++ {
@@ -358,42 +358,44 @@
 		}
 	}
 	lost := s.leader()
-	id := lost.o.ID%5 + 1
+	id := lost.options.ID%5 + 1
 	var rest []uint64
 	for other := range s.first {
-		if other != id && other != lost.o.ID {
+		if other != id && other != lost.options.ID {
 			rest = append(rest, other)
 		}
 	}
-	split(true, []uint64{id, lost.o.ID}, rest)
+	split(true, []uint64{id, lost.options.ID}, rest)
 	for i := range uint64(8) {
 		_ = lost.Propose(s.now, command("lost", i+1, "out", fmt.Sprint("x", i)))
 	}
-	s.until("one other has what the leader that loses proposed", func() bool { return s.nodes[id].last().Index >= lost.last().Index && lost.last().Index > 8 })
+	s.until("one other has what the leader that loses proposed", func() bool {
+		return s.nodes[id].lastPosition().Index >= lost.lastPosition().Index && lost.lastPosition().Index > 8
+	})
 	old := s.disks[id].Copy()
-	was := s.nodes[id].last()
+	was := s.nodes[id].lastPosition()
 	split(false, []uint64{id}, rest)
 	s.until("another leads", func() bool { l := s.leader(); return l != nil && l != lost })
-	s.until("the one that lost follows none", func() bool { return !lost.leads })
-	lead := s.leader().o.ID
+	s.until("the one that lost follows none", func() bool { return !lost.isLeader })
+	lead := s.leader().options.ID
 	for i := range uint64(4) {
 		s.change("bob", i+1, "out", fmt.Sprint("w", i))
 	}
 	s.until("acknowledged", func() bool {
-		return s.nodes[id].last() == s.nodes[lead].last() && s.nodes[id].last().Index <= was.Index
+		return s.nodes[id].lastPosition() == s.nodes[lead].lastPosition() && s.nodes[id].lastPosition().Index <= was.Index
 	})
-	sees := s.nodes[lead].marks[id]
+	sees := s.nodes[lead].observed[id]
 	s.kill(id)
 	// The copy is from after its vote for the one that leads now, and before any entry of that one's.
 	l, k, err := openLog(old, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.persist(&pb.HardState{Term: s.nodes[lead].state.Term, Vote: &lead, Commit: k.hardState.Commit}, nil, k.positions, true); err != nil {
+	if err := l.persist(&pb.HardState{Term: s.nodes[lead].hardState.Term, Vote: &lead, Commit: k.hardState.Commit}, nil, k.positions, true); err != nil {
 		t.Fatal(err)
 	}
 	s.disks[id] = old
-	split(false, []uint64{lost.o.ID}, rest)
+	split(false, []uint64{lost.options.ID}, rest)
 	split(true, []uint64{id}, []uint64{lead})
 	s.start(id, false)
 	for range 40 {
@@ -404,19 +406,19 @@
 		n := s.nodes[id]
 		for _, o := range s.nodes {
 			if o != n && o.Record.No == n.Record.No && string(o.Record.Snapshot()) != string(n.Record.Snapshot()) {
-				t.Fatalf("voter %d has another record after command %d than voter %d", id, n.Record.No, o.o.ID)
+				t.Fatalf("voter %d has another record after command %d than voter %d", id, n.Record.No, o.options.ID)
 			}
 		}
 		l := s.leader()
-		return n.behind || l != nil && n.counts && n.Record.No == l.Record.No && l.Record.Workers["w3"].Out
+		return n.diskBehind || l != nil && n.participating && n.Record.No == l.Record.No && l.Record.Workers["w3"].Out
 	})
 	for range 100 {
 		s.step()
 	}
 	// In the leader's own term an entry of that number is not enough.
 	n := s.nodes[lead]
-	if m := n.last(); n.lacks(m) || !n.lacks(LogPosition{n.state.GetTerm(), m.Index + 1, 0}) || !n.lacks(LogPosition{n.state.GetTerm(), m.Index, m.EntryTerm - 1}) ||
-		!n.lacks(LogPosition{n.state.GetTerm() + 1, 0, 0}) || sees.EntryTerm == 0 {
+	if m := n.lastPosition(); n.lacksPosition(m) || !n.lacksPosition(LogPosition{n.hardState.GetTerm(), m.Index + 1, 0}) || !n.lacksPosition(LogPosition{n.hardState.GetTerm(), m.Index, m.EntryTerm - 1}) ||
+		!n.lacksPosition(LogPosition{n.hardState.GetTerm() + 1, 0, 0}) || sees.EntryTerm == 0 {
 		t.Errorf("marks are judged wrongly: %+v", sees)
 	}
 }
@@ -426,7 +428,7 @@
 func TestNewVoterThatLostItsFolder(t *testing.T) {
 	s := newSet(t, 3, 6)
 	s.change("ann", 1, "out", "w1")
-	old := s.leader().o.ID%3 + 1
+	old := s.leader().options.ID%3 + 1
 	s.kill(old)
 	delete(s.first, old)
 	s.first[4], s.disks[4] = "v4", NewMemory()
@@ -435,7 +437,7 @@
 		if l := s.leader(); l != nil && l.Record.Voters[4] == "" {
 			_ = l.ProposeVoters(4, "v4", old)
 		}
-		return s.nodes[4].counts && s.nodes[4].Record.Workers["w1"].Out
+		return s.nodes[4].participating && s.nodes[4].Record.Workers["w1"].Out
 	})
 	s.change("bob", 1, "out", "w2")
 	s.until("it has that too", func() bool { return s.nodes[4].Record.Workers["w2"].Out })
@@ -443,7 +445,7 @@
 	s.disks[4] = NewMemory()
 	s.start(4, true)
 	s.until("it is found out", func() bool { return errors.Is(s.errs[4], ErrBehind) })
-	if s.nodes[4].counts {
+	if s.nodes[4].participating {
 		t.Error("it counts")
 	}
 }
@@ -454,7 +456,7 @@
 	s := newSet(t, 3, 7)
 	s.bug = map[uint64]string{}
 	s.change("ann", 1, "out", "w1")
-	old := s.leader().o.ID%3 + 1
+	old := s.leader().options.ID%3 + 1
 	s.kill(old)
 	s.bug[old] = "form-1"
 	s.start(old, false)
@@ -484,7 +486,7 @@
 	s := newSet(t, 3, 8)
 	s.change("ann", 1, "out", "w1")
 	far := s.leader()
-	id := far.o.ID
+	id := far.options.ID
 	for other := range s.first {
 		if other != id {
 			s.cut[[2]uint64{id, other}], s.cut[[2]uint64{other, id}] = true, true
@@ -502,9 +504,9 @@
 		s.start(other, false)
 	}
 	others := []uint64{id%3 + 1, (id+1)%3 + 1}
-	s.until("the others were told", func() bool { return s.nodes[others[0]].counts && s.nodes[others[1]].counts })
+	s.until("the others were told", func() bool { return s.nodes[others[0]].participating && s.nodes[others[1]].participating })
 	for _, other := range others {
-		if len(s.nodes[other].unmet()) == 0 {
+		if len(s.nodes[other].votersAhead()) == 0 {
 			t.Fatal("the furthest log is not further")
 		}
 	}
