--- a/quorum/format_test.go
+++ b/quorum/format_test.go
@@ -84,3 +84,16 @@
 		t.Errorf("wrote %s (%v), want %s", raw, err, old)
 	}
 }
+
+// The agent's status page holds these counts under these names.
+func TestTrafficFormat(t *testing.T) {
+	const old = `{"Letters":3,"Bytes":450}`
+	want := Traffic{Letters: 3, Bytes: 450}
+	var got Traffic
+	if err := json.Unmarshal([]byte(old), &got); err != nil || got != want {
+		t.Errorf("read %+v (%v), want %+v", got, err, want)
+	}
+	if raw, err := json.Marshal(want); err != nil || string(raw) != old {
+		t.Errorf("wrote %s (%v), want %s", raw, err, old)
+	}
+}
--- a/quorum/host.go
+++ b/quorum/host.go
@@ -16,114 +16,129 @@
 )
 
 const (
-	tickEach   = 50 * time.Millisecond // an election is held after 1 to 2 s without a leader
-	queued     = 256                   // letters to one voter; more are lost, as any may be
-	letterMost = 64 << 20
-	pastKept   = 64 // records, for those that follow: a few seconds of renewals, and who is further behind is sent all
+	tickInterval      = 50 * time.Millisecond // with electionTicks, an election begins 1 to 2 s after the leader is lost
+	maxQueuedMessages = 256                   // to one voter; more are dropped, as raft copes with lost messages
+	maxQueuedCalls    = 64                    // of functions to run with the node; more wait
+	maxRequestBytes   = 64 << 20              // body of a request with messages
+	// maxPastRecords is how many former versions of the record are kept for agents that ask for changes alone: a few seconds
+	// of lease renewals. An agent that is further behind is sent the whole record.
+	maxPastRecords = 64
 )
 
-// Host runs one voter in a real process: one goroutine has the node, others carry letters.
+// Host runs one voter in a real process. One goroutine owns the Node; one for each other voter sends messages to it.
 type Host struct {
-	ID     uint64
-	ctx    context.Context
-	clock  Clock
-	client *http.Client
-	slog   *slog.Logger
-	in     chan func(*Node)
-	dead   chan struct{} // closed when the voter has stopped, for the reason in err
-	err    error
+	ID        uint64
+	ctx       context.Context
+	clock     Clock
+	client    *http.Client
+	logger    *slog.Logger
+	nodeCalls chan func(*Node) // run by the goroutine that owns the node
+	stopped   chan struct{}    // closed when the voter has stopped, for the reason in stopErr
+	stopErr   error
 
-	mu    sync.Mutex
-	lanes map[uint64]*lane
-	waits map[string]chan fleet.Answer // by caller and number
-	reads map[string]chan struct{}
-	turn  uint64
-	view  View
-	past  []Past
-	fresh chan struct{} // closed when the view changes
-	sent  Traffic
+	mu              sync.Mutex
+	sendQueues      map[uint64]*sendQueue        // by voter
+	pendingCommands map[string]chan fleet.Answer // by caller and number
+	pendingReads    map[string]chan struct{}     // by the key given to Node.Read; closed when the read may be answered
+	lastReadNumber  uint64                       // makes these keys unique
+	view            View
+	pastRecords     []PastRecord  // oldest first
+	viewChanged     chan struct{} // closed when the view changes, then replaced
+	traffic         Traffic
 }
 
-// View is what a voter knows, as others may read it.
+// View is a copy of a voter's state for other goroutines.
 type View struct {
-	Raw    []byte // the record; it does not change
-	Lean   []byte // the same without sessions and audit, which only voters need
-	No     uint64
-	Leader uint64
-	Leads  bool
-	Counts bool
-	Behind bool
-	LedAt  float64 // ms of the own clock, when it came to lead
-	Addrs  map[uint64]string
-	Syncs  int
-	Bytes  int
+	Raw    []byte            // the record's snapshot; never modified
+	Lean   []byte            // the same without sessions and audit, which only voters need
+	No     uint64            // the last command that the record includes
+	Leader uint64            // the leader's number, 0 if unknown
+	Leads  bool              // this voter is the leader
+	Counts bool              // this voter takes part in raft
+	Behind bool              // its disk has lost what it acknowledged
+	LedAt  float64           // when it last became the leader, in ms of its Clock
+	Addrs  map[uint64]string // of the voters
+	Syncs  int               // how often it has waited for its disk
+	Bytes  int               // size of its log file
 }
 
-// Traffic counts what went to other voters.
-type Traffic struct{ Letters, Bytes int }
+// Traffic counts the messages sent to other voters, and their bytes as JSON. It is reported under the names in the tags.
+type Traffic struct {
+	Letters int `json:"Letters"`
+	Bytes   int `json:"Bytes"`
+}
 
-type lane struct{ queue chan Letter }
+// sendQueue holds the messages that wait to be sent to one voter.
+type sendQueue struct{ messages chan Letter }
 
-// Clock is the monotonic clock that all terms are counted by, in ms. A build with the tag faults can have it run fast or
-// slow, or jump.
-type Clock interface{ Now() float64 }
+// Clock is the monotonic clock by which leases are measured. In a build with the tag faults it can run fast or slow, or
+// jump.
+type Clock interface {
+	// Now returns the time in ms since an arbitrary origin.
+	Now() float64
+}
 
-type steady struct{ origin time.Time }
+// monotonicClock counts from its origin by the process's monotonic clock.
+type monotonicClock struct{ origin time.Time }
 
-func (c steady) Now() float64 { return float64(time.Since(c.origin)) / float64(time.Millisecond) }
+func (c monotonicClock) Now() float64 {
+	return float64(time.Since(c.origin)) / float64(time.Millisecond)
+}
 
 // NewClock returns this process's clock.
-func NewClock() Clock { return wrapClock(steady{time.Now()}) }
+func NewClock() Clock { return wrapClock(monotonicClock{time.Now()}) }
 
-// NewHost starts a voter. It runs until ctx is done, or until its disk fails or turns out to lack what it acknowledged:
-// see Wait.
-// client carries its letters; it has a limit of time for each call.
-func NewHost(ctx context.Context, o Options, clock Clock, client *http.Client, l *slog.Logger) (*Host, error) {
+// NewHost starts a voter. It runs until ctx is done or until it stops for good, as when its disk fails: see Wait. If its disk
+// turns out to lack what the voter acknowledged, it goes on running, but only to answer other voters' position queries.
+// client sends its messages and needs a timeout for each request.
+func NewHost(ctx context.Context, o Options, clock Clock, client *http.Client, logger *slog.Logger) (*Host, error) {
 	n, err := Open(o)
 	if err != nil {
 		return nil, err
 	}
 	if n.TornTailBytes > 0 {
-		l.Warn("torn tail cut off", "bytes", n.TornTailBytes)
+		logger.Warn("torn tail cut off", "bytes", n.TornTailBytes)
 	}
-	h := &Host{ID: o.ID, ctx: ctx, clock: clock, client: client, slog: l, in: make(chan func(*Node), 64), dead: make(chan struct{}),
-		lanes: map[uint64]*lane{}, waits: map[string]chan fleet.Answer{}, reads: map[string]chan struct{}{},
-		fresh: make(chan struct{})}
-	h.look(n)
+	h := &Host{ID: o.ID, ctx: ctx, clock: clock, client: client, logger: logger,
+		nodeCalls: make(chan func(*Node), maxQueuedCalls), stopped: make(chan struct{}),
+		sendQueues: map[uint64]*sendQueue{}, pendingCommands: map[string]chan fleet.Answer{},
+		pendingReads: map[string]chan struct{}{}, viewChanged: make(chan struct{})}
+	h.updateView(n)
 	go h.run(ctx, n)
 	return h, nil
 }
 
 // Wait returns why the voter has stopped, once it has.
 func (h *Host) Wait() error {
-	<-h.dead
-	return h.err
+	<-h.stopped
+	return h.stopErr
 }
 
-// Dead is closed once the voter has stopped.
-func (h *Host) Dead() <-chan struct{} { return h.dead }
+// Dead returns a channel that is closed once the voter has stopped.
+func (h *Host) Dead() <-chan struct{} { return h.stopped }
 
+// run owns the node until the voter stops.
 func (h *Host) run(ctx context.Context, n *Node) {
 	defer n.Close()
-	defer close(h.dead)
-	tick := time.NewTicker(tickEach)
+	defer close(h.stopped)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	was, said := n.Counts(), false
+	participating, loggedBehind := n.Counts(), false
 	for {
 		var err error
 		select {
 		case <-ctx.Done():
-			h.err = ctx.Err()
+			h.stopErr = ctx.Err()
 			return
 		case <-tick.C:
 			err = n.Tick()
-		case f := <-h.in:
+		case f := <-h.nodeCalls:
 			f(n)
 		}
-		// What came together is kept together: a sync is the dearest part of a change.
+		// All calls that are waiting are run before Work, so that they share one sync: it is the costliest part of a change.
 		for more := true; more; {
 			select {
-			case f := <-h.in:
+			case f := <-h.nodeCalls:
 				f(n)
 			default:
 				more = false
@@ -132,60 +147,62 @@
 		if err == nil {
 			err = n.Work(h.clock.Now())
 		}
-		h.carry(ctx, n)
-		if n.Counts() != was {
-			was = n.Counts()
-			h.slog.Info("voter counts", "voter", h.ID)
+		h.passOutputs(ctx, n)
+		if n.Counts() != participating {
+			participating = n.Counts()
+			h.logger.Info("voter counts", "voter", h.ID)
 		}
 		switch {
-		case err == nil || said:
+		case err == nil || loggedBehind:
 		case n.Behind():
-			// It stays to tell others what it has seen of them: with three voters each that starts needs both others.
-			h.slog.Error("voter stopped", "voter", h.ID, "err", err)
-			said = true
+			// It goes on running to tell other voters what it has seen them persist: with three voters, one that starts needs the
+			// replies of both others.
+			h.logger.Error("voter stopped", "voter", h.ID, "err", err)
+			loggedBehind = true
 		default:
-			h.slog.Error("voter stopped", "voter", h.ID, "err", err)
-			h.err = err
-			h.look(n)
+			h.logger.Error("voter stopped", "voter", h.ID, "err", err)
+			h.stopErr = err
+			h.updateView(n)
 			return
 		}
 	}
 }
 
-// carry passes on what the node has decided.
-func (h *Host) carry(ctx context.Context, n *Node) {
-	h.look(n)
+// passOutputs queues the node's messages for sending and wakes the callers whose commands or reads are done.
+func (h *Host) passOutputs(ctx context.Context, n *Node) {
+	h.updateView(n)
 	for l, ok := n.NextLetter(); ok; l, ok = n.NextLetter() {
-		h.post(ctx, l)
+		h.enqueue(ctx, l)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for d, ok := n.NextDone(); ok; d, ok = n.NextDone() {
 		key := fmt.Sprint(d.Caller, " ", d.Number)
-		if c := h.waits[key]; c != nil {
-			delete(h.waits, key)
+		if c := h.pendingCommands[key]; c != nil {
+			delete(h.pendingCommands, key)
 			c <- d.Answer
 		}
 	}
 	for key, ok := n.NextRead(); ok; key, ok = n.NextRead() {
-		if c := h.reads[key]; c != nil {
-			delete(h.reads, key)
+		if c := h.pendingReads[key]; c != nil {
+			delete(h.pendingReads, key)
 			close(c)
 		}
 	}
 }
 
-// look makes what the node knows readable by others.
-func (h *Host) look(n *Node) {
-	leader, leads := n.Leader()
+// updateView copies the node's state into the view, and signals viewChanged if the record, the leader or the participation
+// has changed.
+func (h *Host) updateView(n *Node) {
+	leader, isLeader := n.Leader()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	v := &h.view
-	if leads && !v.Leads {
+	if isLeader && !v.Leads {
 		v.LedAt = h.clock.Now()
 	}
-	changed := v.Raw == nil || v.No != n.Record.No || v.Leader != leader || v.Leads != leads || v.Counts != n.Counts()
-	v.Leader, v.Leads, v.Counts, v.Behind, v.Syncs, v.Bytes = leader, leads, n.Counts(), n.Behind(), n.Syncs(), n.LogBytes()
+	changed := v.Raw == nil || v.No != n.Record.No || v.Leader != leader || v.Leads != isLeader || v.Counts != n.Counts()
+	v.Leader, v.Leads, v.Counts, v.Behind, v.Syncs, v.Bytes = leader, isLeader, n.Counts(), n.Behind(), n.Syncs(), n.LogBytes()
 	if changed || !n.Counts() {
 		v.Addrs = n.Addrs()
 	}
@@ -195,23 +212,23 @@
 	if v.Raw == nil || v.No != n.Record.No {
 		v.Raw, v.No = n.Record.Snapshot(), n.Record.No
 		v.Lean = n.Record.Lean()
-		h.past = append(h.past, Past{v.No, v.Lean})[max(0, len(h.past)+1-pastKept):]
+		h.pastRecords = append(h.pastRecords, PastRecord{v.No, v.Lean})[max(0, len(h.pastRecords)+1-maxPastRecords):]
 	}
-	close(h.fresh)
-	h.fresh = make(chan struct{})
+	close(h.viewChanged)
+	h.viewChanged = make(chan struct{})
 }
 
-// Past is the record as it was after some command, without sessions and audit.
-type Past struct {
-	No   uint64
+// PastRecord is a former version of the record, without sessions and audit.
+type PastRecord struct {
+	No   uint64 // the last command that it includes
 	Lean []byte
 }
 
-// Past is the record after that command, nil where it is not kept any more.
+// Past returns the record after command no, without sessions and audit; nil if that version is no longer kept.
 func (h *Host) Past(no uint64) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, p := range h.past {
+	for _, p := range h.pastRecords {
 		if p.No == no {
 			return p.Lean
 		}
@@ -219,75 +236,75 @@
 	return nil
 }
 
-// View is what this voter knows now; fresh is closed when that changes.
-func (h *Host) View() (v View, fresh <-chan struct{}) {
+// View returns the voter's present state; changed is closed when the record, the leader or the participation changes.
+func (h *Host) View() (v View, changed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.view, h.fresh
+	return h.view, h.viewChanged
 }
 
-// Traffic is what this voter has sent so far.
+// Traffic returns what this voter has sent since its start.
 func (h *Host) Traffic() Traffic {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.sent
+	return h.traffic
 }
 
-// on runs f with the node.
-func (h *Host) on(ctx context.Context, f func(*Node)) error {
+// onNode has f run by the goroutine that owns the node. It returns once f is queued, not once it has run.
+func (h *Host) onNode(ctx context.Context, f func(*Node)) error {
 	select {
-	case h.in <- f:
+	case h.nodeCalls <- f:
 		return nil
-	case <-h.dead:
-		return errors.Join(errors.New("the voter has stopped"), h.err)
+	case <-h.stopped:
+		return errors.Join(errors.New("the voter has stopped"), h.stopErr)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Take takes letters of another voter.
-func (h *Host) Take(ctx context.Context, r io.Reader) error {
-	var all []Letter
-	if err := json.NewDecoder(io.LimitReader(r, letterMost)).Decode(&all); err != nil {
+// Take handles the messages in a request's body, which another voter has sent.
+func (h *Host) Take(ctx context.Context, body io.Reader) error {
+	var messages []Letter
+	if err := json.NewDecoder(io.LimitReader(body, maxRequestBytes)).Decode(&messages); err != nil {
 		return err
 	}
-	return h.on(ctx, func(n *Node) {
-		for _, l := range all {
+	return h.onNode(ctx, func(n *Node) {
+		for _, l := range messages {
 			if l.To == h.ID {
 				_ = n.Step(h.clock.Now(), l)
 			} else if l.Ask != 0 && l.To == n.options.Replaces {
-				// This one was put in the place of the voter of that number, whose disk is no more.
-				h.post(h.ctx, Letter{From: l.To, To: l.From, Told: l.Ask, Behind: true, Voters: n.Record.Voters,
+				// A query to the voter that this one was put in the place of. That voter's disk is lost, so this one replies for it.
+				h.enqueue(h.ctx, Letter{From: l.To, To: l.From, Told: l.Ask, Behind: true, Voters: n.Record.Voters,
 					VotersNo: n.Record.VotersNo})
 			}
 		}
 	})
 }
 
-// Do asks for a command and waits for what comes of it. An error other than ErrNotLeader and ErrNotCounting leaves open
-// whether it was, or will be, carried out: it may be sent again as it is.
+// Do proposes a command and waits for its result. After ErrNotLeader and ErrNotCounting the command was not proposed; after
+// any other error it may or may not be carried out, now or later, and may be sent again unchanged.
 func (h *Host) Do(ctx context.Context, c fleet.Command) (fleet.Answer, error) {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return fleet.Answer{}, err
 	}
-	key, got := fmt.Sprint(c.Caller, " ", c.Number), make(chan fleet.Answer, 1)
+	key, result := fmt.Sprint(c.Caller, " ", c.Number), make(chan fleet.Answer, 1)
 	h.mu.Lock()
-	h.waits[key] = got
+	h.pendingCommands[key] = result
 	h.mu.Unlock()
 	defer func() {
 		h.mu.Lock()
-		if h.waits[key] == got {
-			delete(h.waits, key)
+		if h.pendingCommands[key] == result {
+			delete(h.pendingCommands, key)
 		}
 		h.mu.Unlock()
 	}()
-	refused := make(chan error, 1)
-	if err := h.on(ctx, func(n *Node) { refused <- n.Propose(h.clock.Now(), raw) }); err != nil {
+	proposed := make(chan error, 1)
+	if err := h.onNode(ctx, func(n *Node) { proposed <- n.Propose(h.clock.Now(), raw) }); err != nil {
 		return fleet.Answer{}, err
 	}
 	select {
-	case err := <-refused:
+	case err := <-proposed:
 		if err != nil {
 			return fleet.Answer{}, err
 		}
@@ -295,47 +312,47 @@
 		return fleet.Answer{}, ctx.Err()
 	}
 	select {
-	case a := <-got:
-		return a, nil
+	case answer := <-result:
+		return answer, nil
 	case <-ctx.Done():
 		return fleet.Answer{}, ctx.Err()
-	case <-h.dead:
-		return fleet.Answer{}, h.err
+	case <-h.stopped:
+		return fleet.Answer{}, h.stopErr
 	}
 }
 
-// Voters asks for a change of who votes.
+// Voters proposes a change of the voters, as Node.ProposeVoters does. It doesn't wait until the change is carried out.
 func (h *Host) Voters(ctx context.Context, add uint64, addr string, remove uint64) error {
-	got := make(chan error, 1)
-	if err := h.on(ctx, func(n *Node) { got <- n.ProposeVoters(add, addr, remove) }); err != nil {
+	proposed := make(chan error, 1)
+	if err := h.onNode(ctx, func(n *Node) { proposed <- n.ProposeVoters(add, addr, remove) }); err != nil {
 		return err
 	}
 	select {
-	case err := <-got:
+	case err := <-proposed:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Read waits until this voter's record is as new as any that was answered before the call.
+// Read waits until this voter's record is at least as new as any that a read returned before the call.
 func (h *Host) Read(ctx context.Context) error {
 	h.mu.Lock()
-	h.turn++
-	key, got := fmt.Sprint(h.ID, " ", h.turn), make(chan struct{})
-	h.reads[key] = got
+	h.lastReadNumber++
+	key, ready := fmt.Sprint(h.ID, " ", h.lastReadNumber), make(chan struct{})
+	h.pendingReads[key] = ready
 	h.mu.Unlock()
 	defer func() {
 		h.mu.Lock()
-		delete(h.reads, key)
+		delete(h.pendingReads, key)
 		h.mu.Unlock()
 	}()
-	refused := make(chan error, 1)
-	if err := h.on(ctx, func(n *Node) { refused <- n.Read(key) }); err != nil {
+	started := make(chan error, 1)
+	if err := h.onNode(ctx, func(n *Node) { started <- n.Read(key) }); err != nil {
 		return err
 	}
 	select {
-	case err := <-refused:
+	case err := <-started:
 		if err != nil {
 			return err
 		}
@@ -343,47 +360,48 @@
 		return ctx.Err()
 	}
 	select {
-	case <-got:
+	case <-ready:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-h.dead:
-		return h.err
+	case <-h.stopped:
+		return h.stopErr
 	}
 }
 
-// post puts a letter in its voter's queue. What does not fit is lost, as any may be.
-func (h *Host) post(ctx context.Context, l Letter) {
+// enqueue puts a message into its recipient's send queue, and drops it if the queue is full.
+func (h *Host) enqueue(ctx context.Context, l Letter) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	v := h.lanes[l.To]
-	if v == nil {
-		v = &lane{make(chan Letter, queued)}
-		h.lanes[l.To] = v
-		go h.send(ctx, l.To, v)
+	queue := h.sendQueues[l.To]
+	if queue == nil {
+		queue = &sendQueue{make(chan Letter, maxQueuedMessages)}
+		h.sendQueues[l.To] = queue
+		go h.sendMessages(ctx, l.To, queue)
 	}
 	select {
-	case v.queue <- l:
+	case queue.messages <- l:
 	default:
 	}
 }
 
-// send carries letters to one voter, those that wait together in one call.
-func (h *Host) send(ctx context.Context, to uint64, v *lane) {
+// sendMessages sends the messages of a queue to one voter, all that are waiting in one request. Those of a request that
+// fails are lost.
+func (h *Host) sendMessages(ctx context.Context, to uint64, queue *sendQueue) {
 	for {
-		var all []Letter
+		var messages []Letter
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.dead:
+		case <-h.stopped:
 			return
-		case l := <-v.queue:
-			all = append(all, l)
+		case l := <-queue.messages:
+			messages = append(messages, l)
 		}
-		for more := true; more && len(all) < queued; {
+		for more := true; more && len(messages) < maxQueuedMessages; {
 			select {
-			case l := <-v.queue:
-				all = append(all, l)
+			case l := <-queue.messages:
+				messages = append(messages, l)
 			default:
 				more = false
 			}
@@ -394,15 +412,15 @@
 		if addr == "" {
 			continue
 		}
-		raw, _ := json.Marshal(all)
+		body, _ := json.Marshal(messages)
 		h.mu.Lock()
-		h.sent.Letters += len(all)
-		h.sent.Bytes += len(raw)
+		h.traffic.Letters += len(messages)
+		h.traffic.Bytes += len(body)
 		h.mu.Unlock()
-		r, err := h.client.Post("http://"+addr+"/v1/letters", "application/json", bytes.NewReader(raw))
+		response, err := h.client.Post("http://"+addr+"/v1/letters", "application/json", bytes.NewReader(body))
 		if err == nil {
-			_, _ = io.Copy(io.Discard, r.Body)
-			r.Body.Close()
+			_, _ = io.Copy(io.Discard, response.Body)
+			response.Body.Close()
 		}
 	}
 }
