--- a/agent/agent.go
+++ b/agent/agent.go
@@ -59,7 +59,7 @@
 	number  uint64
 	heard   map[string]float64 // when each agent last asked, where this voter leads
 	asking  map[string]bool    // matters of which a command is under way
-	changes changes
+	changes patchCache
 	runs    *runs         // the processes of this machine, and what was begun here
 	news    chan struct{} // something was heard: see stir
 }
@@ -103,7 +103,7 @@
 			return fmt.Errorf("data: %w", err)
 		}
 	}
-	if v := f.voter(); v != nil {
+	if v := f.ownVoter(); v != nil {
 		first := map[uint64]string{}
 		for _, v := range f.Voter {
 			first[v.ID] = v.Addr
@@ -121,7 +121,7 @@
 		MaxHeaderBytes: 16 << 10}
 	go func() { _ = server.Serve(transient.Listener(listener)) }()
 	defer server.Close()
-	l.Info("agent runs", "name", f.Name, "addr", a.addr, "owner", a.owner, "voter", f.voter() != nil)
+	l.Info("agent runs", "name", f.Name, "addr", a.addr, "owner", a.owner, "voter", f.ownVoter() != nil)
 	go a.follow(ctx)
 	go a.register(ctx)
 	go a.runs.agree(ctx)
@@ -167,7 +167,7 @@
 type news struct {
 	No     uint64          `json:"no"`
 	Record json.RawMessage `json:"record,omitempty"`
-	Change *change         `json:"change,omitempty"` // in place of it, for an agent that asked from a record that is kept
+	Change *recordPatch    `json:"change,omitempty"` // in place of it, for an agent that asked from a record that is kept
 	Absent []string        `json:"absent,omitempty"`
 	Leader string          `json:"leader"`
 	Leads  bool            `json:"leads"`
@@ -192,7 +192,7 @@
 		if old != nil {
 			ask += "&changes=1"
 		}
-		err := fetch(most, &http.Client{Transport: a.http.Transport}, "GET", ask, nil, &n)
+		err := callJSON(most, &http.Client{Transport: a.http.Transport}, "GET", ask, nil, &n)
 		stop()
 		a.mu.Lock()
 		if err != nil {
@@ -456,7 +456,7 @@
 	ctx, stop := a.bound(ctx, c)
 	defer stop()
 	var did fleet.Did
-	err := fetch(ctx, a.http, "POST", "http://"+do.Agent.Addr+"/v1/act", do, &did)
+	err := callJSON(ctx, a.http, "POST", "http://"+do.Agent.Addr+"/v1/act", do, &did)
 	did.Reached = err == nil
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/api.go
+++ b/agent/api.go
@@ -142,7 +142,7 @@
 		return
 	}
 	var got fleet.Answer
-	err := fetch(ctx, &http.Client{Transport: a.http.Transport}, "POST", "http://"+leader+"/v1/do?hop=1", c, &got)
+	err := callJSON(ctx, &http.Client{Transport: a.http.Transport}, "POST", "http://"+leader+"/v1/do?hop=1", c, &got)
 	var no *Refusal
 	switch {
 	case err == nil:
@@ -173,7 +173,7 @@
 		Remove uint64 `json:"remove"`
 	}
 	if err := json.NewDecoder(io.LimitReader(r.Body, bodyMost)).Decode(&v); err != nil || v.Add == 0 && v.Remove == 0 ||
-		v.Add != 0 && !address(v.Addr) {
+		v.Add != 0 && !isAddrPort(v.Addr) {
 		refuse(w, 400, "a change of voters names one to add, with its address, or one to remove")
 		return
 	}
@@ -185,7 +185,7 @@
 		refuse(w, 503, a.alone())
 	case leader != a.addr:
 		var ok struct{}
-		err := fetch(ctx, &http.Client{Transport: a.http.Transport}, "POST", "http://"+leader+"/v1/voters", v, &ok)
+		err := callJSON(ctx, &http.Client{Transport: a.http.Transport}, "POST", "http://"+leader+"/v1/voters", v, &ok)
 		var no *Refusal
 		if errors.As(err, &no) {
 			say(w, no.Status, no)
@@ -241,7 +241,7 @@
 	}
 	if v.No > after {
 		if old := a.host.Past(after); old != nil && r.URL.Query().Get("changes") != "" {
-			n.Change = a.changes.since(after, old, v.No, v.Lean)
+			n.Change = a.changes.patch(after, old, v.No, v.Lean)
 		}
 		if n.Change != nil {
 		} else if n.Record = v.Lean; who == "" {
@@ -348,7 +348,7 @@
 		refuse(w, 503, "nobody owns "+name+" as far as this agent has heard")
 	default:
 		var t Told
-		if err := fetch(r.Context(), a.http, "GET", fmt.Sprintf("http://%s/v1/told?hop=1&worker=%s", addr, url.QueryEscape(worker)),
+		if err := callJSON(r.Context(), a.http, "GET", fmt.Sprintf("http://%s/v1/told?hop=1&worker=%s", addr, url.QueryEscape(worker)),
 			nil, &t); err != nil {
 			refuse(w, 503, "its owner "+owner+" does not answer: "+brief(err))
 			return
--- a/agent/changes.go
+++ b/agent/changes.go
@@ -11,52 +11,55 @@
 	"shalebeam/fleet"
 )
 
-// What an agent that follows the record is sent: what changed since the record that it has, as a merge patch
-// (RFC 7396), or all of it. Sent whole at each renewal an idle fleet's bytes grew with the square of its agents.
+// An agent that follows the record is sent the difference from the version it has, as a merge patch (RFC 7396), or the
+// whole record where that version is not kept any more. Were the record sent whole at each renewal of a lease, the bytes
+// sent by an idle fleet would grow with the square of the number of agents.
 
-// change is what turns one record into a later one. The sum is of the later one: a record that came out
-// otherwise, as from a leader of another build, is not taken.
-type change struct {
+// recordPatch turns one version of the record into a later one. Sum is the CRC-32 (IEEE) of the later one: a result with
+// another sum, as after a patch from a leader of another build, is rejected.
+type recordPatch struct {
 	Patch json.RawMessage `json:"patch"`
 	Sum   uint32          `json:"sum"`
 }
 
-// changes makes them. Most that follow have the same record, so that each is made once.
-type changes struct {
-	mu   sync.Mutex
-	no   uint64 // of the later record
-	from map[uint64]*change
+// patchCache makes patches up to the latest version of the record. Most followers have the same version, so each patch is
+// made once.
+type patchCache struct {
+	mu            sync.Mutex
+	currentNumber uint64                  // of the last command in the version that the patches lead to
+	byNumber      map[uint64]*recordPatch // by the number of the last command in the version that a patch starts from; nil where none could be made
 }
 
-// since is the change from a record to the one of a number, nil where there is none.
-func (c *changes) since(after uint64, old []byte, no uint64, now []byte) *change {
+// patch returns the patch from the version old, as it was after command oldNumber, to the version current after command
+// currentNumber. It is nil where none can be made.
+func (c *patchCache) patch(oldNumber uint64, old []byte, currentNumber uint64, current []byte) *recordPatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.no != no {
-		c.no, c.from = no, map[uint64]*change{}
+	if c.currentNumber != currentNumber {
+		c.currentNumber, c.byNumber = currentNumber, map[uint64]*recordPatch{}
 	}
-	made, ok := c.from[after]
+	cached, ok := c.byNumber[oldNumber]
 	if !ok {
-		if patch, err := jsonpatch.CreateMergePatch(old, now); err == nil {
-			made = &change{patch, crc32.ChecksumIEEE(now)}
+		if patch, err := jsonpatch.CreateMergePatch(old, current); err == nil {
+			cached = &recordPatch{patch, crc32.ChecksumIEEE(current)}
 		}
-		c.from[after] = made
+		c.byNumber[oldNumber] = cached
 	}
-	return made
+	return cached
 }
 
-// apply makes the later record of an earlier one.
-func (c *change) apply(old []byte) ([]byte, error) {
-	raw, err := jsonpatch.MergePatch(old, c.Patch)
+// apply returns the later version of the record, as JSON, for an earlier one.
+func (p *recordPatch) apply(old []byte) ([]byte, error) {
+	raw, err := jsonpatch.MergePatch(old, p.Patch)
 	if err != nil {
 		return nil, err
 	}
-	r := fleet.NewRecord()
-	if err := r.Restore(raw); err != nil {
+	record := fleet.NewRecord()
+	if err := record.Restore(raw); err != nil {
 		return nil, err
 	}
-	if raw = r.Lean(); crc32.ChecksumIEEE(raw) != c.Sum { // its keys in the order in which a record is written
-		return nil, fmt.Errorf("a change of the record that does not fit")
+	if raw = record.Lean(); crc32.ChecksumIEEE(raw) != p.Sum { // Lean writes the keys in the order that the sum was taken over
+		return nil, fmt.Errorf("patched record has CRC-32 %08x, want %08x", crc32.ChecksumIEEE(raw), p.Sum)
 	}
 	return raw, nil
 }
--- a/agent/changes_test.go
+++ b/agent/changes_test.go
@@ -10,49 +10,49 @@
 	"shalebeam/fleet"
 )
 
-// A record that is followed by changes is the same, to the byte, as one that is sent whole, and what does not fit is not
-// taken.
-func TestTheRecordIsFollowedByChanges(t *testing.T) {
+// A record that is updated by patches equals, byte for byte, one that is sent whole, and a patch for another record is
+// rejected.
+func TestPatchedRecordEqualsWholeRecord(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	rec, now := fleet.NewRecord(), []byte(nil)
-	var c changes
-	apply := func(no uint64, x fleet.Command) {
-		x.V, x.Caller, x.Number, x.By = fleet.FormOf(&x), "t", no, "test"
-		raw, err := json.Marshal(x)
+	leaderRecord, current := fleet.NewRecord(), []byte(nil)
+	var cache patchCache
+	apply := func(number uint64, c fleet.Command) {
+		c.V, c.Caller, c.Number, c.By = fleet.FormOf(&c), "t", number, "test"
+		raw, err := json.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := rec.Apply(no, raw); err != nil {
+		if _, err := leaderRecord.Apply(number, raw); err != nil {
 			t.Fatal(err)
 		}
 	}
-	has, sent, whole := rec.Lean(), 0, 0
-	for no := uint64(1); no <= 600; no++ {
+	followed, patchBytes, wholeBytes := leaderRecord.Lean(), 0, 0
+	for number := uint64(1); number <= 600; number++ {
 		id := fmt.Sprint(r.IntN(40))
 		switch r.IntN(6) {
 		case 0:
-			apply(no, fleet.Command{Do: "unmember", ID: id})
+			apply(number, fleet.Command{Do: "unmember", ID: id})
 		case 1, 2:
-			apply(no, fleet.Command{Do: "out", ID: id, Zone: "a", Why: "hands"})
+			apply(number, fleet.Command{Do: "out", ID: id, Zone: "a", Why: "hands"})
 		case 3:
-			apply(no, fleet.Command{Do: "in", ID: id, Zone: "a"})
+			apply(number, fleet.Command{Do: "in", ID: id, Zone: "a"})
 		default:
-			apply(no, fleet.Command{Do: "member", Member: &fleet.Member{ID: id, Kind: "agent", Zone: "a", Addr: fmt.Sprint(no)}})
+			apply(number, fleet.Command{Do: "member", Member: &fleet.Member{ID: id, Kind: "agent", Zone: "a", Addr: fmt.Sprint(number)}})
 		}
-		if now = rec.Lean(); r.IntN(3) > 0 {
-			continue // the agent was not asking
+		if current = leaderRecord.Lean(); r.IntN(3) > 0 {
+			continue // the following agent does not ask after this command
 		}
-		x := c.since(0, has, no, now)
-		got, err := x.apply(has)
-		if err != nil || !bytes.Equal(got, now) {
-			t.Fatalf("after %d: %v\n%s\n%s", no, err, got, now)
+		patch := cache.patch(0, followed, number, current)
+		got, err := patch.apply(followed)
+		if err != nil || !bytes.Equal(got, current) {
+			t.Fatalf("patch up to command %d: %v\ngot  %s\nwant %s", number, err, got, current)
 		}
-		if other, err := x.apply([]byte(`{"v":1,"members":{"x":{}}}`)); err == nil {
-			t.Fatalf("a change of another record was taken: %s", other)
+		if other, err := patch.apply([]byte(`{"v":1,"members":{"x":{}}}`)); err == nil {
+			t.Fatalf("a patch was applied to another record than the one it was made from: %s", other)
 		}
-		has, sent, whole = got, sent+len(x.Patch), whole+len(now)
+		followed, patchBytes, wholeBytes = got, patchBytes+len(patch.Patch), wholeBytes+len(current)
 	}
-	if sent > whole/8 {
-		t.Errorf("%d bytes of changes, %d of whole records", sent, whole)
+	if patchBytes > wholeBytes/8 {
+		t.Errorf("%d bytes of patches, want at most 1/8 of the %d bytes of the whole records", patchBytes, wholeBytes)
 	}
 }
--- a/agent/client.go
+++ b/agent/client.go
@@ -15,37 +15,44 @@
 	"shalebeam/fleet"
 )
 
-// Caller asks agents over HTTP. It may send a command again, at any of them: by its caller and number it is one.
+const (
+	maxResponseBytes  = 256 << 20
+	commandRetryDelay = 200 * time.Millisecond // after all agents were tried once
+)
+
+// Caller calls agents over HTTP. It retries commands, at any agent: a command is identified by its caller and number, so
+// that it is carried out once.
 type Caller struct {
-	HTTP  *http.Client
-	Addrs []string // tried in turn, the one that answered last first
-	at    int
+	HTTP       *http.Client
+	Addrs      []string // tried in turn, beginning with the one that answered last
+	firstIndex int      // in Addrs, of the agent to try first
 }
 
-// ErrOpen says that nobody answered in time: the command may have been, or may yet be, carried out.
-var ErrOpen = errors.New("not known: nobody answered in time")
+// ErrOpen says that no agent answered in time: the command may have been, or may yet be, carried out.
+var ErrOpen = errors.New("outcome unknown: no agent answered in time")
 
-// Refusal is an agent's no, with its reason.
+// Refusal is an agent's answer with a status other than 200, with its reason.
 type Refusal struct {
-	Status int    `json:"-"`
+	Status int    `json:"-"` // HTTP status
 	Why    string `json:"why"`
-	Leader string `json:"leader,omitempty"` // who may know better
+	Leader string `json:"leader,omitempty"` // address of the agent that leads, as far as the refusing one knows
 }
 
 func (r *Refusal) Error() string { return r.Why }
 
-// NewHTTP makes the client that all calls go through. via has addresses that are reached at others; each call has a
-// time of its own, as a link may take bytes and deliver none.
-func NewHTTP(via map[string]string, most time.Duration) *http.Client {
-	d := &net.Dialer{Timeout: most}
-	return &http.Client{Timeout: most, Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second,
+// NewHTTP returns the client that all calls go through. via maps an address to the one that is dialled in its place. The
+// timeout is for each call as a whole, since a link may accept bytes and deliver none.
+func NewHTTP(via map[string]string, timeout time.Duration) *http.Client {
+	dialer := &net.Dialer{Timeout: timeout}
+	return &http.Client{Timeout: timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			return d.DialContext(ctx, network, cmp.Or(via[addr], addr))
+			return dialer.DialContext(ctx, network, cmp.Or(via[addr], addr))
 		}}}
 }
 
-// fetch makes one call and reads its JSON into out. What is not 200 is a Refusal.
-func fetch(ctx context.Context, h *http.Client, method, url string, in, out any) error {
+// callJSON makes one call with in as its JSON body, nil for none, and decodes the answer into out. An answer with a status
+// other than 200 is returned as a *Refusal.
+func callJSON(ctx context.Context, client *http.Client, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		raw, err := json.Marshal(in)
@@ -54,72 +61,72 @@
 		}
 		body = bytes.NewReader(raw)
 	}
-	q, err := http.NewRequestWithContext(ctx, method, url, body)
+	request, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return err
 	}
-	r, err := h.Do(q)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer r.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(r.Body, 256<<20))
+	defer response.Body.Close()
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
-	if r.StatusCode != 200 {
-		no := &Refusal{Status: r.StatusCode}
-		if json.Unmarshal(raw, no) != nil || no.Why == "" {
-			no.Why = fmt.Sprintf("status %d", r.StatusCode)
+	if response.StatusCode != 200 {
+		refusal := &Refusal{Status: response.StatusCode}
+		if json.Unmarshal(raw, refusal) != nil || refusal.Why == "" {
+			refusal.Why = fmt.Sprintf("status %d", response.StatusCode)
 		}
-		return no
+		return refusal
 	}
 	return json.Unmarshal(raw, out)
 }
 
-// Get asks one agent after the other until one answers.
+// Get calls one agent after the other until one answers with status 200.
 func (c *Caller) Get(ctx context.Context, path string, out any) (err error) {
 	for i := range c.Addrs {
-		at := (c.at + i) % len(c.Addrs)
-		if err = fetch(ctx, c.HTTP, "GET", "http://"+c.Addrs[at]+path, nil, out); err == nil {
-			c.at = at
+		index := (c.firstIndex + i) % len(c.Addrs)
+		if err = callJSON(ctx, c.HTTP, "GET", "http://"+c.Addrs[index]+path, nil, out); err == nil {
+			c.firstIndex = index
 			return nil
 		}
 	}
 	return err
 }
 
-// Do sends a command until somebody says what came of it or ctx is done. A minority's refusal is an answer: the command
-// was not taken.
-func (c *Caller) Do(ctx context.Context, cmd fleet.Command) (a fleet.Answer, err error) {
-	var last error
-	open := false
-	for try := 0; ctx.Err() == nil; try++ {
-		addr := c.Addrs[c.at%len(c.Addrs)]
-		err := fetch(ctx, c.HTTP, "POST", "http://"+addr+"/v1/do", cmd, &a)
+// Do sends a command until an agent reports its outcome or ctx is done. Where every agent answers that it knows of no
+// majority, that is an outcome too: the command was not accepted.
+func (c *Caller) Do(ctx context.Context, cmd fleet.Command) (answer fleet.Answer, err error) {
+	var lastErr error
+	outcomeUnknown := false
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		addr := c.Addrs[c.firstIndex%len(c.Addrs)]
+		err := callJSON(ctx, c.HTTP, "POST", "http://"+addr+"/v1/do", cmd, &answer)
 		if err == nil {
-			return a, nil
+			return answer, nil
 		}
-		var no *Refusal
-		if !errors.As(err, &no) || no.Status == 504 {
-			open = true // it may have been taken there
-		} else if no.Status != 503 {
-			return a, err
+		var refusal *Refusal
+		if !errors.As(err, &refusal) || refusal.Status == 504 {
+			outcomeUnknown = true // this agent may have accepted it
+		} else if refusal.Status != 503 {
+			return answer, err
 		}
-		last = err
-		c.at++
-		if try%len(c.Addrs) == len(c.Addrs)-1 {
-			if no != nil && !open {
-				return a, err // all were asked, and none has a majority
+		lastErr = err
+		c.firstIndex++
+		if attempt%len(c.Addrs) == len(c.Addrs)-1 {
+			if refusal != nil && !outcomeUnknown {
+				return answer, err // all were asked, and none has a majority
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(200 * time.Millisecond):
+			case <-time.After(commandRetryDelay):
 			}
 		}
 	}
-	if open || last == nil {
-		return a, errors.Join(ErrOpen, last)
+	if outcomeUnknown || lastErr == nil {
+		return answer, errors.Join(ErrOpen, lastErr)
 	}
-	return a, last
+	return answer, lastErr
 }
--- a/agent/config.go
+++ b/agent/config.go
@@ -11,68 +11,70 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// File is what an agent is told. Unknown keys, spans without a unit and contradictions are refused with file and key.
+// File is an agent's configuration file. Unknown keys, durations without a unit and contradictions are rejected with the
+// file's path and the key.
 type File struct {
 	Name   string `toml:"name"`   // of this agent, the same after a restart
-	Zone   string `toml:"zone"`   //
-	Listen string `toml:"listen"` // where agents, beamctl and this machine's schedulers call; loopback where only a port is named
-	Data   string `toml:"data"`   // the folder of a voter's log
-	Term   Span   `toml:"term"`   // how long a claim holds, 1s to 1m; 3s where none is named
+	Zone   string `toml:"zone"`   // of this agent's machine
+	Listen string `toml:"listen"` // address for calls of agents, beamctl and this machine's schedulers; on 127.0.0.1 where only a port is given
+	Data   string `toml:"data"`   // folder of a voter's log and of the state of the processes that the agent runs
+	Term   Span   `toml:"term"`   // how long a claim of a lease holds, 1s to 1m; 3s by default
 	// Joins says that this voter is a new one, which another's "member replace" has added or is about to.
 	Joins bool `toml:"joins"`
-	// Replaces is the number of the voter in whose place it is put.
+	// Replaces is the number of the voter whose place this one takes, 0 for none.
 	Replaces uint64  `toml:"replaces"`
 	Voter    []Voter `toml:"voter"`
-	// Scheduler are those of this machine, which the agent puts on record, and runs where a program is named.
+	// Scheduler has the schedulers of this machine. The agent enters them in the record, and runs those with a Program.
 	Scheduler []Local `toml:"scheduler"`
-	// Worker are those of this machine, which the agent puts on record, with the site's own command to renew them.
+	// Worker has the workers of this machine. The agent enters them in the record, and runs the site's command to renew them.
 	Worker []Site `toml:"worker"`
-	// ReadyMost is how long a new process of a scheduler may take to be ready; 15s where none is named.
+	// ReadyMost is how long a new process of a scheduler may take to become ready, 1s to 10m; 15s by default.
 	ReadyMost Span `toml:"ready_most"`
-	// Via has calls to an address go to another one, as where a machine is reached through a forwarder.
+	// Via maps an address to the one that is dialled in its place, as where a machine is reached through a forwarder.
 	Via map[string]string `toml:"via"`
 }
 
-// Voter is an agent that keeps the record.
+// Voter is an agent that keeps a replica of the record.
 type Voter struct {
 	ID   uint64 `toml:"id"` // its number, never used again for another disk
 	Name string `toml:"name"`
 	Addr string `toml:"addr"`
 }
 
-// Local is a scheduler of this machine. With Program its processes are the agent's; without it they are another's, and
-// the agent touches none.
+// Local is a scheduler of this machine. With a Program the agent starts and stops its processes; without one they are
+// managed elsewhere, and the agent leaves them alone.
 type Local struct {
 	ID      string `toml:"id"`
 	Zone    string `toml:"zone"`
-	Addr    string `toml:"addr"` // its second address
+	Addr    string `toml:"addr"` // of its management interface, for calls of the fleet and of staff
 	Labels  string `toml:"labels,omitempty"`
 	Program string `toml:"program,omitempty"` // path of shalebeam
-	Config  string `toml:"config,omitempty"`  // path of its configuration, which names no mgmt
-	Beside  string `toml:"beside,omitempty"`  // second address of the process that takes over in an upgrade
-	Tmp     string `toml:"tmp,omitempty"`     // $TMPDIR of its processes; data where none is named
+	Config  string `toml:"config,omitempty"`  // path of its configuration, which must not set mgmt
+	Beside  string `toml:"beside,omitempty"`  // management address of the second process, which takes over from the first in an upgrade
+	Tmp     string `toml:"tmp,omitempty"`     // $TMPDIR of its processes; the agent's data folder by default
 }
 
-// Site is a worker of this machine. Command is the site's own, run to renew it while it is out; {worker} and {version} in it
-// are replaced.
+// Site is a worker of this machine. Command is the site's own command that renews the worker while it is out of service;
+// {worker}, {version} and {step} in its arguments are replaced.
 type Site struct {
 	ID       string   `toml:"id"`
 	Zone     string   `toml:"zone"`
 	Labels   string   `toml:"labels,omitempty"`
-	Capacity float64  `toml:"capacity,omitempty"`
+	Capacity float64  `toml:"capacity,omitempty"` // in any unit that all workers share
 	Command  []string `toml:"command,omitempty"`
 }
 
-// Span is a time with its unit, as 500ms or 3s.
+// Span is a duration, written with its unit, such as 500ms or 3s.
 type Span time.Duration
 
+// UnmarshalText parses a duration with its unit.
 func (s *Span) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	*s = Span(d)
 	return err
 }
 
-// Load reads and checks a file.
+// Load reads and validates the configuration file at path.
 func Load(path string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -82,30 +84,32 @@
 	d := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
 	if err := d.Decode(f); err != nil {
 		var strict *toml.StrictMissingError
-		var at *toml.DecodeError
+		var decodeErr *toml.DecodeError
 		switch {
 		case errors.As(err, &strict):
-			e := strict.Errors[0]
-			row, _ := e.Position()
-			return nil, fmt.Errorf("%s: line %d: %v is no key", path, row, e.Key())
-		case errors.As(err, &at):
-			row, _ := at.Position()
-			return nil, fmt.Errorf("%s: line %d: %v: %s", path, row, at.Key(), at.Error())
+			first := strict.Errors[0]
+			line, _ := first.Position()
+			return nil, fmt.Errorf("%s: line %d: unknown key %v", path, line, first.Key())
+		case errors.As(err, &decodeErr):
+			line, _ := decodeErr.Position()
+			return nil, fmt.Errorf("%s: line %d: %v: %s", path, line, decodeErr.Key(), decodeErr.Error())
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := f.check(); err != nil {
+	if err := f.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return f, nil
 }
 
-func address(s string) bool {
+// isAddrPort reports whether s is an IP address with a port.
+func isAddrPort(s string) bool {
 	_, err := netip.ParseAddrPort(s)
 	return err == nil
 }
 
-func (f *File) check() error {
+// validate fills in the defaults, and returns the first fault that it finds.
+func (f *File) validate() error {
 	if f.Term == 0 {
 		f.Term = Span(3 * time.Second)
 	}
@@ -120,85 +124,85 @@
 		return errors.New("name is missing")
 	case f.Zone == "":
 		return errors.New("zone is missing")
-	case !address(f.Listen):
-		return fmt.Errorf("listen: %q is not an address with a port", f.Listen)
+	case !isAddrPort(f.Listen):
+		return fmt.Errorf("listen: %q is not an IP address with a port", f.Listen)
 	case f.Term < Span(time.Second) || f.Term > Span(time.Minute):
-		return fmt.Errorf("term: %v is not from 1s to 1m", time.Duration(f.Term))
+		return fmt.Errorf("term: %v is not between 1s and 1m", time.Duration(f.Term))
 	case len(f.Voter) == 0:
-		return errors.New("voter: there is none; each agent is told of those that keep the record")
+		return errors.New("voter: missing; each agent needs the list of the voters that keep the record")
 	case len(f.Voter) == 2 || len(f.Voter) == 4:
-		return fmt.Errorf("voter: %d bear no more failures than %d, and are more that may fail", len(f.Voter), len(f.Voter)-1)
+		return fmt.Errorf("voter: %d voters tolerate no more failures than %d, and one more can fail; use an odd number", len(f.Voter), len(f.Voter)-1)
 	}
 	ids, names, addrs := map[uint64]bool{}, map[string]bool{}, map[string]bool{}
 	for i, v := range f.Voter {
 		switch {
 		case v.ID == 0:
 			return fmt.Errorf("voter[%d].id is missing", i)
-		case !address(v.Addr):
-			return fmt.Errorf("voter[%d].addr: %q is not an address with a port", i, v.Addr)
+		case !isAddrPort(v.Addr):
+			return fmt.Errorf("voter[%d].addr: %q is not an IP address with a port", i, v.Addr)
 		case ids[v.ID] || names[v.Name] || addrs[v.Addr]:
-			return fmt.Errorf("voter[%d]: id, name or addr is another's too", i)
+			return fmt.Errorf("voter[%d]: id, name or addr is used by another voter", i)
 		case v.Name == f.Name && v.Addr != f.Listen:
-			return fmt.Errorf("voter[%d].addr: %s, and this agent listens at %s", i, v.Addr, f.Listen)
+			return fmt.Errorf("voter[%d].addr is %s, but this agent listens at %s", i, v.Addr, f.Listen)
 		}
 		ids[v.ID], names[v.Name], addrs[v.Addr] = true, true, true
 	}
-	if f.voter() != nil && f.Data == "" {
-		return errors.New("data is missing, and this agent is a voter")
+	if f.ownVoter() != nil && f.Data == "" {
+		return errors.New("data is missing; a voter needs it")
 	}
-	if f.Joins && f.voter() == nil {
-		return errors.New("joins: this agent is no voter")
+	if f.Joins && f.ownVoter() == nil {
+		return errors.New("joins is set, but no voter has the name of this agent")
 	}
 	if f.Replaces != 0 && (!f.Joins || ids[f.Replaces]) {
-		return errors.New("replaces: a number that no voter here has, of one that joins")
+		return errors.New("replaces: needs joins = true, and the number of a voter that is not listed here")
 	}
-	seen := map[string]bool{}
+	used := map[string]bool{}
 	for i, s := range f.Scheduler {
 		switch {
 		case s.ID == "" || s.Zone == "":
 			return fmt.Errorf("scheduler[%d]: id and zone are needed", i)
-		case !address(s.Addr):
-			return fmt.Errorf("scheduler[%d].addr: %q is not an address with a port", i, s.Addr)
-		case seen[s.ID] || seen[s.Addr]:
-			return fmt.Errorf("scheduler[%d]: id or addr is another's too", i)
+		case !isAddrPort(s.Addr):
+			return fmt.Errorf("scheduler[%d].addr: %q is not an IP address with a port", i, s.Addr)
+		case used[s.ID] || used[s.Addr]:
+			return fmt.Errorf("scheduler[%d]: id or addr is used by another scheduler", i)
 		}
-		seen[s.ID], seen[s.Addr] = true, true
+		used[s.ID], used[s.Addr] = true, true
 		switch {
 		case s.Program == "" && s.Config+s.Beside+s.Tmp != "":
-			return fmt.Errorf("scheduler[%d].program is missing, and config, beside or tmp is there", i)
+			return fmt.Errorf("scheduler[%d]: config, beside and tmp need program, which is missing", i)
 		case s.Program == "":
 			continue
-		case s.Config == "" || !address(s.Beside) || seen[s.Beside]:
-			return fmt.Errorf("scheduler[%d]: a program wants config, and beside: an address of its own", i)
+		case s.Config == "" || !isAddrPort(s.Beside) || used[s.Beside]:
+			return fmt.Errorf("scheduler[%d]: program needs config, and in beside an IP address with a port that nothing else uses", i)
 		case f.Data == "":
-			return fmt.Errorf("data is missing, and scheduler[%d] is run by this agent", i)
+			return fmt.Errorf("data is missing; scheduler[%d] has a program, which needs it", i)
 		}
-		seen[s.Beside] = true
+		used[s.Beside] = true
 	}
 	for i, w := range f.Worker {
 		switch {
 		case w.ID == "" || w.Zone == "" || w.Capacity < 0:
-			return fmt.Errorf("worker[%d]: id and zone are needed, and capacity is not below 0", i)
-		case seen[w.ID]:
-			return fmt.Errorf("worker[%d]: id is another's too", i)
+			return fmt.Errorf("worker[%d]: id and zone are needed, and capacity must not be below 0", i)
+		case used[w.ID]:
+			return fmt.Errorf("worker[%d]: id is used by another scheduler or worker", i)
 		case len(w.Command) > 0 && f.Data == "":
-			return fmt.Errorf("data is missing, and worker[%d] has a command", i)
+			return fmt.Errorf("data is missing; worker[%d] has a command, which needs it", i)
 		}
-		seen[w.ID] = true
+		used[w.ID] = true
 	}
 	if f.ReadyMost < Span(time.Second) || f.ReadyMost > Span(10*time.Minute) {
-		return fmt.Errorf("ready_most: %v is not from 1s to 10m", time.Duration(f.ReadyMost))
+		return fmt.Errorf("ready_most: %v is not between 1s and 10m", time.Duration(f.ReadyMost))
 	}
 	for from, to := range f.Via {
-		if !address(from) || !address(to) {
-			return fmt.Errorf("via: %q = %q: both are to be addresses with a port", from, to)
+		if !isAddrPort(from) || !isAddrPort(to) {
+			return fmt.Errorf("via: %q = %q: both must be IP addresses with a port", from, to)
 		}
 	}
 	return nil
 }
 
-// voter is this agent's own row, nil where it is none.
-func (f *File) voter() *Voter {
+// ownVoter returns the entry of this agent among the voters, nil where it is not a voter.
+func (f *File) ownVoter() *Voter {
 	for i := range f.Voter {
 		if f.Voter[i].Name == f.Name {
 			return &f.Voter[i]
