--- a/agent/act_test.go
+++ b/agent/act_test.go
@@ -1,7 +1,9 @@
 package agent
 
 import (
+	"bytes"
 	"context"
+	"encoding/json"
 	"log/slog"
 	"net/http/httptest"
 	"strings"
@@ -14,77 +16,113 @@
 	"shalebeam/quorum"
 )
 
-// A halt that the disk does not take is answered with a no, also when it is told again; once the disk takes it, with a yes.
-// (Told again it was answered with a yes, and forgotten by a restart.)
-func TestAHaltIsAcknowledgedOnceItIsKept(t *testing.T) {
+// A halt that the disk does not take is refused, also when it is sent again, and confirmed once the disk takes it. An agent
+// that confirms the second request unsaved forgets the halt with its next restart.
+func TestHaltIsConfirmedOnceSaved(t *testing.T) {
 	disk := quorum.NewMemory()
-	a := &Agent{log: slog.New(slog.DiscardHandler), file: &File{}}
-	a.runs = &runs{a: a, disk: disk, kept: kept{Doer: fleet.NewDoer("x")}}
-	tell := func() int {
+	a := &Agent{log: slog.New(slog.DiscardHandler), config: &File{}}
+	a.supervisor = &supervisor{agent: a, disk: disk, state: persistedState{Doer: fleet.NewDoer("x")}}
+	sendHalt := func() int {
 		w := httptest.NewRecorder()
-		a.haltHere(w, httptest.NewRequest("POST", "/v1/halt", strings.NewReader(`{"of":"fleet","by":"staff","why":"test"}`)))
+		a.handleHalt(w, httptest.NewRequest("POST", "/v1/halt", strings.NewReader(`{"of":"fleet","by":"staff","why":"test"}`)))
 		return w.Code
 	}
 	for _, disk.Fails = range []error{unix.ENOSPC, unix.EIO, unix.EIO} {
-		if got := tell(); got != 503 {
-			t.Errorf("%v: %d", disk.Fails, got)
+		if got := sendHalt(); got != 503 {
+			t.Errorf("disk fails with %v: status %d, want 503", disk.Fails, got)
 		}
 	}
 	disk.Fails = nil
-	if got := tell(); got != 200 {
-		t.Errorf("the disk takes it: %d", got)
+	if got := sendHalt(); got != 200 {
+		t.Errorf("disk works again: status %d, want 200", got)
 	}
-	if raw, err := disk.Copy().Read(runsName); err != nil || !strings.Contains(string(raw), `"fleet"`) {
-		t.Errorf("kept is %s %v", raw, err)
+	if raw, err := disk.Copy().Read(stateFile); err != nil || !strings.Contains(string(raw), `"fleet"`) {
+		t.Errorf("state file after a restart: %s %v, want the halt of \"fleet\" in it", raw, err)
 	}
 }
 
-// A call for a step that was begun is answered as soon as that is over. (It was answered at once, and asked again 0.1 s later.)
-func TestACallWaitsForItsStep(t *testing.T) {
-	r := &runs{all: map[string]*runner{"s0": {}}, kept: kept{Doer: fleet.NewDoer("x")}, moved: make(chan struct{})}
+// A call for a step that is under way is answered as soon as the step ends. Answered at once, the owner of the operation
+// would learn of the end only with its next call, 0.1 s later.
+func TestActWaitsForEndOfStep(t *testing.T) {
+	s := &supervisor{schedulers: map[string]*managedScheduler{"s0": {}}, state: persistedState{Doer: fleet.NewDoer("x")}, stateChanged: make(chan struct{})}
 	do := fleet.Do{Op: "restart-1", Member: "s0", Call: "run", No: 7}
-	r.kept.Doer.Notes["s0"] = fleet.Note{No: 7, Op: do.Op, Call: "run", State: "going"}
-	m := &r.all["s0"].minder
-	m.ReadyMost = 1000
-	m.Wants(0, true, 7)
-	if d, ok := m.Next(0); !ok || d.Do != "start" {
-		t.Fatal(d, ok)
+	s.state.Doer.Notes["s0"] = fleet.Note{No: 7, Op: do.Op, Call: "run", State: "going"}
+	lifecycle := &s.schedulers["s0"].lifecycle
+	lifecycle.ReadyMost = 1000
+	lifecycle.Wants(0, true, 7)
+	if action, ok := lifecycle.Next(0); !ok || action.Do != "start" {
+		t.Fatalf("got action %+v, %v, want a start", action, ok)
 	}
 	got := make(chan fleet.Did, 1)
 	go func() {
-		did, _ := r.known(context.Background(), do)
-		got <- did
+		outcome, _ := s.awaitStep(context.Background(), do)
+		got <- outcome
 	}()
 	select {
-	case did := <-got:
-		t.Fatalf("answered at once: %+v", did)
+	case outcome := <-got:
+		t.Fatalf("answered while the step was under way: %+v", outcome)
 	case <-time.After(50 * time.Millisecond):
 	}
-	r.mu.Lock()
-	m.Ready(0)
-	close(r.moved)
-	r.moved = make(chan struct{})
-	r.mu.Unlock()
+	s.mu.Lock()
+	lifecycle.Ready(0)
+	close(s.stateChanged)
+	s.stateChanged = make(chan struct{})
+	s.mu.Unlock()
 	select {
-	case did := <-got:
-		if did.State != "done" {
-			t.Errorf("%+v", did)
+	case outcome := <-got:
+		if outcome.State != "done" {
+			t.Errorf("got %+v, want state done", outcome)
 		}
-	case <-time.After(callMost / 4):
-		t.Error("not answered when it was over")
+	case <-time.After(callTimeout / 4):
+		t.Error("not answered when the step had ended")
 	}
 }
 
-// A scheduler that this agent's file names for the first time is not said to run here before the record gives the name to
-// this agent: another agent may run it. (It was said so until the record could be read, seconds after an election.)
-func TestANewNameDoesNotRunBeforeItIsOnRecord(t *testing.T) {
-	a := &Agent{file: &File{Name: "a1", Scheduler: []Local{{ID: "s0"}}}}
-	state := &ran{Run: true, New: true}
-	a.runs = &runs{a: a, all: map[string]*runner{"s0": {}}, kept: kept{fleet.NewDoer("x"), map[string]*ran{"s0": state}}}
-	for _, given := range []bool{false, true} {
-		state.New = !given
-		if all, _ := a.runs.list(); len(all) != 1 || all[0].Run != given {
-			t.Errorf("given to this agent: %v; said: %+v", given, all)
+// A scheduler that this agent's configuration names for the first time is reported as running only once the record gives
+// the name to this agent: another agent may run it, and the record can't be read until seconds after an election.
+func TestNewSchedulerIsNotReportedRunningBeforeItIsRecorded(t *testing.T) {
+	a := &Agent{config: &File{Name: "a1", Scheduler: []Local{{ID: "s0"}}}}
+	state := &schedulerState{ShouldRun: true, NeverStarted: true}
+	a.supervisor = &supervisor{agent: a, schedulers: map[string]*managedScheduler{"s0": {}}, state: persistedState{fleet.NewDoer("x"), map[string]*schedulerState{"s0": state}}}
+	for _, recorded := range []bool{false, true} {
+		state.NeverStarted = !recorded
+		if all, _ := a.supervisor.status(); len(all) != 1 || all[0].Run != recorded {
+			t.Errorf("recorded for this agent: %v; status: %+v", recorded, all)
 		}
 	}
 }
+
+// The state file and the answers on the wire keep their form: a state file that an earlier build wrote is read in full and
+// written back byte for byte, and agents of both builds understand each other.
+func TestStoredAndSentNamesStay(t *testing.T) {
+	const stored = `{"doer":{"notes":{"s0":{"no":7,"op":"release-5","call":"run","state":"done"}},` +
+		`"halts":{"all":{"of":"all","by":"staff","no":0}}},` +
+		`"runs":{"s0":{"run":true,"new":true,"gen":7,"good":5,` +
+		`"pairs":{"5":{"program":"p5","config":"c5"},"7":{"program":"p7","config":"c7"}},` +
+		`"former":{"release-5":{"program":"p0","config":"c0"}}}}}`
+	var state persistedState
+	if err := json.Unmarshal([]byte(stored), &state); err != nil {
+		t.Fatal(err)
+	}
+	s := state.Schedulers["s0"]
+	if s == nil || !s.ShouldRun || !s.NeverStarted || s.WantedStep != 7 || s.ReadyStep != 5 ||
+		s.Versions[7] != (storedVersion{"p7", "c7"}) || s.FormerVersions["release-5"] != (storedVersion{"p0", "c0"}) {
+		t.Errorf("read %+v from %s", s, stored)
+	}
+	if got, err := json.Marshal(&state); err != nil || string(got) != stored {
+		t.Errorf("written back as %s, %v, want %s", got, err, stored)
+	}
+
+	const sent = `{"no":9,"record":{"v":1},"change":{"patch":{"v":2},"sum":3},"absent":["a1"],"leader":"127.0.0.1:1","leads":true,"counts":true}`
+	var update recordUpdate
+	if err := json.Unmarshal([]byte(sent), &update); err != nil {
+		t.Fatal(err)
+	}
+	if update.Number != 9 || len(update.Record) == 0 || update.Patch == nil || update.Patch.Sum != 3 || len(update.AbsentAgents) != 1 ||
+		update.LeaderAddr != "127.0.0.1:1" || !update.IsLeader || !update.Counts {
+		t.Errorf("read %+v from %s", update, sent)
+	}
+	if got, err := json.Marshal(update); err != nil || !bytes.Equal(got, []byte(sent)) {
+		t.Errorf("sent as %s, %v, want %s", got, err, sent)
+	}
+}
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,5 +1,10 @@
-// Package agent is one machine's part in the fleet: it may keep the record, it may own matters and act for all, and it
-// answers this machine's schedulers and beamctl. What it decides is package fleet's; what is agreed, package quorum's.
+// Package agent runs one machine's member of the fleet's control plane. An agent may be a voter, which keeps a replica of
+// the fleet's record; it may hold leases, and then acts for the whole fleet on a zone's workers or on an operation; it
+// starts and stops the schedulers of its machine; and it answers this machine's schedulers, other agents and beamctl over
+// HTTP. Package fleet makes the decisions, package quorum replicates the record.
+//
+// The record, the wire and the log call a lease a matter: "zone/NAME" for the workers of a zone, "op/ID" for an operation.
+// They call its fencing token a fence. A worker that is out, or down, gets no new postings from any scheduler.
 package agent
 
 import (
@@ -26,490 +31,503 @@
 )
 
 const (
-	dutyEach     = 50 * time.Millisecond
-	dutySoon     = 5 * time.Millisecond // after news: what comes together is seen to together
-	callMost     = time.Second          // of a call to a scheduler or an agent
-	pollMost     = time.Second          // that a call for news waits for some
-	doMost       = 3 * time.Second      // that a command waits for what comes of it
-	startFor     = 4 * time.Second      // for a call of the system that fails for the moment
-	commandsMost = 32                   // of an operation, begun at once
-	callsMost    = 32                   // to schedulers at once, of one matter
-	goneFor      = 3000.0               // ms: an agent that was not heard for so long counts as absent
+	workInterval           = 50 * time.Millisecond
+	workDelay              = 5 * time.Millisecond // after an event, so that events that come close together are handled in one pass
+	callTimeout            = time.Second          // of one call to a scheduler or an agent
+	longPollTimeout        = time.Second          // that a request for the record waits for a newer version
+	commandTimeout         = 3 * time.Second      // for the outcome of a command, with all of its attempts
+	listenRetryPeriod      = 4 * time.Second      // while listen fails with a transient error
+	followRetryDelay       = 100 * time.Millisecond
+	registerInterval       = 100 * time.Millisecond
+	maxCommandsPerPass     = 32     // of one operation, sent at once
+	maxCallsPerLease       = 32     // to schedulers and agents, in flight at once
+	absentAfterMS          = 3000.0 // since an agent last asked the leader for the record: it then counts as absent
+	maxSchedulerReplyBytes = 1 << 20
 )
 
-// Agent is a running one.
+// Agent is a running agent.
 type Agent struct {
-	file  *File
-	log   *slog.Logger
-	clock quorum.Clock
-	host  *quorum.Host // nil: not a voter
-	http  *http.Client
-	start string
-	bug   string // one planted, in a build with the tag faults alone
-	owner string
-	addr  string
+	config        *File
+	log           *slog.Logger
+	clock         quorum.Clock // monotonic, in ms
+	voter         *quorum.Host // nil where this agent is not a voter
+	httpClient    *http.Client
+	startID       string // random, tells this start of the agent from others
+	injectedFault string // fault planted for a test, "" for none: only in a build with the tag faults
+	ownerID       string // name and startID: the owner that the record names in this agent's leases
+	listenAddr    string
 
-	mu      sync.Mutex
-	rec     *fleet.Record // as last heard; it is not changed
-	raw     []byte        // the same as it came; nil: all of it is to be asked for
-	absent  map[string]bool
-	leader  string // its address, as last heard
-	duty    *fleet.Duty
-	has     map[string]*charge
-	number  uint64
-	heard   map[string]float64 // when each agent last asked, where this voter leads
-	asking  map[string]bool    // matters of which a command is under way
-	changes patchCache
-	runs    *runs         // the processes of this machine, and what was begun here
-	news    chan struct{} // something was heard: see stir
+	mu              sync.Mutex
+	record          *fleet.Record // as last received; replaced as a whole, never changed in place
+	recordJSON      []byte        // the same as JSON, the base of the next patch; nil: the whole record is to be requested
+	absentAgents    map[string]bool
+	lastLeaderAddr  string // as last received; "" where it is not known
+	duty            *fleet.Duty
+	ownedLeases     map[string]*ownedLease // by name of the lease
+	lastNumber      uint64                 // of this agent's commands
+	heardAtMS       map[string]float64     // when each agent last asked for the record, where this voter leads
+	commandInFlight map[string]bool        // by name of the lease, or of an operation's step
+	patches         patchCache
+	supervisor      *supervisor   // of this machine's schedulers, and of the steps that were begun here
+	workRequested   chan struct{} // see requestWork
 }
 
-// charge is a matter that this agent owns.
-type charge struct {
-	zone    string
-	hold    *fleet.Hold
-	teller  *fleet.Teller  // of a zone
-	carrier *fleet.Carrier // of an operation
-	calls   int
+// ownedLease is a lease that this agent holds, with the work that comes with it: one of notifier and operation is set.
+type ownedLease struct {
+	zone          string
+	lease         *fleet.Hold
+	notifier      *fleet.Teller  // tells schedulers which of the zone's workers are out; nil for the lease of an operation
+	operation     *fleet.Carrier // carries out the operation; nil for the lease of a zone
+	callsInFlight int
 }
 
-// Run is an agent until ctx is done or its voter has to stop. trust has it count on its disk without being told what it
-// acknowledged, which only a person can answer for.
-func Run(ctx context.Context, f *File, trust bool, bug string, l *slog.Logger) error {
+// Run runs an agent until ctx is done or its voter has to stop. With trustDisk its voter counts on its disk without being
+// told by the other voters what it had acknowledged, which only a person can answer for.
+func Run(ctx context.Context, config *File, trustDisk bool, injectedFault string, logger *slog.Logger) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	start := strconv.FormatUint(rand.Uint64()>>32, 16)
-	a := &Agent{file: f, log: l, clock: quorum.NewClock(), http: NewHTTP(f.Via, callMost), start: start, bug: bug,
-		owner: fleet.OwnerOf(f.Name, start), rec: fleet.NewRecord(), absent: map[string]bool{},
-		duty: fleet.NewDuty(f.Name, start, float64(f.Term)/1e6), has: map[string]*charge{}, heard: map[string]float64{},
-		asking: map[string]bool{}, news: make(chan struct{}, 1)}
+	startID := strconv.FormatUint(rand.Uint64()>>32, 16)
+	a := &Agent{config: config, log: logger, clock: quorum.NewClock(), httpClient: NewHTTP(config.Via, callTimeout), startID: startID, injectedFault: injectedFault,
+		ownerID: fleet.OwnerOf(config.Name, startID), record: fleet.NewRecord(), absentAgents: map[string]bool{},
+		duty: fleet.NewDuty(config.Name, startID, float64(config.Term)/1e6), ownedLeases: map[string]*ownedLease{}, heardAtMS: map[string]float64{},
+		commandInFlight: map[string]bool{}, workRequested: make(chan struct{}, 1)}
 	var listener net.Listener
-	err := transient.Retry(startFor, transient.Error, func() (err error) {
-		listener, err = net.Listen("tcp", f.Listen)
+	err := transient.Retry(listenRetryPeriod, transient.Error, func() (err error) {
+		listener, err = net.Listen("tcp", config.Listen)
 		return err
 	})
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	a.addr = listener.Addr().String()
-	a.duty.Hurry = bug == "new-leader-hurries"
-	if bug == "wall-clock" {
+	a.listenAddr = listener.Addr().String()
+	a.duty.Hurry = injectedFault == "new-leader-hurries"
+	if injectedFault == "wall-clock" {
 		a.clock = quorum.WallClock()
 	}
-	dead := make(<-chan struct{})
+	voterStopped := make(<-chan struct{})
 	var disk quorum.Disk
-	if f.Data != "" {
-		if disk, err = quorum.Folder(f.Data); err != nil {
+	if config.Data != "" {
+		if disk, err = quorum.Folder(config.Data); err != nil {
 			return fmt.Errorf("data: %w", err)
 		}
 	}
-	if v := f.ownVoter(); v != nil {
-		first := map[uint64]string{}
-		for _, v := range f.Voter {
-			first[v.ID] = v.Addr
+	if own := config.ownVoter(); own != nil {
+		initialVoters := map[uint64]string{}
+		for _, v := range config.Voter {
+			initialVoters[v.ID] = v.Addr
 		}
-		if a.host, err = quorum.NewHost(ctx, quorum.Options{ID: v.ID, Voters: first, Join: f.Joins, Replaces: f.Replaces, Trust: trust, Disk: disk,
-			Start: rand.Uint64() | 1, Bug: bug}, a.clock, NewHTTP(f.Via, callMost), l); err != nil {
+		if a.voter, err = quorum.NewHost(ctx, quorum.Options{ID: own.ID, Voters: initialVoters, Join: config.Joins, Replaces: config.Replaces, Trust: trustDisk, Disk: disk,
+			Start: rand.Uint64() | 1, Bug: injectedFault}, a.clock, NewHTTP(config.Via, callTimeout), logger); err != nil {
 			return fmt.Errorf("data: %w", err)
 		}
-		dead = a.host.Dead()
+		voterStopped = a.voter.Dead()
 	}
-	if a.runs, err = newRuns(a, disk); err != nil {
+	if a.supervisor, err = newSupervisor(a, disk); err != nil {
 		return fmt.Errorf("data: %w", err)
 	}
 	server := &http.Server{Handler: a.routes(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second,
 		MaxHeaderBytes: 16 << 10}
 	go func() { _ = server.Serve(transient.Listener(listener)) }()
 	defer server.Close()
-	l.Info("agent runs", "name", f.Name, "addr", a.addr, "owner", a.owner, "voter", f.ownVoter() != nil)
-	go a.follow(ctx)
-	go a.register(ctx)
-	go a.runs.agree(ctx)
-	tick := time.NewTicker(dutyEach)
+	logger.Info("agent runs", "name", config.Name, "addr", a.listenAddr, "owner", a.ownerID, "voter", config.ownVoter() != nil)
+	go a.followRecord(ctx)
+	go a.registerMembers(ctx)
+	go a.supervisor.reconcile(ctx)
+	tick := time.NewTicker(workInterval)
 	defer tick.Stop()
-	soon := time.NewTimer(time.Hour)
-	defer soon.Stop()
-	waits := false
+	delay := time.NewTimer(time.Hour)
+	defer delay.Stop()
+	delayPending := false
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-dead:
+		case <-voterStopped:
 			if ctx.Err() != nil {
 				return nil
 			}
-			return a.host.Wait()
-		case <-a.news:
-			if !waits {
-				waits = true
-				soon.Reset(dutySoon)
+			return a.voter.Wait()
+		case <-a.workRequested:
+			if !delayPending {
+				delayPending = true
+				delay.Reset(workDelay)
 			}
 			continue
-		case <-soon.C:
+		case <-delay.C:
 		case <-tick.C:
 		}
-		waits = false
-		soon.Stop()
+		delayPending = false
+		delay.Stop()
 		a.work(ctx)
-		a.runs.work(ctx)
+		a.supervisor.work(ctx)
 	}
 }
 
-// stir has the duties seen to soon: left to the next tick, each of a member's five steps in an operation waited for one.
-func (a *Agent) stir() {
+// requestWork has the next pass of work begin after workDelay. Left to the ticker, each of a member's five steps in an
+// operation would wait for a tick.
+func (a *Agent) requestWork() {
 	select {
-	case a.news <- struct{}{}:
+	case a.workRequested <- struct{}{}:
 	default:
 	}
 }
 
-// news is what one agent hears from another.
-type news struct {
-	No     uint64          `json:"no"`
-	Record json.RawMessage `json:"record,omitempty"`
-	Change *recordPatch    `json:"change,omitempty"` // in place of it, for an agent that asked from a record that is kept
-	Absent []string        `json:"absent,omitempty"`
-	Leader string          `json:"leader"`
-	Leads  bool            `json:"leads"`
-	Counts bool            `json:"counts"`
+// recordUpdate is the answer to a request for the record: the whole record, a patch, or neither where nothing is newer.
+type recordUpdate struct {
+	Number       uint64          `json:"no"` // of the last command in the record
+	Record       json.RawMessage `json:"record,omitempty"`
+	Patch        *recordPatch    `json:"change,omitempty"` // in place of Record, for an agent whose version the voter still keeps
+	AbsentAgents []string        `json:"absent,omitempty"` // from the leader only
+	LeaderAddr   string          `json:"leader"`
+	IsLeader     bool            `json:"leads"`  // the answering voter leads
+	Counts       bool            `json:"counts"` // the answering voter takes part in votes: since its start it was told what it had acknowledged
 }
 
-// follow keeps the record as the leader has it.
-func (a *Agent) follow(ctx context.Context) {
-	at := 0
+// followRecord keeps this agent's copy of the record up to date by long polls, of the leader where it is known.
+func (a *Agent) followRecord(ctx context.Context) {
+	nextVoter := 0
 	for ctx.Err() == nil {
 		a.mu.Lock()
-		after, addr, old := a.rec.No, a.leader, a.raw
-		voters := a.voters()
+		number, addr, base := a.record.No, a.lastLeaderAddr, a.recordJSON
+		voters := a.voterAddrs()
 		a.mu.Unlock()
 		if addr == "" {
-			addr = voters[at%len(voters)]
-			at++
+			addr = voters[nextVoter%len(voters)]
+			nextVoter++
 		}
-		var n news
-		most, stop := context.WithTimeout(ctx, pollMost+callMost)
-		ask := fmt.Sprintf("http://%s/v1/record?agent=%s&after=%d", addr, url.QueryEscape(a.file.Name), after)
-		if old != nil {
-			ask += "&changes=1"
+		var update recordUpdate
+		callCtx, stop := context.WithTimeout(ctx, longPollTimeout+callTimeout)
+		target := fmt.Sprintf("http://%s/v1/record?agent=%s&after=%d", addr, url.QueryEscape(a.config.Name), number)
+		if base != nil {
+			target += "&changes=1"
 		}
-		err := callJSON(most, &http.Client{Transport: a.http.Transport}, "GET", ask, nil, &n)
+		err := callJSON(callCtx, &http.Client{Transport: a.httpClient.Transport}, "GET", target, nil, &update)
 		stop()
 		a.mu.Lock()
 		if err != nil {
-			a.leader = ""
+			a.lastLeaderAddr = ""
 		} else {
-			if a.leader = n.Leader; n.Leader == addr && !n.Leads {
-				a.leader = ""
+			if a.lastLeaderAddr = update.LeaderAddr; update.LeaderAddr == addr && !update.IsLeader {
+				a.lastLeaderAddr = ""
 			}
-			if n.Change != nil {
+			if update.Patch != nil {
 				var err error
-				if n.Record, err = n.Change.apply(old); err != nil {
-					a.log.Error("change not taken", "err", err)
-					a.raw = nil
+				if update.Record, err = update.Patch.apply(base); err != nil {
+					a.log.Error("record patch rejected; requesting the whole record", "err", err)
+					a.recordJSON = nil
 				}
 			}
-			if len(n.Record) > 0 {
-				fresh := fleet.NewRecord()
-				fresh.Bug = a.bug
-				if err := fresh.Restore(n.Record); err != nil {
-					a.log.Error("record not read", "err", err)
-				} else if fresh.No >= a.rec.No {
-					a.rec, a.raw = fresh, n.Record
-					a.stir()
+			if len(update.Record) > 0 {
+				received := fleet.NewRecord()
+				received.Bug = a.injectedFault
+				if err := received.Restore(update.Record); err != nil {
+					a.log.Error("received record could not be decoded", "err", err)
+				} else if received.No >= a.record.No {
+					a.record, a.recordJSON = received, update.Record
+					a.requestWork()
 				}
 			}
-			if n.Leads {
-				a.absent = map[string]bool{}
-				for _, id := range n.Absent {
-					a.absent[id] = true
+			if update.IsLeader {
+				a.absentAgents = map[string]bool{}
+				for _, id := range update.AbsentAgents {
+					a.absentAgents[id] = true
 				}
 			}
 		}
-		again := err != nil || a.leader == ""
+		waitBeforeRetry := err != nil || a.lastLeaderAddr == ""
 		a.mu.Unlock()
-		if again {
+		if waitBeforeRetry {
 			select {
 			case <-ctx.Done():
-			case <-time.After(100 * time.Millisecond):
+			case <-time.After(followRetryDelay):
 			}
 		}
 	}
 }
 
-// voters lists where the record is kept, by the record where it is known.
-func (a *Agent) voters() (addrs []string) {
-	for _, id := range slices.Sorted(maps.Keys(a.rec.Voters)) {
-		addrs = append(addrs, a.rec.Voters[id])
+// voterAddrs returns the addresses of the voters: by the record, or by the configuration before a record was received. The
+// caller holds a.mu.
+func (a *Agent) voterAddrs() (addrs []string) {
+	for _, id := range slices.Sorted(maps.Keys(a.record.Voters)) {
+		addrs = append(addrs, a.record.Voters[id])
 	}
 	if len(addrs) == 0 {
-		for _, v := range a.file.Voter {
+		for _, v := range a.config.Voter {
 			addrs = append(addrs, v.Addr)
 		}
 	}
 	return addrs
 }
 
-// members lists this agent and all of its machine, as they are now.
-func (a *Agent) members() []fleet.Member {
-	all := []fleet.Member{{ID: a.file.Name, Kind: "agent", Zone: a.file.Zone, Addr: a.addr}}
-	for _, s := range a.file.Scheduler {
+// localMembers returns this agent and the schedulers and workers of its machine, as they are now.
+func (a *Agent) localMembers() []fleet.Member {
+	members := []fleet.Member{{ID: a.config.Name, Kind: "agent", Zone: a.config.Zone, Addr: a.listenAddr}}
+	for _, s := range a.config.Scheduler {
 		m := fleet.Member{ID: s.ID, Kind: "scheduler", Zone: s.Zone, Addr: s.Addr, Labels: s.Labels}
 		if s.Program != "" {
-			m.Agent, m.Addr = a.file.Name, a.runs.addr(s.ID)
+			m.Agent, m.Addr = a.config.Name, a.supervisor.addr(s.ID)
 		}
-		all = append(all, m)
+		members = append(members, m)
 	}
-	for _, w := range a.file.Worker {
+	for _, w := range a.config.Worker {
 		m := fleet.Member{ID: w.ID, Kind: "worker", Zone: w.Zone, Addr: "worker/" + w.ID, Labels: w.Labels, Capacity: w.Capacity}
 		if len(w.Command) > 0 {
-			m.Agent = a.file.Name
+			m.Agent = a.config.Name
 		}
-		all = append(all, m)
+		members = append(members, m)
 	}
-	return all
+	return members
 }
 
-// register puts them on record, once that can be read, and again where they are not there so: a scheduler's second address
-// changes with each upgrade.
-func (a *Agent) register(ctx context.Context) {
-	refused, done := map[fleet.Member]bool{}, map[fleet.Member]bool{}
+// registerMembers enters the members of this machine in the record as soon as a leader takes commands, and again where the
+// record differs: a scheduler's management address changes with each upgrade. It also records halts that were ordered here.
+func (a *Agent) registerMembers(ctx context.Context) {
+	refused, registered := map[fleet.Member]bool{}, map[fleet.Member]bool{}
 	for ctx.Err() == nil {
-		for _, m := range a.members() {
+		for _, m := range a.localMembers() {
 			a.mu.Lock()
-			known := a.rec.Members[m.ID] == m
+			upToDate := a.record.Members[m.ID] == m
 			a.mu.Unlock()
-			// Of one that others run the address is put on record once: two files that name it would take it by turns.
-			if done[m] = done[m] || known && (m.Kind != "scheduler" || m.Agent == ""); known || refused[m] || done[m] {
+			// All but the schedulers that this agent runs are entered once: if two agents' files named one under different
+			// addresses, the agents would overwrite each other's entry in turn.
+			if registered[m] = registered[m] || upToDate && (m.Kind != "scheduler" || m.Agent == ""); upToDate || refused[m] || registered[m] {
 				continue
 			}
-			got, err := a.do(ctx, fleet.Command{Do: "member", Member: &m, Force: true, By: a.file.Name, Caller: a.caller("member")})
-			if err == nil && !got.Done {
-				a.log.Error("not taken on record", "member", m.ID, "why", got.Why)
-				refused[m] = true // only a person can mend it
+			answer, err := a.submit(ctx, fleet.Command{Do: "member", Member: &m, Force: true, By: a.config.Name, Caller: a.callerID("member")})
+			if err == nil && !answer.Done {
+				a.log.Error("not taken on record", "member", m.ID, "why", answer.Why)
+				refused[m] = true // a person has to change the configuration or the record
 			}
 		}
-		a.putHalts(ctx)
+		a.recordLocalHalts(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(100 * time.Millisecond):
+		case <-time.After(registerInterval):
 		}
 	}
 }
 
-// caller names one row of commands of this start of the agent, which follow each other.
-func (a *Agent) caller(of string) string { return a.owner + "/" + of }
+// callerID names one sequence of this agent's commands since its start. Commands of one sequence are sent one after the
+// other: the record refuses one with a lower number than the caller's last.
+func (a *Agent) callerID(sequence string) string { return a.ownerID + "/" + sequence }
 
-// do asks for a command wherever it can be carried out, until something came of it or its time is over.
-func (a *Agent) do(ctx context.Context, c fleet.Command) (fleet.Answer, error) {
+// submit sends a command to the leader, or to the voters in turn, until its outcome is known or commandTimeout has passed.
+func (a *Agent) submit(ctx context.Context, c fleet.Command) (fleet.Answer, error) {
 	a.mu.Lock()
-	a.number++
-	c.V, c.Number = fleet.FormOf(&c), a.number
-	voters := a.voters()
-	if a.leader != "" {
-		voters = append([]string{a.leader}, voters...)
+	a.lastNumber++
+	c.V, c.Number = fleet.FormOf(&c), a.lastNumber
+	addrs := a.voterAddrs()
+	if a.lastLeaderAddr != "" {
+		addrs = append([]string{a.lastLeaderAddr}, addrs...)
 	}
 	a.mu.Unlock()
-	ctx, stop := context.WithTimeout(ctx, doMost)
+	ctx, stop := context.WithTimeout(ctx, commandTimeout)
 	defer stop()
-	return (&Caller{HTTP: a.http, Addrs: voters}).Do(ctx, c)
+	return (&Caller{HTTP: a.httpClient, Addrs: addrs}).Do(ctx, c)
 }
 
-// work does what the duties of this agent ask for now.
+// work makes one pass over this agent's leases: it drops those that are lost, passes on those that another agent should
+// have, renews the others and begins the calls and commands that are due, and claims a lease that is free.
 func (a *Agent) work(ctx context.Context) {
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(a.has)) {
-		c := a.has[name]
-		m := a.rec.Matters[name]
+	for _, name := range slices.Sorted(maps.Keys(a.ownedLeases)) {
+		owned := a.ownedLeases[name]
+		recorded := a.record.Matters[name]
 		switch {
-		case !c.hold.Holds(now) || c.passed() > 0 || m.Fence > c.hold.Fence:
-			// Whatever it believes, it may not act any more: what is under way ends with its hold.
-			a.log.Warn("matter lost", "matter", name, "fence", c.hold.Fence, "passed", max(c.passed(), m.Fence))
-			delete(a.has, name)
+		case !owned.lease.Holds(now) || owned.supersedingFence() > 0 || recorded.Fence > owned.lease.Fence:
+			// This agent must not act on it any more, even where the record that it last received still names it as the
+			// owner. Calls in flight are bounded by the lease's end.
+			a.log.Warn("matter lost", "matter", name, "fence", owned.lease.Fence, "passed", max(owned.supersedingFence(), recorded.Fence))
+			delete(a.ownedLeases, name)
 			continue
-		case m.Wanted != "" && m.Wanted != a.file.Name && m.Owner == a.owner:
-			if c.calls == 0 && !a.asking[name] {
-				a.log.Info("matter passed on", "matter", name, "to", m.Wanted)
-				delete(a.has, name)
-				a.ask(ctx, name, fleet.Command{Do: "leave", Matter: name, Owner: a.owner, Fence: c.hold.Fence, By: a.file.Name}, nil)
+		case recorded.Wanted != "" && recorded.Wanted != a.config.Name && recorded.Owner == a.ownerID:
+			if owned.callsInFlight == 0 && !a.commandInFlight[name] {
+				a.log.Info("matter passed on", "matter", name, "to", recorded.Wanted)
+				delete(a.ownedLeases, name)
+				a.submitAsync(ctx, name, fleet.Command{Do: "leave", Matter: name, Owner: a.ownerID, Fence: owned.lease.Fence, By: a.config.Name}, nil)
 			}
 			continue
 		}
-		if c.carrier != nil {
-			if c.carrier.Follow(now, a.rec); c.carrier.Over() && a.rec.Matters[name].Owner == a.owner {
-				if c.calls == 0 && !a.asking[name] {
-					delete(a.has, name)
-					a.ask(ctx, name, fleet.Command{Do: "leave", Matter: name, Owner: a.owner, Fence: c.hold.Fence, By: a.file.Name}, nil)
+		if owned.operation != nil {
+			if owned.operation.Follow(now, a.record); owned.operation.Over() && a.record.Matters[name].Owner == a.ownerID {
+				if owned.callsInFlight == 0 && !a.commandInFlight[name] {
+					delete(a.ownedLeases, name)
+					a.submitAsync(ctx, name, fleet.Command{Do: "leave", Matter: name, Owner: a.ownerID, Fence: owned.lease.Fence, By: a.config.Name}, nil)
 				}
 				continue
 			}
 		} else {
-			c.teller.Follow(now, a.rec, c.zone)
+			owned.notifier.Follow(now, a.record, owned.zone)
 		}
-		if !a.asking[name] && c.hold.NextRenewal(now, c.teller != nil && c.teller.Urgent()) {
-			renewal := fleet.Command{Do: "renew", Matter: name, Owner: a.owner, Fence: c.hold.Fence}
-			if c.teller != nil {
+		if !a.commandInFlight[name] && owned.lease.NextRenewal(now, owned.notifier != nil && owned.notifier.Urgent()) {
+			renewal := fleet.Command{Do: "renew", Matter: name, Owner: a.ownerID, Fence: owned.lease.Fence}
+			if owned.notifier != nil {
 				var whole bool
-				if renewal.Seen, whole = c.teller.Report(now); whole {
+				if renewal.Seen, whole = owned.notifier.Report(now); whole {
 					renewal.To = fleet.Whole
 				}
 			}
-			a.ask(ctx, name, renewal,
-				func(got fleet.Answer, err error) {
-					c.hold.Renewed(err == nil && got.Done)
-					a.log.Debug("renewed", "matter", name, "fence", c.hold.Fence, "left", c.hold.Until()-a.clock.Now())
+			a.submitAsync(ctx, name, renewal,
+				func(answer fleet.Answer, err error) {
+					owned.lease.Renewed(err == nil && answer.Done)
+					a.log.Debug("renewed", "matter", name, "fence", owned.lease.Fence, "left", owned.lease.Until()-a.clock.Now())
 				})
 		}
-		if c.carrier != nil {
-			a.carry(ctx, now, name, c)
+		if owned.operation != nil {
+			a.advanceOperation(ctx, now, name, owned)
 			continue
 		}
-		for c.calls < callsMost {
-			call, ok := c.teller.Next(now)
+		for owned.callsInFlight < maxCallsPerLease {
+			call, ok := owned.notifier.Next(now)
 			if !ok {
 				break
 			}
-			c.calls++
-			go a.call(ctx, c, call)
+			owned.callsInFlight++
+			go a.callScheduler(ctx, owned, call)
 		}
 	}
-	if c, ok := a.duty.NextClaim(now, a.rec, a.absent); ok && a.has[c.Matter] == nil && !a.asking[c.Matter] {
-		asked, zone := now, strings.TrimPrefix(c.Matter, "zone/")
-		a.ask(ctx, c.Matter, c, func(got fleet.Answer, err error) {
-			if err != nil || !got.Done {
+	if claim, ok := a.duty.NextClaim(now, a.record, a.absentAgents); ok && a.ownedLeases[claim.Matter] == nil && !a.commandInFlight[claim.Matter] {
+		claimedAt, zone := now, strings.TrimPrefix(claim.Matter, "zone/")
+		a.submitAsync(ctx, claim.Matter, claim, func(answer fleet.Answer, err error) {
+			if err != nil || !answer.Done {
 				return
 			}
-			a.log.Info("matter owned", "matter", c.Matter, "fence", got.Fence)
-			own := &charge{zone: zone, hold: fleet.Held(asked, got.Fence, c.Term)}
-			if id, isOp := strings.CutPrefix(c.Matter, "op/"); isOp {
-				own.carrier = fleet.NewCarrier(id, a.owner, got.Fence)
-				own.carrier.Bug = a.bug
+			a.log.Info("matter owned", "matter", claim.Matter, "fence", answer.Fence)
+			owned := &ownedLease{zone: zone, lease: fleet.Held(claimedAt, answer.Fence, claim.Term)}
+			if id, isOperation := strings.CutPrefix(claim.Matter, "op/"); isOperation {
+				owned.operation = fleet.NewCarrier(id, a.ownerID, answer.Fence)
+				owned.operation.Bug = a.injectedFault
 			} else {
-				own.teller = fleet.NewTeller(c.Matter, got.Fence)
-				own.teller.Bug, own.teller.Holds = a.bug, func(w fleet.Intent) bool { return a.runs.holds(a.rec, w) }
+				owned.notifier = fleet.NewTeller(claim.Matter, answer.Fence)
+				owned.notifier.Bug, owned.notifier.Holds = a.injectedFault, func(w fleet.Intent) bool { return a.supervisor.isHeldBack(a.record, w) }
 			}
-			a.has[c.Matter] = own
+			a.ownedLeases[claim.Matter] = owned
 		})
 	}
-	if c, ok := a.duty.NextPass(now, a.rec, a.absent); ok && !a.asking[c.Matter] {
-		a.ask(ctx, c.Matter, c, nil)
+	if request, ok := a.duty.NextPass(now, a.record, a.absentAgents); ok && !a.commandInFlight[request.Matter] {
+		a.submitAsync(ctx, request.Matter, request, nil)
 	}
 }
 
-// passed is a higher number that a scheduler named, 0 for none.
-func (c *charge) passed() uint64 {
-	if c.teller == nil {
+// supersedingFence returns a fencing token above this lease's that a scheduler reported, 0 for none.
+func (o *ownedLease) supersedingFence() uint64 {
+	if o.notifier == nil {
 		return 0
 	}
-	return c.teller.Passed
+	return o.notifier.Passed
 }
 
-// carry does what an operation asks for now.
-func (a *Agent) carry(ctx context.Context, now float64, name string, c *charge) {
-	for c.calls < callsMost {
-		do, ok := c.carrier.NextLook(now)
+// advanceOperation begins the calls and commands of an operation that are due. The caller holds a.mu.
+func (a *Agent) advanceOperation(ctx context.Context, now float64, name string, owned *ownedLease) {
+	for owned.callsInFlight < maxCallsPerLease {
+		do, ok := owned.operation.NextLook(now)
 		if !ok {
-			if do, ok = c.carrier.NextDo(now); !ok {
+			if do, ok = owned.operation.NextDo(now); !ok {
 				break
 			}
 		}
-		c.calls++
-		go a.have(ctx, c, do)
+		owned.callsInFlight++
+		go a.callMemberAgent(ctx, owned, do)
 	}
-	for c.calls < callsMost {
-		m, ok := c.carrier.NextSample(now)
+	for owned.callsInFlight < maxCallsPerLease {
+		scheduler, ok := owned.operation.NextSample(now)
 		if !ok {
 			break
 		}
-		c.calls++
-		go a.sample(ctx, c, m)
+		owned.callsInFlight++
+		go a.sampleTxns(ctx, owned, scheduler)
 	}
-	// Beside renewals, which else would hold them up; many at once, as each takes a round of the voters.
-	for range commandsMost {
-		cmd, ok := c.carrier.NextCommand(now)
+	// These commands don't share the renewals' sequence, where each would wait for the other. Several are sent at once, as
+	// each takes a round trip among the voters.
+	for range maxCommandsPerPass {
+		cmd, ok := owned.operation.NextCommand(now)
 		if !ok {
 			return
 		}
-		a.ask(ctx, name+"/steps/"+cmd.ID, cmd, func(got fleet.Answer, err error) {
-			c.carrier.Commanded(cmd)
-			if err == nil && got.Done {
-				a.log.Info("step", "op", c.carrier.ID, "do", cmd.Do, "of", cmd.ID, "to", cmd.To, "no", got.No, "why", cmd.Why)
+		a.submitAsync(ctx, name+"/steps/"+cmd.ID, cmd, func(answer fleet.Answer, err error) {
+			owned.operation.Commanded(cmd)
+			if err == nil && answer.Done {
+				a.log.Info("step", "op", owned.operation.ID, "do", cmd.Do, "of", cmd.ID, "to", cmd.To, "no", answer.No, "why", cmd.Why)
 			} else if err == nil {
-				a.log.Debug("step refused", "op", c.carrier.ID, "of", cmd.ID, "to", cmd.To, "why", got.Why)
+				a.log.Debug("step refused", "op", owned.operation.ID, "of", cmd.ID, "to", cmd.To, "why", answer.Why)
 			}
 		})
 	}
 }
 
-// bound is a context that ends with a hold, or with the time of one call.
-func (a *Agent) bound(ctx context.Context, c *charge) (context.Context, context.CancelFunc) {
+// leaseContext returns a context that ends with the lease, or after callTimeout if that is sooner.
+func (a *Agent) leaseContext(ctx context.Context, owned *ownedLease) (context.Context, context.CancelFunc) {
 	now := a.clock.Now()
 	a.mu.Lock()
-	left := time.Duration((c.hold.Until() - now) * float64(time.Millisecond))
+	left := time.Duration((owned.lease.Until() - now) * float64(time.Millisecond))
 	a.mu.Unlock()
-	return context.WithTimeout(ctx, min(callMost, left))
+	return context.WithTimeout(ctx, min(callTimeout, left))
 }
 
-// have has a member's agent do what its operation wants next.
-func (a *Agent) have(ctx context.Context, c *charge, do fleet.Do) {
-	ctx, stop := a.bound(ctx, c)
+// callMemberAgent asks the agent of a member to do what the member's step in an operation needs next.
+func (a *Agent) callMemberAgent(ctx context.Context, owned *ownedLease, do fleet.Do) {
+	ctx, stop := a.leaseContext(ctx, owned)
 	defer stop()
-	var did fleet.Did
-	err := callJSON(ctx, a.http, "POST", "http://"+do.Agent.Addr+"/v1/act", do, &did)
-	did.Reached = err == nil
+	var outcome fleet.Did
+	err := callJSON(ctx, a.httpClient, "POST", "http://"+do.Agent.Addr+"/v1/act", do, &outcome)
+	outcome.Reached = err == nil
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c.calls--
-	c.carrier.Did(a.clock.Now(), do, did)
-	a.stir()
-	a.log.Debug("had", "op", do.Op, "member", do.Member, "call", do.Call, "no", do.No, "state", did.State, "why", did.Why, "err", err)
+	owned.callsInFlight--
+	owned.operation.Did(a.clock.Now(), do, outcome)
+	a.requestWork()
+	a.log.Debug("had", "op", do.Op, "member", do.Member, "call", do.Call, "no", do.No, "state", outcome.State, "why", outcome.Why, "err", err)
 }
 
-func (a *Agent) sample(ctx context.Context, c *charge, m fleet.Member) {
-	ctx, stop := a.bound(ctx, c)
+// sampleTxns asks a scheduler how many txns it has settled, declined and reversed, for the gates of a release.
+func (a *Agent) sampleTxns(ctx context.Context, owned *ownedLease, scheduler fleet.Member) {
+	ctx, stop := a.leaseContext(ctx, owned)
 	defer stop()
-	r := a.tell(ctx, fleet.Call{To: m, Act: fleet.Look, Matter: "-"})
+	reply := a.sendToScheduler(ctx, fleet.Call{To: scheduler, Act: fleet.Look, Matter: "-"})
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if c.calls--; r.Done {
-		c.carrier.Sampled(m.ID, r.Txns)
+	if owned.callsInFlight--; reply.Done {
+		owned.operation.Sampled(scheduler.ID, reply.Txns)
 	}
 }
 
-// ask sends a command of a matter beside the work; then is told what came of it.
-func (a *Agent) ask(ctx context.Context, matter string, c fleet.Command, then func(fleet.Answer, error)) {
-	a.asking[matter] = true
-	c.Caller = a.caller(matter)
+// submitAsync sends a command without waiting for it, and then calls done, where that is not nil, with a.mu held. sequence
+// is a lease's name, or names an operation's step: it has one command in flight at a time. The caller holds a.mu.
+func (a *Agent) submitAsync(ctx context.Context, sequence string, c fleet.Command, done func(fleet.Answer, error)) {
+	a.commandInFlight[sequence] = true
+	c.Caller = a.callerID(sequence)
 	go func() {
-		got, err := a.do(ctx, c)
+		answer, err := a.submit(ctx, c)
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		delete(a.asking, matter)
-		if then != nil {
-			then(got, err)
+		delete(a.commandInFlight, sequence)
+		if done != nil {
+			done(answer, err)
 		}
-		a.stir()
+		a.requestWork()
 	}()
 }
 
-// call makes one call at a scheduler. It ends with the hold, in whatever state it is then.
-func (a *Agent) call(ctx context.Context, c *charge, call fleet.Call) {
-	ctx, stop := a.bound(ctx, c)
+// callScheduler makes one call at a scheduler. It is cancelled when the lease ends, whether the call has arrived or not.
+func (a *Agent) callScheduler(ctx context.Context, owned *ownedLease, call fleet.Call) {
+	ctx, stop := a.leaseContext(ctx, owned)
 	defer stop()
 	a.log.Debug("calls", "scheduler", call.To.ID, "act", int(call.Act), "matter", call.Matter, "fence", call.Fence)
-	r := a.tell(ctx, call)
+	reply := a.sendToScheduler(ctx, call)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c.calls--
-	c.teller.Answered(a.clock.Now(), call, r)
-	a.stir()
-	if call.Act == fleet.Tell && r.Done {
+	owned.callsInFlight--
+	owned.notifier.Answered(a.clock.Now(), call, reply)
+	a.requestWork()
+	if call.Act == fleet.Tell && reply.Done {
 		a.log.Info("told", "scheduler", call.To.ID, "worker", call.Worker, "out", call.Out, "fence", call.Fence, "since", call.Since)
 	}
 }
 
-func (a *Agent) tell(ctx context.Context, call fleet.Call) (r fleet.Reply) {
+// sendToScheduler sends a call to a scheduler's management address and returns its reply.
+func (a *Agent) sendToScheduler(ctx context.Context, call fleet.Call) (reply fleet.Reply) {
 	method, path := "POST", "/ops/workers/up"
 	switch {
 	case call.Act == fleet.Look:
@@ -522,75 +540,79 @@
 	case call.Out:
 		path = "/ops/workers/down"
 	}
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+call.To.Addr+path, strings.NewReader(call.Worker))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+call.To.Addr+path, strings.NewReader(call.Worker))
 	if err != nil {
 		return fleet.Reply{Why: err.Error()}
 	}
-	q.Close = true // a scheduler's second address takes one call a connection
+	request.Close = true // a scheduler's management interface serves one call per connection
 	if call.Act != fleet.Look {
-		q.Header.Set("Fleet-Fence", fmt.Sprint(call.Matter, " ", call.Fence))
-		q.Header.Set("Fleet-Start", call.Start)
-		q.Header.Set("Fleet-Change", strconv.FormatUint(call.Since, 10))
+		request.Header.Set("Fleet-Fence", fmt.Sprint(call.Matter, " ", call.Fence))
+		request.Header.Set("Fleet-Start", call.Start)
+		request.Header.Set("Fleet-Change", strconv.FormatUint(call.Since, 10))
 	}
-	p, err := a.http.Do(q)
+	response, err := a.httpClient.Do(request)
 	if err != nil {
-		return fleet.Reply{Why: brief(err)}
+		return fleet.Reply{Why: shortErrorText(err)}
 	}
-	defer p.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(p.Body, 1<<20))
+	defer response.Body.Close()
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxSchedulerReplyBytes))
 	if err != nil {
-		return fleet.Reply{Why: brief(err)}
+		return fleet.Reply{Why: shortErrorText(err)}
 	}
-	return Heard(call, p.StatusCode, raw)
+	return ParseReply(call, response.StatusCode, raw)
 }
 
-// Heard is what a scheduler's answer says.
-func Heard(call fleet.Call, status int, raw []byte) fleet.Reply {
+// ParseReply decodes a scheduler's response to a call. To a Look a scheduler answers JSON. To any other call it answers
+// with status 200, or names in its body the start that is running ("start ID") or the fencing token in force ("fence
+// MATTER NUMBER") that made it refuse the call.
+func ParseReply(call fleet.Call, status int, raw []byte) fleet.Reply {
 	text := strings.TrimSpace(string(raw))
-	r := fleet.Reply{Reached: true, Start: call.Start}
+	reply := fleet.Reply{Reached: true, Start: call.Start}
 	if call.Act == fleet.Look {
-		var k struct {
+		// The JSON keys are the field names.
+		var state struct {
 			Name    string
 			Start   string
 			Fences  map[string]uint64
-			Out     map[string]string
+			Out     map[string]string // worker to the matter that it is out for
 			Phase   string
 			Workers map[string]string
 			Txns    fleet.Txns
 		}
-		if status != 200 || json.Unmarshal(raw, &k) != nil || k.Start == "" {
-			return fleet.Reply{Reached: true, Why: fmt.Sprintf("status %d: it takes no calls of the fleet", status)}
+		if status != 200 || json.Unmarshal(raw, &state) != nil || state.Start == "" {
+			return fleet.Reply{Reached: true, Why: fmt.Sprintf("status %d: want 200 and the JSON of /ops/fence", status)}
 		}
-		if k.Name != call.To.ID {
-			return fleet.Reply{Reached: true, Why: "another scheduler answers there: " + k.Name}
+		if state.Name != call.To.ID {
+			return fleet.Reply{Reached: true, Why: "another scheduler answers there: " + state.Name}
 		}
-		r.Done, r.Start, r.Fence = true, k.Start, k.Fences[call.Matter]
-		r.Phase, r.Workers, r.Txns = k.Phase, k.Workers, k.Txns
-		for id, matter := range k.Out {
+		reply.Done, reply.Start, reply.Fence = true, state.Start, state.Fences[call.Matter]
+		reply.Phase, reply.Workers, reply.Txns = state.Phase, state.Workers, state.Txns
+		for id, matter := range state.Out {
 			if matter == call.Matter {
-				r.Out = append(r.Out, id)
+				reply.Out = append(reply.Out, id)
 			}
 		}
-		slices.Sort(r.Out)
-		return r
+		slices.Sort(reply.Out)
+		return reply
 	}
 	if status == 200 {
-		r.Done, r.Fence = true, call.Fence
-		return r
+		reply.Done, reply.Fence = true, call.Fence
+		return reply
 	}
-	r.Why = text
+	reply.Why = text
 	if start, ok := strings.CutPrefix(text, "start "); ok {
-		r.Start = start
-	} else if rest, ok := strings.CutPrefix(text, "fence "+call.Matter+" "); ok {
-		r.Fence, _ = strconv.ParseUint(rest, 10, 64)
+		reply.Start = start
+	} else if number, ok := strings.CutPrefix(text, "fence "+call.Matter+" "); ok {
+		reply.Fence, _ = strconv.ParseUint(number, 10, 64)
 	}
-	return r
+	return reply
 }
 
-func brief(err error) string {
-	var u *url.Error
-	if errors.As(err, &u) {
-		err = u.Err
+// shortErrorText returns an error's text without the method and URL that package http puts before it.
+func shortErrorText(err error) string {
+	var urlErr *url.Error
+	if errors.As(err, &urlErr) {
+		err = urlErr.Err
 	}
 	return err.Error()
 }
--- a/agent/api.go
+++ b/agent/api.go
@@ -15,364 +15,378 @@
 	"shalebeam/quorum"
 )
 
-// What an agent answers. Bodies are bounded; each call has a time of its own.
+// The HTTP handlers of an agent. Request bodies are bounded, and each call to another agent has a timeout.
 
-const bodyMost = 1 << 20
+const maxRequestBytes = 1 << 20
 
-// Status is what one agent knows of itself and the fleet.
+// Status is what an agent reports of itself and the fleet.
 type Status struct {
 	Name   string            `json:"name"`
-	Owner  string            `json:"owner"`
+	Owner  string            `json:"owner"` // the agent's name with the id of its start, as the record names owners of leases
 	Zone   string            `json:"zone"`
-	Voter  uint64            `json:"voter,omitempty"`
-	Counts bool              `json:"counts,omitempty"`
-	Behind bool              `json:"behind,omitempty"` // its disk lacks what it acknowledged: it has to be replaced
+	Voter  uint64            `json:"voter,omitempty"`  // its number as a voter, 0 where it is none
+	Counts bool              `json:"counts,omitempty"` // the voter takes part in votes: since its start it was told what it had acknowledged
+	Behind bool              `json:"behind,omitempty"` // the voter's disk lacks what it acknowledged: the voter has to be replaced
 	Leads  bool              `json:"leads,omitempty"`
-	Leader string            `json:"leader,omitempty"`
-	No     uint64            `json:"no"`
-	Holds  map[string]uint64 `json:"holds,omitempty"` // matters, with their numbers
-	Syncs  int               `json:"syncs,omitempty"`
-	Bytes  int               `json:"log_bytes,omitempty"`
-	Sent   quorum.Traffic    `json:"sent"`
-	Runs   []Running         `json:"runs,omitempty"`  // the schedulers of this machine that the agent runs
-	Halts  []fleet.Halt      `json:"halts,omitempty"` // told here
+	Leader string            `json:"leader,omitempty"`    // address of the leader, as far as this agent knows
+	No     uint64            `json:"no"`                  // of the last command in the record that this agent last received
+	Holds  map[string]uint64 `json:"holds,omitempty"`     // fencing tokens of the leases that it holds, by lease
+	Syncs  int               `json:"syncs,omitempty"`     // times that the voter has waited for its disk
+	Bytes  int               `json:"log_bytes,omitempty"` // size of the voter's log
+	Sent   quorum.Traffic    `json:"sent"`                // to other voters
+	Runs   []Running         `json:"runs,omitempty"`      // the schedulers of this machine that the agent runs
+	Halts  []fleet.Halt      `json:"halts,omitempty"`     // ordered at this agent directly
 }
 
-// Told is how schedulers stand to what is intended for a worker.
+// Told says which schedulers have confirmed what the record intends for a worker, as the owner of the worker's zone knows
+// it.
 type Told struct {
-	Matter string           `json:"matter"`
+	Matter string           `json:"matter"` // the lease on the worker's zone
 	Owner  string           `json:"owner"`
 	Fence  uint64           `json:"fence"`
 	Intent fleet.Intent     `json:"intent"`
-	Rows   []fleet.Standing `json:"rows"`
+	Rows   []fleet.Standing `json:"rows"` // one for each scheduler
 }
 
 func (a *Agent) routes() http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("POST /v1/letters", a.letters)
-	m.HandleFunc("POST /v1/do", a.take)
-	m.HandleFunc("POST /v1/voters", a.change)
-	m.HandleFunc("GET /v1/record", a.record)
-	m.HandleFunc("GET /v1/read", a.read)
-	m.HandleFunc("GET /v1/out", a.out)
-	m.HandleFunc("GET /v1/told", a.told)
-	m.HandleFunc("GET /v1/status", a.status)
-	m.HandleFunc("POST /v1/act", a.act)
-	m.HandleFunc("POST /v1/halt", a.haltHere)
-	return m
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /v1/letters", a.handleLetters)
+	mux.HandleFunc("POST /v1/do", a.handleCommand)
+	mux.HandleFunc("POST /v1/voters", a.handleVoterChange)
+	mux.HandleFunc("GET /v1/record", a.handleRecord)
+	mux.HandleFunc("GET /v1/read", a.handleRead)
+	mux.HandleFunc("GET /v1/out", a.handleOut)
+	mux.HandleFunc("GET /v1/told", a.handleTold)
+	mux.HandleFunc("GET /v1/status", a.handleStatus)
+	mux.HandleFunc("POST /v1/act", a.handleAct)
+	mux.HandleFunc("POST /v1/halt", a.handleHalt)
+	return mux
 }
 
-func say(w http.ResponseWriter, status int, x any) {
-	raw, err := json.Marshal(x)
+func writeJSON(w http.ResponseWriter, status int, body any) {
+	raw, err := json.Marshal(body)
 	if err != nil {
-		status, raw = 500, []byte(`{"why":"not to be written"}`)
+		status, raw = 500, []byte(`{"why":"the answer could not be encoded as JSON"}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_, _ = w.Write(raw)
 }
 
-func refuse(w http.ResponseWriter, status int, why string) { say(w, status, Refusal{Why: why}) }
+func writeRefusal(w http.ResponseWriter, status int, why string) {
+	writeJSON(w, status, Refusal{Why: why})
+}
 
-func (a *Agent) letters(w http.ResponseWriter, r *http.Request) {
-	if a.host == nil {
-		refuse(w, 404, "no voter here")
+// handleLetters takes the messages of another voter.
+func (a *Agent) handleLetters(w http.ResponseWriter, r *http.Request) {
+	if a.voter == nil {
+		writeRefusal(w, 404, "this agent is not a voter")
 		return
 	}
-	if err := a.host.Take(r.Context(), r.Body); err != nil {
-		refuse(w, 400, err.Error())
+	if err := a.voter.Take(r.Context(), r.Body); err != nil {
+		writeRefusal(w, 400, err.Error())
 		return
 	}
 	w.WriteHeader(204)
 }
 
-// leaderAddr is where commands are carried out, "" where this agent knows of nobody.
+// leaderAddr returns the address of the agent whose voter leads, "" where it is not known.
 func (a *Agent) leaderAddr() string {
-	if a.host != nil {
-		if v, _ := a.host.View(); v.Leads {
-			return a.addr
-		} else if v.Leader != 0 {
-			return v.Addrs[v.Leader]
+	if a.voter != nil {
+		if view, _ := a.voter.View(); view.Leads {
+			return a.listenAddr
+		} else if view.Leader != 0 {
+			return view.Addrs[view.Leader]
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.leader == a.addr {
+	if a.lastLeaderAddr == a.listenAddr {
 		return ""
 	}
-	return a.leader
+	return a.lastLeaderAddr
 }
 
-// take carries a command out where this voter leads, and passes it on once where another does. Without a majority it is
-// refused at once, with the reason.
-func (a *Agent) take(w http.ResponseWriter, r *http.Request) {
+// handleCommand carries out a command where this voter leads, and forwards it, over one hop at the most, where another
+// does. Without a majority it refuses at once, with the reason.
+func (a *Agent) handleCommand(w http.ResponseWriter, r *http.Request) {
 	var c fleet.Command
-	if err := json.NewDecoder(io.LimitReader(r.Body, bodyMost)).Decode(&c); err != nil {
-		refuse(w, 400, err.Error())
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&c); err != nil {
+		writeRefusal(w, 400, err.Error())
 		return
 	}
 	if err := c.Check(); err != nil {
-		refuse(w, 400, err.Error())
+		writeRefusal(w, 400, err.Error())
 		return
 	}
 	if c.V < fleet.FormOf(&c) {
-		refuse(w, 400, fmt.Sprintf("%s is of form %d", c.Do, fleet.FormOf(&c)))
+		writeRefusal(w, 400, fmt.Sprintf("command %s needs form %d, got form %d", c.Do, fleet.FormOf(&c), c.V))
 		return
 	}
-	ctx, stop := context.WithTimeout(r.Context(), doMost)
+	ctx, stop := context.WithTimeout(r.Context(), commandTimeout)
 	defer stop()
 	leader := a.leaderAddr()
 	switch {
 	case leader == "":
-		refuse(w, 503, a.alone())
+		writeRefusal(w, 503, a.noLeaderReason())
 		return
-	case leader == a.addr:
-		got, err := a.host.Do(ctx, c)
+	case leader == a.listenAddr:
+		answer, err := a.voter.Do(ctx, c)
 		switch {
 		case err == nil:
-			say(w, 200, got)
+			writeJSON(w, 200, answer)
 		case errors.Is(err, quorum.ErrNotLeader) || errors.Is(err, quorum.ErrNotCounting):
-			refuse(w, 503, err.Error())
+			writeRefusal(w, 503, err.Error())
 		default:
-			refuse(w, 504, "not known: "+err.Error())
+			writeRefusal(w, 504, "outcome unknown: "+err.Error())
 		}
 		return
 	case r.URL.Query().Get("hop") != "":
-		say(w, 503, Refusal{Why: "another voter leads", Leader: leader})
+		writeJSON(w, 503, Refusal{Why: "another voter leads", Leader: leader})
 		return
 	}
-	var got fleet.Answer
-	err := callJSON(ctx, &http.Client{Transport: a.http.Transport}, "POST", "http://"+leader+"/v1/do?hop=1", c, &got)
-	var no *Refusal
+	var answer fleet.Answer
+	err := callJSON(ctx, &http.Client{Transport: a.httpClient.Transport}, "POST", "http://"+leader+"/v1/do?hop=1", c, &answer)
+	var refusal *Refusal
 	switch {
 	case err == nil:
-		say(w, 200, got)
-	case errors.As(err, &no):
-		say(w, no.Status, no)
+		writeJSON(w, 200, answer)
+	case errors.As(err, &refusal):
+		writeJSON(w, refusal.Status, refusal)
 	default:
-		refuse(w, 504, "not known: the leader at "+leader+": "+brief(err))
+		writeRefusal(w, 504, "outcome unknown: call to the leader at "+leader+": "+shortErrorText(err))
 	}
 }
 
-func (a *Agent) alone() string {
-	if a.host != nil {
-		if v, _ := a.host.View(); v.Behind {
+// noLeaderReason says why this agent can't have a command carried out.
+func (a *Agent) noLeaderReason() string {
+	if a.voter != nil {
+		if view, _ := a.voter.View(); view.Behind {
 			return quorum.ErrBehind.Error()
-		} else if !v.Counts {
+		} else if !view.Counts {
 			return quorum.ErrNotCounting.Error()
 		}
 	}
-	return "no majority of the voters is known here: nothing can be changed"
+	return "this agent knows of no leader: without a majority of the voters nothing can be changed"
 }
 
-// change replaces, adds or removes a voter, at the leader.
-func (a *Agent) change(w http.ResponseWriter, r *http.Request) {
-	var v struct {
+// handleVoterChange replaces, adds or removes a voter where this voter leads, and forwards the request where another does.
+func (a *Agent) handleVoterChange(w http.ResponseWriter, r *http.Request) {
+	var change struct {
 		Add    uint64 `json:"add"`
 		Addr   string `json:"addr"`
 		Remove uint64 `json:"remove"`
 	}
-	if err := json.NewDecoder(io.LimitReader(r.Body, bodyMost)).Decode(&v); err != nil || v.Add == 0 && v.Remove == 0 ||
-		v.Add != 0 && !isAddrPort(v.Addr) {
-		refuse(w, 400, "a change of voters names one to add, with its address, or one to remove")
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&change); err != nil || change.Add == 0 && change.Remove == 0 ||
+		change.Add != 0 && !isAddrPort(change.Addr) {
+		writeRefusal(w, 400, "a change of voters needs a voter to add, with an IP address and port, or one to remove")
 		return
 	}
 	leader := a.leaderAddr()
-	ctx, stop := context.WithTimeout(r.Context(), doMost)
+	ctx, stop := context.WithTimeout(r.Context(), commandTimeout)
 	defer stop()
 	switch {
 	case leader == "":
-		refuse(w, 503, a.alone())
-	case leader != a.addr:
-		var ok struct{}
-		err := callJSON(ctx, &http.Client{Transport: a.http.Transport}, "POST", "http://"+leader+"/v1/voters", v, &ok)
-		var no *Refusal
-		if errors.As(err, &no) {
-			say(w, no.Status, no)
+		writeRefusal(w, 503, a.noLeaderReason())
+	case leader != a.listenAddr:
+		var empty struct{}
+		err := callJSON(ctx, &http.Client{Transport: a.httpClient.Transport}, "POST", "http://"+leader+"/v1/voters", change, &empty)
+		var refusal *Refusal
+		if errors.As(err, &refusal) {
+			writeJSON(w, refusal.Status, refusal)
 		} else if err != nil {
-			refuse(w, 504, "not known: "+brief(err))
+			writeRefusal(w, 504, "outcome unknown: "+shortErrorText(err))
 		} else {
-			say(w, 200, ok)
+			writeJSON(w, 200, empty)
 		}
 	default:
-		seen, _ := a.host.View()
-		err := a.host.Voters(ctx, v.Add, v.Addr, v.Remove)
-		if was, there := seen.Addrs[v.Add]; errors.Is(err, quorum.ErrUsed) && !(there && was == v.Addr) { // asked for again
-			refuse(w, 409, err.Error())
+		view, _ := a.voter.View()
+		err := a.voter.Voters(ctx, change.Add, change.Addr, change.Remove)
+		// A request that is sent again after it was carried out succeeds again.
+		if addr, known := view.Addrs[change.Add]; errors.Is(err, quorum.ErrUsed) && !(known && addr == change.Addr) {
+			writeRefusal(w, 409, err.Error())
 			return
 		} else if err != nil && !errors.Is(err, quorum.ErrUsed) {
-			refuse(w, 503, err.Error())
+			writeRefusal(w, 503, err.Error())
 			return
 		}
-		say(w, 200, struct{}{})
+		writeJSON(w, 200, struct{}{})
 	}
 }
 
-// record is what other agents follow. Who leads learns by it who is there.
-func (a *Agent) record(w http.ResponseWriter, r *http.Request) {
-	if a.host == nil {
-		refuse(w, 404, "no voter here")
+// handleRecord answers the long polls by which other agents follow the record. The leader learns from them which agents
+// are alive.
+func (a *Agent) handleRecord(w http.ResponseWriter, r *http.Request) {
+	if a.voter == nil {
+		writeRefusal(w, 404, "this agent is not a voter")
 		return
 	}
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	who, now := r.URL.Query().Get("agent"), a.clock.Now()
-	v, fresh := a.host.View()
-	if v.Leads && who != "" {
+	agentName, now := r.URL.Query().Get("agent"), a.clock.Now()
+	view, viewChanged := a.voter.View()
+	if view.Leads && agentName != "" {
 		a.mu.Lock()
-		a.heard[who] = now
+		a.heardAtMS[agentName] = now
 		a.mu.Unlock()
 	}
-	if v.No <= after && v.Leads {
-		t := time.NewTimer(pollMost)
-		defer t.Stop()
+	if view.No <= after && view.Leads {
+		timer := time.NewTimer(longPollTimeout)
+		defer timer.Stop()
 		select {
-		case <-fresh:
-		case <-t.C:
+		case <-viewChanged:
+		case <-timer.C:
 		case <-r.Context().Done():
 			return
 		}
-		v, _ = a.host.View()
+		view, _ = a.voter.View()
 	}
-	n := news{No: v.No, Leads: v.Leads, Counts: v.Counts}
-	if v.Leads {
-		n.Leader, n.Absent = a.addr, a.gone(v)
-	} else if v.Leader != 0 {
-		n.Leader = v.Addrs[v.Leader]
+	update := recordUpdate{Number: view.No, IsLeader: view.Leads, Counts: view.Counts}
+	if view.Leads {
+		update.LeaderAddr, update.AbsentAgents = a.listenAddr, a.silentAgents(view)
+	} else if view.Leader != 0 {
+		update.LeaderAddr = view.Addrs[view.Leader]
 	}
-	if v.No > after {
-		if old := a.host.Past(after); old != nil && r.URL.Query().Get("changes") != "" {
-			n.Change = a.changes.patch(after, old, v.No, v.Lean)
+	if view.No > after {
+		if base := a.voter.Past(after); base != nil && r.URL.Query().Get("changes") != "" {
+			update.Patch = a.patches.patch(after, base, view.No, view.Lean)
 		}
-		if n.Change != nil {
-		} else if n.Record = v.Lean; who == "" {
-			n.Record = v.Raw
+		// An agent gets the record without the sessions and the audit, which only voters need.
+		if update.Patch != nil {
+		} else if update.Record = view.Lean; agentName == "" {
+			update.Record = view.Raw
 		}
 	}
-	say(w, 200, n)
+	writeJSON(w, 200, update)
 }
 
-// gone lists the agents that the leader has not heard of for long. A new leader waits that long before it misses one.
-func (a *Agent) gone(v quorum.View) (ids []string) {
+// silentAgents returns the agents that have not asked this leader for the record within absentAfterMS. A new leader counts
+// that time from when it came to lead, so that it reports none before.
+func (a *Agent) silentAgents(view quorum.View) (ids []string) {
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, m := range a.rec.Of("agent") {
-		if now > max(a.heard[m.ID], v.LedAt)+goneFor {
+	for _, m := range a.record.Of("agent") {
+		if now > max(a.heardAtMS[m.ID], view.LedAt)+absentAfterMS {
 			ids = append(ids, m.ID)
 		}
 	}
 	return ids
 }
 
-// fresh is the record as new as any answer before this call, within a time.
-func (a *Agent) fresh(ctx context.Context) (*fleet.Record, error) {
-	if a.host != nil {
-		if err := a.host.Read(ctx); err != nil {
+// readRecord makes a linearizable read of the record: the result is at least as new as any that was answered before this
+// call.
+func (a *Agent) readRecord(ctx context.Context) (*fleet.Record, error) {
+	if a.voter != nil {
+		if err := a.voter.Read(ctx); err != nil {
 			return nil, err
 		}
-		v, _ := a.host.View()
-		r := fleet.NewRecord()
-		return r, r.Restore(v.Raw)
+		view, _ := a.voter.View()
+		record := fleet.NewRecord()
+		return record, record.Restore(view.Raw)
 	}
 	a.mu.Lock()
-	addrs := a.voters()
+	addrs := a.voterAddrs()
 	a.mu.Unlock()
 	var raw json.RawMessage
-	if err := (&Caller{HTTP: a.http, Addrs: addrs}).Get(ctx, "/v1/read", &raw); err != nil {
+	if err := (&Caller{HTTP: a.httpClient, Addrs: addrs}).Get(ctx, "/v1/read", &raw); err != nil {
 		return nil, err
 	}
-	r := fleet.NewRecord()
-	return r, r.Restore(raw)
+	record := fleet.NewRecord()
+	return record, record.Restore(raw)
 }
 
-func (a *Agent) read(w http.ResponseWriter, r *http.Request) {
-	ctx, stop := context.WithTimeout(r.Context(), callMost)
+// handleRead answers with the record by a linearizable read.
+func (a *Agent) handleRead(w http.ResponseWriter, r *http.Request) {
+	ctx, stop := context.WithTimeout(r.Context(), callTimeout)
 	defer stop()
-	rec, err := a.fresh(ctx)
+	record, err := a.readRecord(ctx)
 	if err != nil {
-		refuse(w, 503, "the record can't be read for sure: "+err.Error())
+		writeRefusal(w, 503, "linearizable read of the record failed: "+err.Error())
 		return
 	}
-	say(w, 200, rec)
+	writeJSON(w, 200, record)
 }
 
-// out tells a scheduler that starts who is out. Where the record can't be read for sure it is told what was last heard:
-// that is better than nothing, and its owner tells it anew.
-func (a *Agent) out(w http.ResponseWriter, r *http.Request) {
-	ctx, stop := context.WithTimeout(r.Context(), callMost/2) // the scheduler goes on without after two seconds
+// handleOut tells a scheduler that starts which workers are out. Where a linearizable read fails, the answer is taken from
+// the record that this agent last received and marked as stale: that is better than no answer, and the owner of each zone
+// tells the scheduler again.
+func (a *Agent) handleOut(w http.ResponseWriter, r *http.Request) {
+	ctx, stop := context.WithTimeout(r.Context(), callTimeout/2) // a starting scheduler waits 2 s for the answer, then goes on without
 	defer stop()
-	rec, err := a.fresh(ctx)
+	record, err := a.readRecord(ctx)
 	if err != nil {
 		a.mu.Lock()
-		rec = a.rec
+		record = a.record
 		a.mu.Unlock()
-		a.log.Warn("a scheduler is told what was last heard", "scheduler", r.URL.Query().Get("scheduler"), "no", rec.No, "err", err)
+		a.log.Warn("linearizable read failed; a starting scheduler gets the last received record", "scheduler", r.URL.Query().Get("scheduler"), "no", record.No, "err", err)
 	}
-	k := struct {
+	answer := struct {
 		No     uint64            `json:"no"`
 		Stale  bool              `json:"stale,omitempty"`
 		Fences map[string]uint64 `json:"fences"`
-		Out    map[string]string `json:"out"`
-	}{rec.No, err != nil, map[string]uint64{}, map[string]string{}}
-	for name, m := range rec.Matters {
-		k.Fences[name] = m.Fence
+		Out    map[string]string `json:"out"` // worker to the lease on its zone
+	}{record.No, err != nil, map[string]uint64{}, map[string]string{}}
+	for name, m := range record.Matters {
+		answer.Fences[name] = m.Fence
 	}
-	for _, id := range rec.OutIn("") {
-		k.Out[id] = fleet.MatterOf(rec.Workers[id].Zone)
+	for _, id := range record.OutIn("") {
+		answer.Out[id] = fleet.MatterOf(record.Workers[id].Zone)
 	}
-	say(w, 200, k)
+	writeJSON(w, 200, answer)
 }
 
-// told is how schedulers stand to what is intended for a worker, by its owner.
-func (a *Agent) told(w http.ResponseWriter, r *http.Request) {
+// handleTold answers which schedulers have confirmed what is intended for a worker. Only the owner of the worker's zone
+// knows it: any other agent forwards the request to the owner, over one hop at the most.
+func (a *Agent) handleTold(w http.ResponseWriter, r *http.Request) {
 	worker := r.URL.Query().Get("worker")
 	a.mu.Lock()
-	rec := a.rec
-	intent, known := rec.Workers[worker]
+	record := a.record
+	intent, known := record.Workers[worker]
 	name := fleet.MatterOf(intent.Zone)
-	c := a.has[name]
-	if c != nil && c.teller != nil && c.hold.Holds(a.clock.Now()) {
-		c.teller.Follow(a.clock.Now(), rec, c.zone)
-		t := Told{name, a.owner, c.hold.Fence, intent, c.teller.Told(worker)}
+	owned := a.ownedLeases[name]
+	if owned != nil && owned.notifier != nil && owned.lease.Holds(a.clock.Now()) {
+		owned.notifier.Follow(a.clock.Now(), record, owned.zone)
+		told := Told{name, a.ownerID, owned.lease.Fence, intent, owned.notifier.Told(worker)}
 		a.mu.Unlock()
-		say(w, 200, t)
+		writeJSON(w, 200, told)
 		return
 	}
-	owner := fleet.AgentOf(rec.Matters[name].Owner)
-	addr := rec.Members[owner].Addr
+	owner := fleet.AgentOf(record.Matters[name].Owner)
+	addr := record.Members[owner].Addr
 	a.mu.Unlock()
 	switch {
 	case !known:
-		refuse(w, 404, "no such worker on record, as far as this agent has heard")
-	case owner == "" || owner == a.file.Name || addr == "" || r.URL.Query().Get("hop") != "":
-		refuse(w, 503, "nobody owns "+name+" as far as this agent has heard")
+		writeRefusal(w, 404, "no such worker in the record that this agent last received")
+	case owner == "" || owner == a.config.Name || addr == "" || r.URL.Query().Get("hop") != "":
+		writeRefusal(w, 503, "no agent holds the lease "+name+" as far as this agent knows")
 	default:
-		var t Told
-		if err := callJSON(r.Context(), a.http, "GET", fmt.Sprintf("http://%s/v1/told?hop=1&worker=%s", addr, url.QueryEscape(worker)),
-			nil, &t); err != nil {
-			refuse(w, 503, "its owner "+owner+" does not answer: "+brief(err))
+		var told Told
+		if err := callJSON(r.Context(), a.httpClient, "GET", fmt.Sprintf("http://%s/v1/told?hop=1&worker=%s", addr, url.QueryEscape(worker)),
+			nil, &told); err != nil {
+			writeRefusal(w, 503, "owner "+owner+" of the lease "+name+" does not answer: "+shortErrorText(err))
 			return
 		}
-		say(w, 200, t)
+		writeJSON(w, 200, told)
 	}
 }
 
-func (a *Agent) status(w http.ResponseWriter, _ *http.Request) {
+// handleStatus answers with this agent's Status.
+func (a *Agent) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	now := a.clock.Now()
-	s := Status{Name: a.file.Name, Owner: a.owner, Zone: a.file.Zone, Holds: map[string]uint64{}, Leader: a.leaderAddr()}
-	if a.host != nil {
-		v, _ := a.host.View()
-		s.Voter, s.Counts, s.Behind, s.Leads = a.host.ID, v.Counts, v.Behind, v.Leads
-		s.Syncs, s.Bytes, s.Sent = v.Syncs, v.Bytes, a.host.Traffic()
+	status := Status{Name: a.config.Name, Owner: a.ownerID, Zone: a.config.Zone, Holds: map[string]uint64{}, Leader: a.leaderAddr()}
+	if a.voter != nil {
+		view, _ := a.voter.View()
+		status.Voter, status.Counts, status.Behind, status.Leads = a.voter.ID, view.Counts, view.Behind, view.Leads
+		status.Syncs, status.Bytes, status.Sent = view.Syncs, view.Bytes, a.voter.Traffic()
 	}
-	s.Runs, s.Halts = a.runs.list()
+	status.Runs, status.Halts = a.supervisor.status()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s.No = a.rec.No
-	for name, c := range a.has {
-		if c.hold.Holds(now) {
-			s.Holds[name] = c.hold.Fence
+	status.No = a.record.No
+	for name, owned := range a.ownedLeases {
+		if owned.lease.Holds(now) {
+			status.Holds[name] = owned.lease.Fence
 		}
 	}
-	say(w, 200, s)
+	writeJSON(w, 200, status)
 }
--- a/agent/runs.go
+++ b/agent/runs.go
@@ -25,904 +25,937 @@
 	"shalebeam/quorum"
 )
 
-// The processes of this machine's schedulers, and what operations have begun here. Processes outlive the agent: a later one
-// finds them by their environment and goes on with them.
+// The processes of this machine's schedulers, and the steps of operations that were begun here. The processes outlive the
+// agent: after a restart it finds them by their environment and manages them again.
 
 const (
-	runsName    = "runs"
-	runMark     = "BEAM_RUN" // in a process's environment: data folder, scheduler, place, step
-	commandMost = 30 * time.Minute
-	tidyEach    = 5 * time.Second
+	stateFile            = "runs"     // in the data folder
+	processMarkerEnv     = "BEAM_RUN" // environment variable of a process: data folder, scheduler, slot and step, with | between them
+	workerCommandTimeout = 30 * time.Minute
+	cleanUpInterval      = 5 * time.Second
+	reconcileRetryDelay  = 300 * time.Millisecond
+	minShutdownMS        = 3000.0 // a scheduler drains for up to this long, where no scheme's expiry is longer
+	shutdownMarginMS     = 1000.0 // for a process to end after its drain or its longest txn
+	maxHaltRequestBytes  = 4 << 10
+	maxHaltTextBytes     = 1000 // of a halt's of, by and why together
 )
 
-// Running is how one scheduler's processes stand, for status.
+// Running is the state of one scheduler's processes, for Status.
 type Running struct {
 	ID      string   `json:"id"`
-	State   string   `json:"state"` // done (as wanted), going, failed
+	State   string   `json:"state"` // done (as wanted), going (under way), failed
 	Why     string   `json:"why,omitempty"`
-	Run     bool     `json:"run"` // whether it is meant to run; a new name is not before the record gives it to this agent
-	Step    uint64   `json:"step"`
+	Run     bool     `json:"run"`  // whether it should run; false for a new name until the record gives it to this agent
+	Step    uint64   `json:"step"` // the step of an operation that last changed what should run, 0 for none
 	Pids    []int    `json:"pids,omitempty"`
-	Addr    string   `json:"addr"`
-	Program string   `json:"program"` // digests
-	Config  string   `json:"config"`
-	Former  []string `json:"former,omitempty"` // operations whose former version is kept
+	Addr    string   `json:"addr"`             // management address of the process that serves
+	Program string   `json:"program"`          // sha256 of the program of that step
+	Config  string   `json:"config"`           // sha256 of its configuration
+	Former  []string `json:"former,omitempty"` // operations whose former version is stored, to go back to
 }
 
-// pair is a program and a configuration, by what they hold.
-type pair struct {
+// storedVersion is a program and a configuration, each named by the sha256 of its content.
+type storedVersion struct {
 	Program string `json:"program"`
 	Config  string `json:"config"`
 }
 
-// kept stands on disk.
-type kept struct {
-	Doer *fleet.Doer     `json:"doer"`
-	Runs map[string]*ran `json:"runs"`
-}
-
-type ran struct {
-	Run    bool            `json:"run"`
-	New    bool            `json:"new,omitempty"` // nothing of it was started: another agent may run one of that name
-	Gen    uint64          `json:"gen"`
-	Good   uint64          `json:"good"`
-	Pairs  map[uint64]pair `json:"pairs"`  // by step
-	Former map[string]pair `json:"former"` // what ran before an operation that is not closed
-}
-
-type runs struct {
-	a       *Agent
-	disk    quorum.Disk
-	data    string
-	mu      sync.Mutex
-	kept    kept
-	unkept  bool // the disk has yet to take what changed last
-	all     map[string]*runner
-	tidied  time.Time
-	http    *http.Client    // to this machine's own processes
-	agreed  bool            // the record was read since the start
-	touched map[string]bool // schedulers of which a step was begun since the start
-	moved   chan struct{}   // closed, and another made, when processes may have moved on
-}
-
-type runner struct {
+// persistedState is the content of the state file.
+type persistedState struct {
+	Doer       *fleet.Doer                `json:"doer"` // the steps that were begun, and the halts that were ordered here
+	Schedulers map[string]*schedulerState `json:"runs"` // by id
+}
+
+// schedulerState is what is saved of one scheduler. Steps are named by the number of the command that set them, 0 for the
+// version that the agent began with.
+type schedulerState struct {
+	ShouldRun      bool                     `json:"run"`
+	NeverStarted   bool                     `json:"new,omitempty"` // not started before the record gives its name to this agent: another agent may run one of that name
+	WantedStep     uint64                   `json:"gen"`
+	ReadyStep      uint64                   `json:"good"`   // the last step whose process was ready
+	Versions       map[uint64]storedVersion `json:"pairs"`  // by step
+	FormerVersions map[string]storedVersion `json:"former"` // by operation that is not closed: what ran before it
+}
+
+// supervisor starts and stops the processes of this machine's schedulers, runs the site's commands for its workers, and
+// saves which steps of operations were begun here.
+type supervisor struct {
+	agent        *Agent
+	disk         quorum.Disk // nil where the agent has no data folder
+	dataDir      string      // absolute path
+	mu           sync.Mutex
+	state        persistedState
+	saveFailed   bool // the last change of state is not on disk yet
+	schedulers   map[string]*managedScheduler
+	cleanedUpAt  time.Time
+	httpClient   *http.Client    // for this machine's own processes
+	reconciled   bool            // the record was read since the start, see reconcile
+	stepBegun    map[string]bool // schedulers of which a step was begun since the start
+	stateChanged chan struct{}   // closed, and replaced, after each pass of work
+}
+
+// managedScheduler is a scheduler that the agent runs. It has two slots for processes, each with its own management
+// address, so that one process can take over from the other in an upgrade.
+type managedScheduler struct {
 	Local
-	minder fleet.Minder
-	procs  [2]*process
-	probes [2]bool
-	place  int // whose second address was told last
+	lifecycle      fleet.Minder // decides when processes are started and stopped
+	processes      [2]*process  // by slot
+	probing        [2]bool      // by slot: a readiness check is in flight
+	lastServedSlot int
 }
 
-// at is the second address of the process that serves, or of the last one that did.
-func (x *runner) at() string {
-	if slot, ok := x.minder.Serves(); ok {
-		x.place = slot
+// servingAddr returns the management address of the process that serves, or of the last one that did.
+func (m *managedScheduler) servingAddr() string {
+	if slot, ok := m.lifecycle.Serves(); ok {
+		m.lastServedSlot = slot
 	}
-	if x.place == 1 {
-		return x.Beside
+	if m.lastServedSlot == 1 {
+		return m.Beside
 	}
-	return x.Addr
+	return m.Addr
 }
 
 type process struct {
-	pid   int
-	ticks string        // when it began, by the system: a pid comes again
-	gone  chan struct{} // closed once it has ended, of our own children
+	pid        int
+	startTicks string        // start time in /proc: tells the process from a later one with the same pid
+	exited     chan struct{} // closed once the process has ended; nil where it is not a child of this agent
 }
 
-func (p *process) ended() bool {
-	if p.gone != nil {
+func (p *process) hasEnded() bool {
+	if p.exited != nil {
 		select {
-		case <-p.gone:
+		case <-p.exited:
 			return true
 		default:
 			return false
 		}
 	}
-	ticks, state := born(p.pid)
-	return ticks != p.ticks || state == "Z"
+	startTicks, state := readProcessStat(p.pid)
+	return startTicks != p.startTicks || state == "Z"
 }
 
-// born is when a process began and in what state it is, "" where there is none.
-func born(pid int) (ticks, state string) {
+// readProcessStat returns when a process was started, in clock ticks since boot, and its state letter from /proc; both are
+// "" where there is no such process.
+func readProcessStat(pid int) (startTicks, state string) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return "", ""
 	}
-	_, rest, _ := strings.Cut(string(raw), ") ") // a name may have blanks in it
-	f := strings.Fields(rest)
-	if len(f) < 20 {
+	_, rest, _ := strings.Cut(string(raw), ") ") // the program's name before it may contain spaces
+	fields := strings.Fields(rest)
+	if len(fields) < 20 {
 		return "", ""
 	}
-	return f[19], f[0]
+	return fields[19], fields[0]
 }
 
-func newRuns(a *Agent, disk quorum.Disk) (*runs, error) {
-	r := &runs{a: a, disk: disk, all: map[string]*runner{}, kept: kept{fleet.NewDoer(a.start), map[string]*ran{}}, http: NewHTTP(nil, callMost), touched: map[string]bool{},
-		moved: make(chan struct{})}
+func newSupervisor(a *Agent, disk quorum.Disk) (*supervisor, error) {
+	s := &supervisor{agent: a, disk: disk, schedulers: map[string]*managedScheduler{}, state: persistedState{fleet.NewDoer(a.startID), map[string]*schedulerState{}}, httpClient: NewHTTP(nil, callTimeout), stepBegun: map[string]bool{},
+		stateChanged: make(chan struct{})}
 	if disk == nil {
-		r.agreed = true // it runs nothing
-		return r, nil
+		s.reconciled = true // it runs nothing
+		return s, nil
 	}
 	var err error
-	if r.data, err = filepath.Abs(a.file.Data); err != nil {
+	if s.dataDir, err = filepath.Abs(a.config.Data); err != nil {
 		return nil, err
 	}
-	switch raw, err := disk.Read(runsName); {
+	switch raw, err := disk.Read(stateFile); {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
 		return nil, err
 	default:
-		if err := json.Unmarshal(raw, &r.kept); err != nil {
-			return nil, fmt.Errorf("%s: %w", runsName, err)
+		if err := json.Unmarshal(raw, &s.state); err != nil {
+			return nil, fmt.Errorf("%s: %w", stateFile, err)
 		}
 	}
-	r.kept.Doer.Start, r.kept.Doer.Bug = a.start, a.bug
-	for id, n := range r.kept.Doer.Notes {
-		if n.Call == "command" && n.State == "going" {
-			n.State, n.Why = "unknown", "this agent ended while the command ran"
-			r.kept.Doer.Notes[id] = n
+	s.state.Doer.Start, s.state.Doer.Bug = a.startID, a.injectedFault
+	for id, note := range s.state.Doer.Notes {
+		if note.Call == "command" && note.State == "going" {
+			note.State, note.Why = "unknown", "this agent ended while the command ran"
+			s.state.Doer.Notes[id] = note
 		}
 	}
 	now := a.clock.Now()
-	for _, l := range a.file.Scheduler {
-		if l.Program == "" {
+	for _, local := range a.config.Scheduler {
+		if local.Program == "" {
 			continue
 		}
-		x := &runner{Local: l}
-		x.minder.ReadyMost = float64(time.Duration(a.file.ReadyMost).Milliseconds())
-		if x.minder.KillAfter, err = expiry(l.Config); err != nil {
-			return nil, fmt.Errorf("scheduler %s: %w", l.ID, err)
+		scheduler := &managedScheduler{Local: local}
+		scheduler.lifecycle.ReadyMost = float64(time.Duration(a.config.ReadyMost).Milliseconds())
+		if scheduler.lifecycle.KillAfter, err = shutdownTimeoutMS(local.Config); err != nil {
+			return nil, fmt.Errorf("scheduler %s: %w", local.ID, err)
 		}
-		k := r.kept.Runs[l.ID]
-		if k == nil {
-			p, err := r.load(l.Program, l.Config)
+		state := s.state.Schedulers[local.ID]
+		if state == nil {
+			version, err := s.storeVersion(local.Program, local.Config)
 			if err != nil {
-				return nil, fmt.Errorf("scheduler %s: %w", l.ID, err)
+				return nil, fmt.Errorf("scheduler %s: %w", local.ID, err)
 			}
-			k = &ran{Run: true, New: true, Pairs: map[uint64]pair{0: p}, Former: map[string]pair{}}
-			r.kept.Runs[l.ID] = k
+			state = &schedulerState{ShouldRun: true, NeverStarted: true, Versions: map[uint64]storedVersion{0: version}, FormerVersions: map[string]storedVersion{}}
+			s.state.Schedulers[local.ID] = state
 		}
-		r.all[l.ID] = x
+		s.schedulers[local.ID] = scheduler
 	}
-	if len(r.all) == 0 {
-		r.agreed = true
-		return r, nil
+	if len(s.schedulers) == 0 {
+		s.reconciled = true
+		return s, nil
 	}
-	r.adopt(now)
-	return r, r.keep()
+	s.adoptProcesses(now)
+	return s, s.save()
 }
 
-// agree sets what runs by the record, once that was read for sure: this agent's notes may be of an older disk, and a
-// scheduler that it then ended, or left down, nobody would count.
-func (r *runs) agree(ctx context.Context) {
-	for ctx.Err() == nil && !r.agreed {
-		within, stop := context.WithTimeout(ctx, callMost)
-		rec, err := r.a.fresh(within)
+// reconcile sets whether each scheduler should run by the first linearizable read of the record since the start. The state
+// file may come from an older disk: a scheduler that was stopped, or left down, by such a file would be out without a
+// permit, and nobody would count it as out.
+func (s *supervisor) reconcile(ctx context.Context) {
+	for ctx.Err() == nil && !s.reconciled {
+		readCtx, stop := context.WithTimeout(ctx, callTimeout)
+		record, err := s.agent.readRecord(readCtx)
 		stop()
-		if err != nil || rec.No == 0 {
+		if err != nil || record.No == 0 {
 			select {
 			case <-ctx.Done():
-			case <-time.After(300 * time.Millisecond):
+			case <-time.After(reconcileRetryDelay):
 			}
 			continue
 		}
-		r.mu.Lock()
-		for id, x := range r.all {
-			k := r.kept.Runs[id]
-			run := rec.ShouldRun(id, k.Run)
-			if of := rec.Members[id].Agent; of != "" && of != r.a.file.Name {
-				run = false // a name that was started twice
+		s.mu.Lock()
+		for id, scheduler := range s.schedulers {
+			state := s.state.Schedulers[id]
+			shouldRun := record.ShouldRun(id, state.ShouldRun)
+			if runningAgent := record.Members[id].Agent; runningAgent != "" && runningAgent != s.agent.config.Name {
+				shouldRun = false // another agent runs a scheduler of this name
 			}
-			if r.touched[id] || run == k.Run {
+			if s.stepBegun[id] || shouldRun == state.ShouldRun {
 				continue
 			}
-			r.a.log.Warn("the record has it otherwise", "scheduler", id, "run", run)
-			k.Run = run
-			x.minder.Wants(r.a.clock.Now(), k.Run, k.Gen)
+			s.agent.log.Warn("record overrides the saved state", "scheduler", id, "run", shouldRun)
+			state.ShouldRun = shouldRun
+			scheduler.lifecycle.Wants(s.agent.clock.Now(), state.ShouldRun, state.WantedStep)
 		}
-		r.agreed = true
-		r.mustKeep()
-		r.mu.Unlock()
+		s.reconciled = true
+		s.saveOrLog()
+		s.mu.Unlock()
 	}
 }
 
-// expiry is how long a process may need to end, in ms: its longest txn, and its own planned stop.
-func expiry(config string) (float64, error) {
-	raw, err := os.ReadFile(config)
+// shutdownTimeoutMS returns how long a process with this configuration may need to end after SIGTERM: as long as its
+// longest txn may be open or its drain may take, and a margin.
+func shutdownTimeoutMS(configPath string) (float64, error) {
+	raw, err := os.ReadFile(configPath)
 	if err != nil {
 		return 0, err
 	}
-	var c struct {
+	// The JSON keys are the field names.
+	var config struct {
 		Mgmt     string
 		Settings struct {
-			Schemes []struct{ Expiry float64 }
+			Schemes []struct{ Expiry float64 } // in µs
 		}
 	}
-	if err := json.Unmarshal(raw, &c); err != nil {
-		return 0, fmt.Errorf("%s: %w", config, err)
+	if err := json.Unmarshal(raw, &config); err != nil {
+		return 0, fmt.Errorf("%s: %w", configPath, err)
 	}
-	if c.Mgmt != "" {
-		return 0, fmt.Errorf("%s: mgmt is named there; the agent names it to each process", config)
+	if config.Mgmt != "" {
+		return 0, fmt.Errorf("%s: mgmt must not be set: the agent sets it for each process", configPath)
 	}
-	most := 3000.0
-	for _, s := range c.Settings.Schemes {
-		most = max(most, s.Expiry/1000)
+	longest := minShutdownMS
+	for _, scheme := range config.Settings.Schemes {
+		longest = max(longest, scheme.Expiry/1000)
 	}
-	return most + 1000, nil
+	return longest + shutdownMarginMS, nil
 }
 
-// adopt finds the processes that a former life of this agent left.
-func (r *runs) adopt(now float64) {
-	type left struct {
-		slot int
-		gen  uint64
-		of   pair
+// adoptProcesses finds the processes that were started before this agent's start, by their environment in /proc.
+func (s *supervisor) adoptProcesses(now float64) {
+	type foundProcess struct {
+		slot    int
+		step    uint64
+		version storedVersion
 	}
-	found := map[string][]left{}
-	dirs, _ := filepath.Glob("/proc/[0-9]*/environ")
-	for _, path := range dirs {
+	found := map[string][]foundProcess{}
+	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
+	for _, path := range paths {
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			continue
 		}
 		for _, env := range strings.Split(string(raw), "\x00") {
-			text, ok := strings.CutPrefix(env, runMark+"="+r.data+"|")
+			text, ok := strings.CutPrefix(env, processMarkerEnv+"="+s.dataDir+"|")
 			if !ok {
 				continue
 			}
-			part := strings.Split(text, "|")
+			parts := strings.Split(text, "|")
 			pid, err := strconv.Atoi(filepath.Base(filepath.Dir(path)))
-			if len(part) != 3 || err != nil || r.all[part[0]] == nil {
+			if len(parts) != 3 || err != nil || s.schedulers[parts[0]] == nil {
 				continue
 			}
-			slot, e1 := strconv.Atoi(part[1])
-			gen, e2 := strconv.ParseUint(part[2], 10, 64)
-			x := r.all[part[0]]
-			ticks, state := born(pid)
-			if e1 != nil || e2 != nil || slot < 0 || slot > 1 || x.procs[slot] != nil || ticks == "" || state == "Z" {
+			slot, slotErr := strconv.Atoi(parts[1])
+			step, stepErr := strconv.ParseUint(parts[2], 10, 64)
+			scheduler := s.schedulers[parts[0]]
+			startTicks, state := readProcessStat(pid)
+			if slotErr != nil || stepErr != nil || slot < 0 || slot > 1 || scheduler.processes[slot] != nil || startTicks == "" || state == "Z" {
 				continue
 			}
-			x.procs[slot] = &process{pid: pid, ticks: ticks}
-			found[x.ID] = append(found[x.ID], left{slot, gen, pairOf(pid, string(raw))})
-			r.a.log.Info("adopted", "scheduler", x.ID, "pid", pid, "place", slot, "step", gen)
+			scheduler.processes[slot] = &process{pid: pid, startTicks: startTicks}
+			found[scheduler.ID] = append(found[scheduler.ID], foundProcess{slot, step, runningVersion(pid, string(raw))})
+			s.agent.log.Info("adopted", "scheduler", scheduler.ID, "pid", pid, "place", slot, "step", step)
 		}
 	}
-	for id, x := range r.all {
-		k, all := r.kept.Runs[id], found[id]
-		slices.SortFunc(all, func(a, b left) int { return cmp.Compare(a.gen, b.gen) })
-		serves := true
-		if n := len(all); n > 0 && !slices.ContainsFunc(all, func(l left) bool { return l.gen == k.Gen }) {
-			// Notes of an older disk: what runs is what was last wanted, and ended as unknown nothing would serve. Of two the
-			// older one serves; whether a single one does has to be seen: taken to, one that never was ready stayed for ever.
-			k.Gen, k.Good, serves = all[n-1].gen, all[0].gen, n > 1
-			r.a.log.Warn("what runs is not what was noted", "scheduler", id, "step", k.Gen)
+	for id, scheduler := range s.schedulers {
+		state, processes := s.state.Schedulers[id], found[id]
+		slices.SortFunc(processes, func(a, b foundProcess) int { return cmp.Compare(a.step, b.step) })
+		readyStepServes := true
+		if n := len(processes); n > 0 && !slices.ContainsFunc(processes, func(p foundProcess) bool { return p.step == state.WantedStep }) {
+			// The state file comes from an older disk. The newest running process is then taken for the wanted one: were the
+			// processes stopped as unknown ones, none would serve. Of two the older one is taken to be ready. A single one has
+			// to pass a readiness check first: taken to be ready unchecked, one that never becomes ready would stay for ever.
+			state.WantedStep, state.ReadyStep, readyStepServes = processes[n-1].step, processes[0].step, n > 1
+			s.agent.log.Warn("running processes are not of the step in the saved state", "scheduler", id, "step", state.WantedStep)
 		}
-		for _, l := range all {
-			k.Run, k.New, k.Pairs[l.gen] = true, false, l.of // till the record says otherwise
+		for _, p := range processes {
+			state.ShouldRun, state.NeverStarted, state.Versions[p.step] = true, false, p.version // until reconcile has read the record
 		}
-		x.minder.Good(k.Good)
-		x.minder.Wants(now, k.Run, k.Gen)
-		for _, l := range all {
-			// The one that was known to serve is taken to serve.
-			ready := l.gen == k.Good && serves
-			x.minder.Adopt(fleet.Proc{Slot: l.slot, Gen: l.gen, Since: now, Ready: ready})
+		scheduler.lifecycle.Good(state.ReadyStep)
+		scheduler.lifecycle.Wants(now, state.ShouldRun, state.WantedStep)
+		for _, p := range processes {
+			// The process of the step that was last known to be ready is taken to be ready.
+			ready := p.step == state.ReadyStep && readyStepServes
+			scheduler.lifecycle.Adopt(fleet.Proc{Slot: p.slot, Gen: p.step, Since: now, Ready: ready})
 		}
 	}
 }
 
-// pairOf is what a process runs, by what the system says of it.
-func pairOf(pid int, environ string) (p pair) {
-	exe, _ := os.Readlink(fmt.Sprintf("/proc/%d/exe", pid))
-	p.Program = strings.TrimSuffix(filepath.Base(exe), " (deleted)")
+// runningVersion returns the version that a process runs, by its executable's path and its environment.
+func runningVersion(pid int, environ string) (version storedVersion) {
+	executable, _ := os.Readlink(fmt.Sprintf("/proc/%d/exe", pid))
+	version.Program = strings.TrimSuffix(filepath.Base(executable), " (deleted)")
 	for _, env := range strings.Split(environ, "\x00") {
 		if path, ok := strings.CutPrefix(env, "BALANCER_CONFIG="); ok {
-			p.Config = filepath.Base(path)
+			version.Config = filepath.Base(path)
 		}
 	}
-	return p
+	return version
 }
 
-// keep writes what must not be forgotten, and returns once it is. Where that fails it is tried again at the next step.
-func (r *runs) keep() error {
-	if r.disk == nil {
+// save writes the state file and returns once it is on disk. After a failure the next pass of work saves again. The caller
+// holds s.mu.
+func (s *supervisor) save() error {
+	if s.disk == nil {
 		return errors.New("this agent has no data folder")
 	}
-	err := r.write()
-	r.unkept = err != nil
+	err := s.writeState()
+	s.saveFailed = err != nil
 	return err
 }
 
-func (r *runs) write() error {
-	raw, err := json.Marshal(&r.kept)
+func (s *supervisor) writeState() error {
+	raw, err := json.Marshal(&s.state)
 	if err != nil {
 		return err
 	}
-	f, err := r.disk.Create(runsName + ".new")
+	file, err := s.disk.Create(stateFile + ".new")
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(raw)
+	_, err = file.Write(raw)
 	if err == nil {
-		err = f.Sync()
+		err = file.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = r.disk.Rename(runsName+".new", runsName)
+		err = s.disk.Rename(stateFile+".new", stateFile)
 	}
 	return err
 }
 
-func digest(raw []byte) string {
+func hexSHA256(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
 }
 
-func (r *runs) stored(digest string) string { return filepath.Join(r.data, "store", digest) }
+// storePath returns the path of the stored file with this sha256.
+func (s *supervisor) storePath(digest string) string {
+	return filepath.Join(s.dataDir, "store", digest)
+}
 
-// load keeps a program and a configuration by what they hold.
-func (r *runs) load(program, config string) (p pair, err error) {
-	if p.Program, err = r.store(program, 0o700); err == nil {
-		p.Config, err = r.store(config, 0o600)
+// storeVersion copies a program and its configuration into the store.
+func (s *supervisor) storeVersion(program, config string) (version storedVersion, err error) {
+	if version.Program, err = s.storeFile(program, 0o700); err == nil {
+		version.Config, err = s.storeFile(config, 0o600)
 	}
-	return p, err
+	return version, err
 }
 
-func (r *runs) store(path string, mode os.FileMode) (string, error) {
+// storeFile copies a file into the store, where it is not there yet, and returns its sha256.
+func (s *supervisor) storeFile(path string, mode os.FileMode) (string, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return "", err
 	}
-	name := digest(raw)
-	if r.whole(name) == nil {
-		return name, nil
+	digest := hexSHA256(raw)
+	if s.verifyStored(digest) == nil {
+		return digest, nil
 	}
-	if err := os.MkdirAll(filepath.Join(r.data, "store"), 0o700); err != nil {
+	if err := os.MkdirAll(filepath.Join(s.dataDir, "store"), 0o700); err != nil {
 		return "", err
 	}
-	tmp := r.stored(name) + ".new"
-	f, err := os.OpenFile(tmp, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, mode)
+	tmp := s.storePath(digest) + ".new"
+	file, err := os.OpenFile(tmp, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, mode)
 	if err != nil {
 		return "", err
 	}
-	_, err = f.Write(raw)
+	_, err = file.Write(raw)
 	if err == nil {
-		err = f.Sync()
+		err = file.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(tmp, r.stored(name))
+		err = os.Rename(tmp, s.storePath(digest))
 	}
-	return name, err
+	return digest, err
 }
 
-// whole tells whether what is kept under a digest still is what it names.
-func (r *runs) whole(name string) error {
-	raw, err := os.ReadFile(r.stored(name))
-	if err == nil && digest(raw) != name {
-		err = fmt.Errorf("what is kept as %s is something else by now", name)
+// verifyStored returns an error where the stored file with this sha256 can't be read or has another content.
+func (s *supervisor) verifyStored(digest string) error {
+	raw, err := os.ReadFile(s.storePath(digest))
+	if err == nil && hexSHA256(raw) != digest {
+		err = fmt.Errorf("stored file %s is corrupt: its sha256 is %s", digest, hexSHA256(raw))
 	}
 	return err
 }
 
-// addr is where a scheduler takes calls of the fleet now.
-func (r *runs) addr(id string) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.all[id].at()
+// addr returns the management address at which a scheduler takes calls of the fleet now.
+func (s *supervisor) addr(id string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.schedulers[id].servingAddr()
 }
 
-// holds tells whether a worker that an operation has out may not be told of now: a halt was told here.
-func (r *runs) holds(rec *fleet.Record, w fleet.Intent) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.kept.Doer.Holds(rec, w)
+// isHeldBack reports whether schedulers may not be told now that a worker is out for an operation, because a halt that was
+// ordered here covers it.
+func (s *supervisor) isHeldBack(record *fleet.Record, intent fleet.Intent) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state.Doer.Holds(record, intent)
 }
 
-func (r *runs) list() (all []Running, halts []fleet.Halt) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, l := range r.a.file.Scheduler {
-		x := r.all[l.ID]
-		if x == nil {
+// status returns the state of the schedulers that the agent runs, and the halts that were ordered here.
+func (s *supervisor) status() (schedulers []Running, halts []fleet.Halt) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, local := range s.agent.config.Scheduler {
+		scheduler := s.schedulers[local.ID]
+		if scheduler == nil {
 			continue
 		}
-		k := r.kept.Runs[l.ID]
-		s := Running{ID: l.ID, Run: k.Run && !k.New, Step: k.Gen, Addr: x.at(), Program: k.Pairs[k.Gen].Program, Config: k.Pairs[k.Gen].Config}
-		s.State, s.Why = x.minder.State()
-		for _, p := range x.procs {
+		state := s.state.Schedulers[local.ID]
+		running := Running{ID: local.ID, Run: state.ShouldRun && !state.NeverStarted, Step: state.WantedStep, Addr: scheduler.servingAddr(), Program: state.Versions[state.WantedStep].Program, Config: state.Versions[state.WantedStep].Config}
+		running.State, running.Why = scheduler.lifecycle.State()
+		for _, p := range scheduler.processes {
 			if p != nil {
-				s.Pids = append(s.Pids, p.pid)
+				running.Pids = append(running.Pids, p.pid)
 			}
 		}
-		for op := range k.Former {
-			s.Former = append(s.Former, op)
+		for op := range state.FormerVersions {
+			running.Former = append(running.Former, op)
 		}
-		slices.Sort(s.Former)
-		all = append(all, s)
+		slices.Sort(running.Former)
+		schedulers = append(schedulers, running)
 	}
-	for _, h := range r.kept.Doer.Halts {
+	for _, h := range s.state.Doer.Halts {
 		halts = append(halts, h)
 	}
 	slices.SortFunc(halts, func(a, b fleet.Halt) int { return strings.Compare(a.Of, b.Of) })
-	return all, halts
-}
-
-// work sees how the processes stand, and does what is due.
-func (r *runs) work(ctx context.Context) {
-	now := r.a.clock.Now()
-	r.a.mu.Lock()
-	rec := r.a.rec
-	r.a.mu.Unlock()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.kept.Doer.Lifted(rec) || r.unkept {
-		r.mustKeep()
-	}
-	for _, l := range r.a.file.Scheduler {
-		x := r.all[l.ID]
-		if x == nil {
+	return schedulers, halts
+}
+
+// work makes one pass over the schedulers: it takes note of processes that have ended, begins readiness checks, and starts
+// and stops processes as the lifecycle of each scheduler decides.
+func (s *supervisor) work(ctx context.Context) {
+	now := s.agent.clock.Now()
+	s.agent.mu.Lock()
+	record := s.agent.record
+	s.agent.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.state.Doer.Lifted(record) || s.saveFailed {
+		s.saveOrLog()
+	}
+	for _, local := range s.agent.config.Scheduler {
+		scheduler := s.schedulers[local.ID]
+		if scheduler == nil {
 			continue
 		}
-		// A second one of a name would take over from the first, at its address, and end with what it had taken on.
-		if k := r.kept.Runs[l.ID]; k.New && rec.Members[l.ID].Agent != r.a.file.Name {
+		// Another agent may run a scheduler of this name. A second one would take over from it, at its address, and the
+		// requests that the second one then accepted would be lost when it is stopped.
+		if state := s.state.Schedulers[local.ID]; state.NeverStarted && record.Members[local.ID].Agent != s.agent.config.Name {
 			continue
-		} else if k.New {
-			k.New = false
-			r.mustKeep()
-		}
-		for slot, p := range x.procs {
-			if p != nil && p.ended() {
-				x.procs[slot] = nil
-				x.minder.Ended(now, slot)
-				r.a.log.Info("process ended", "scheduler", x.ID, "pid", p.pid, "place", slot)
+		} else if state.NeverStarted {
+			state.NeverStarted = false
+			s.saveOrLog()
+		}
+		for slot, p := range scheduler.processes {
+			if p != nil && p.hasEnded() {
+				scheduler.processes[slot] = nil
+				scheduler.lifecycle.Ended(now, slot)
+				s.agent.log.Info("process ended", "scheduler", scheduler.ID, "pid", p.pid, "place", slot)
 			}
 		}
-		for _, p := range x.minder.Procs() {
-			if !p.Ready && !x.probes[p.Slot] {
-				x.probes[p.Slot] = true
-				go r.probe(ctx, x, p.Slot)
+		for _, p := range scheduler.lifecycle.Procs() {
+			if !p.Ready && !scheduler.probing[p.Slot] {
+				scheduler.probing[p.Slot] = true
+				go s.checkReadiness(ctx, scheduler, p.Slot)
 			}
 		}
-		for d, ok := x.minder.Next(now); ok; d, ok = x.minder.Next(now) {
-			r.deed(now, x, d)
+		for action, ok := scheduler.lifecycle.Next(now); ok; action, ok = scheduler.lifecycle.Next(now) {
+			s.perform(now, scheduler, action)
 		}
 	}
-	close(r.moved)
-	r.moved = make(chan struct{})
-	if time.Since(r.tidied) > tidyEach && rec.No > 0 {
-		r.tidied = time.Now()
-		r.tidy(rec)
+	close(s.stateChanged)
+	s.stateChanged = make(chan struct{})
+	if time.Since(s.cleanedUpAt) > cleanUpInterval && record.No > 0 {
+		s.cleanedUpAt = time.Now()
+		s.cleanUp(record)
 	}
 }
 
-func (r *runs) mustKeep() {
-	if r.disk == nil {
-		return // halts told here hold while it lives, as it said
+// saveOrLog saves the state and logs when that begins to fail and when it works again.
+func (s *supervisor) saveOrLog() {
+	if s.disk == nil {
+		return // halts that were ordered here hold until this agent ends, as the answer to them said
 	}
-	was := r.unkept
-	switch err := r.keep(); {
-	case err != nil && !was:
-		r.a.log.Error("not kept", "err", err)
-	case err == nil && was:
-		r.a.log.Info("kept again")
+	failedBefore := s.saveFailed
+	switch err := s.save(); {
+	case err != nil && !failedBefore:
+		s.agent.log.Error("state could not be saved; trying again", "err", err)
+	case err == nil && failedBefore:
+		s.agent.log.Info("state saved again")
 	}
 }
 
-func (r *runs) probe(ctx context.Context, x *runner, slot int) {
-	addr := x.Addr
+// checkReadiness asks the process in a slot whether it is ready.
+func (s *supervisor) checkReadiness(ctx context.Context, scheduler *managedScheduler, slot int) {
+	addr := scheduler.Addr
 	if slot == 1 {
-		addr = x.Beside
+		addr = scheduler.Beside
 	}
-	ctx, stop := context.WithTimeout(ctx, callMost)
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	ready := false
-	if q, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/ops/readiness", nil); err == nil {
-		q.Close = true
-		if p, err := r.http.Do(q); err == nil {
-			p.Body.Close()
-			ready = p.StatusCode == 200
+	if request, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/ops/readiness", nil); err == nil {
+		request.Close = true
+		if response, err := s.httpClient.Do(request); err == nil {
+			response.Body.Close()
+			ready = response.StatusCode == 200
 		}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if x.probes[slot] = false; !ready || x.procs[slot] == nil {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if scheduler.probing[slot] = false; !ready || scheduler.processes[slot] == nil {
 		return
 	}
-	x.minder.Ready(slot)
-	k := r.kept.Runs[x.ID]
-	for _, p := range x.minder.Procs() {
-		if p.Slot == slot && p.Gen == k.Gen && k.Good != k.Gen {
-			k.Good = k.Gen
-			r.mustKeep()
+	scheduler.lifecycle.Ready(slot)
+	state := s.state.Schedulers[scheduler.ID]
+	for _, p := range scheduler.lifecycle.Procs() {
+		if p.Slot == slot && p.Gen == state.WantedStep && state.ReadyStep != state.WantedStep {
+			state.ReadyStep = state.WantedStep
+			s.saveOrLog()
 		}
 	}
-	r.a.stir()
-	r.a.log.Info("process ready", "scheduler", x.ID, "pid", x.procs[slot].pid, "place", slot)
+	s.agent.requestWork()
+	s.agent.log.Info("process ready", "scheduler", scheduler.ID, "pid", scheduler.processes[slot].pid, "place", slot)
 }
 
-func (r *runs) deed(now float64, x *runner, d fleet.Deed) {
-	p := x.procs[d.Slot]
+// perform starts, terminates or kills a process.
+func (s *supervisor) perform(now float64, scheduler *managedScheduler, action fleet.Deed) {
+	p := scheduler.processes[action.Slot]
 	switch {
-	case d.Do == "start":
-		if err := r.spawn(x, d); err != nil {
-			r.a.log.Error("not started", "scheduler", x.ID, "err", err)
-			x.minder.Started(now, d.Slot, err.Error())
+	case action.Do == "start":
+		if err := s.startProcess(scheduler, action); err != nil {
+			s.agent.log.Error("process could not be started", "scheduler", scheduler.ID, "err", err)
+			scheduler.lifecycle.Started(now, action.Slot, err.Error())
 		}
 	case p == nil:
-	case d.Do == "term":
-		r.a.log.Info("process told to end", "scheduler", x.ID, "pid", p.pid, "step", d.Gen)
+	case action.Do == "term":
+		s.agent.log.Info("process told to end", "scheduler", scheduler.ID, "pid", p.pid, "step", action.Gen)
 		_ = syscall.Kill(p.pid, syscall.SIGTERM)
-	case d.Do == "kill":
-		r.a.log.Warn("process killed", "scheduler", x.ID, "pid", p.pid, "step", d.Gen)
+	case action.Do == "kill":
+		s.agent.log.Warn("process killed", "scheduler", scheduler.ID, "pid", p.pid, "step", action.Gen)
 		_ = syscall.Kill(p.pid, syscall.SIGKILL)
 	}
 }
 
-// spawn starts a process in a session of its own: it is to outlive this agent.
-func (r *runs) spawn(x *runner, d fleet.Deed) error {
-	of, ok := r.kept.Runs[x.ID].Pairs[d.Gen]
+// startProcess starts a process in a session of its own, so that it outlives this agent.
+func (s *supervisor) startProcess(scheduler *managedScheduler, action fleet.Deed) error {
+	version, ok := s.state.Schedulers[scheduler.ID].Versions[action.Gen]
 	if !ok {
-		return fmt.Errorf("nothing is kept of step %d", d.Gen)
+		return fmt.Errorf("no version is stored for step %d", action.Gen)
 	}
-	for _, name := range []string{of.Program, of.Config} {
-		if err := r.whole(name); err != nil {
+	for _, digest := range []string{version.Program, version.Config} {
+		if err := s.verifyStored(digest); err != nil {
 			return err
 		}
 	}
-	log, err := os.OpenFile(filepath.Join(r.data, x.ID+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(s.dataDir, scheduler.ID+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	tmp, mgmt := x.Tmp, x.Addr
+	tmp, mgmt := scheduler.Tmp, scheduler.Addr
 	if tmp == "" {
-		tmp = r.data
+		tmp = s.dataDir
 	}
-	if d.Slot == 1 {
-		mgmt = x.Beside
+	if action.Slot == 1 {
+		mgmt = scheduler.Beside
 	}
-	cmd := exec.Command(r.stored(of.Program), "serve")
+	cmd := exec.Command(s.storePath(version.Program), "serve")
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
-	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+r.stored(of.Config), "BALANCER_MGMT="+mgmt, "TMPDIR="+tmp,
-		fmt.Sprintf("%s=%s|%s|%d|%d", runMark, r.data, x.ID, d.Slot, d.Gen))
+	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+s.storePath(version.Config), "BALANCER_MGMT="+mgmt, "TMPDIR="+tmp,
+		fmt.Sprintf("%s=%s|%s|%d|%d", processMarkerEnv, s.dataDir, scheduler.ID, action.Slot, action.Gen))
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p := &process{pid: cmd.Process.Pid, gone: make(chan struct{})}
-	x.procs[d.Slot] = p
-	r.a.log.Info("process started", "scheduler", x.ID, "pid", p.pid, "place", d.Slot, "step", d.Gen)
+	p := &process{pid: cmd.Process.Pid, exited: make(chan struct{})}
+	scheduler.processes[action.Slot] = p
+	s.agent.log.Info("process started", "scheduler", scheduler.ID, "pid", p.pid, "place", action.Slot, "step", action.Gen)
 	go func() {
 		_ = cmd.Wait()
-		close(p.gone)
-		r.a.stir()
+		close(p.exited)
+		s.agent.requestWork()
 	}()
 	return nil
 }
 
-// tidy drops what is kept for the way back of operations that are closed, and of the store what nobody names any more.
-func (r *runs) tidy(rec *fleet.Record) {
-	changed, named := false, map[string]bool{}
-	for id, k := range r.kept.Runs {
-		for op := range k.Former {
-			if o := rec.Ops[op]; o == nil || o.Closed {
-				delete(k.Former, op)
+// cleanUp forgets the former versions of operations that are closed and the versions of steps that have no process any
+// more, and deletes the stored files that no version names.
+func (s *supervisor) cleanUp(record *fleet.Record) {
+	changed, inUse := false, map[string]bool{}
+	for id, state := range s.state.Schedulers {
+		for op := range state.FormerVersions {
+			if o := record.Ops[op]; o == nil || o.Closed {
+				delete(state.FormerVersions, op)
 				changed = true
 			}
 		}
-		for gen := range k.Pairs {
-			used := gen == k.Gen || gen == k.Good
-			if x := r.all[id]; x != nil {
-				for _, p := range x.minder.Procs() {
-					used = used || p.Gen == gen
+		for step := range state.Versions {
+			needed := step == state.WantedStep || step == state.ReadyStep
+			if scheduler := s.schedulers[id]; scheduler != nil {
+				for _, p := range scheduler.lifecycle.Procs() {
+					needed = needed || p.Gen == step
 				}
 			}
-			if !used {
-				delete(k.Pairs, gen)
+			if !needed {
+				delete(state.Versions, step)
 				changed = true
 			}
 		}
-		for _, p := range k.Pairs {
-			named[p.Program], named[p.Config] = true, true
+		for _, version := range state.Versions {
+			inUse[version.Program], inUse[version.Config] = true, true
 		}
-		for _, p := range k.Former {
-			named[p.Program], named[p.Config] = true, true
+		for _, version := range state.FormerVersions {
+			inUse[version.Program], inUse[version.Config] = true, true
 		}
 	}
 	if changed {
-		r.mustKeep()
-		files, _ := filepath.Glob(filepath.Join(r.data, "store", "*"))
+		s.saveOrLog()
+		files, _ := filepath.Glob(filepath.Join(s.dataDir, "store", "*"))
 		for _, path := range files {
-			if !named[filepath.Base(path)] {
+			if !inUse[filepath.Base(path)] {
 				_ = os.Remove(path)
 			}
 		}
 	}
 }
 
-// ---- what operations have done here ----
-
-// act takes a call of an operation's owner. What was begun is told how far it is; what was not begins only after the
-// record was read for sure since the call came.
-func (a *Agent) act(w http.ResponseWriter, q *http.Request) {
+// handleAct takes a call of an operation's owner for a step of one member. For a step that was begun here it answers with
+// the state of that step. Any other step begins only after a linearizable read of the record since the call came.
+func (a *Agent) handleAct(w http.ResponseWriter, r *http.Request) {
 	var do fleet.Do
-	if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, bodyMost)).Decode(&do); err != nil {
-		refuse(w, 400, err.Error())
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&do); err != nil {
+		writeRefusal(w, 400, err.Error())
 		return
 	}
-	r := a.runs
+	s := a.supervisor
 	if do.Call == "look" {
-		r.mu.Lock()
-		x := r.all[do.Member]
-		down := x != nil && x.minder.Down()
-		r.mu.Unlock()
-		say(w, 200, fleet.Did{State: "going", Start: a.start, Down: down})
+		s.mu.Lock()
+		scheduler := s.schedulers[do.Member]
+		down := scheduler != nil && scheduler.lifecycle.Down()
+		s.mu.Unlock()
+		writeJSON(w, 200, fleet.Did{State: "going", Start: a.startID, Down: down})
 		return
 	}
-	if did, known := r.known(q.Context(), do); known {
-		say(w, 200, did)
+	if outcome, known := s.awaitStep(r.Context(), do); known {
+		writeJSON(w, 200, outcome)
 		return
 	}
-	ctx, stop := context.WithTimeout(q.Context(), callMost/2)
+	ctx, stop := context.WithTimeout(r.Context(), callTimeout/2)
 	defer stop()
-	rec, err := a.fresh(ctx)
+	record, err := a.readRecord(ctx)
 	if err != nil {
-		rec = nil
-		if a.bug == "stale-step" {
-			rec = a.rec
+		record = nil
+		if a.injectedFault == "stale-step" {
+			record = a.record
 		}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	before, had := r.kept.Doer.Notes[do.Member]
-	var was ran
-	if k := r.kept.Runs[do.Member]; k != nil {
-		was = *k
-		was.Pairs, was.Former = maps.Clone(k.Pairs), maps.Clone(k.Former)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	noteBefore, hadNote := s.state.Doer.Notes[do.Member]
+	var stateBefore schedulerState
+	if state := s.state.Schedulers[do.Member]; state != nil {
+		stateBefore = *state
+		stateBefore.Versions, stateBefore.FormerVersions = maps.Clone(state.Versions), maps.Clone(state.FormerVersions)
 	}
-	did, begin := r.kept.Doer.Begin(do, rec)
-	if !begin {
-		if did.State == "unknown" {
-			r.mustKeep()
+	outcome, begins := s.state.Doer.Begin(do, record)
+	if !begins {
+		if outcome.State == "unknown" {
+			s.saveOrLog()
 		}
-		say(w, 200, did)
+		writeJSON(w, 200, outcome)
 		return
 	}
-	if err := r.begin(do, rec); err != nil {
-		n := r.kept.Doer.Notes[do.Member]
-		n.State, n.Why = "failed", err.Error()
-		r.kept.Doer.Notes[do.Member] = n
+	if err := s.beginStep(do, record); err != nil {
+		note := s.state.Doer.Notes[do.Member]
+		note.State, note.Why = "failed", err.Error()
+		s.state.Doer.Notes[do.Member] = note
 	}
-	if err := r.keep(); err != nil {
-		// Not kept, it would be begun again by a later life. Nothing has been done yet.
-		if delete(r.kept.Doer.Notes, do.Member); had {
-			r.kept.Doer.Notes[do.Member] = before
+	if err := s.save(); err != nil {
+		// A step that is not saved would be begun again after a restart of this agent. Nothing has been done for it yet, so
+		// that it can be taken back.
+		if delete(s.state.Doer.Notes, do.Member); hadNote {
+			s.state.Doer.Notes[do.Member] = noteBefore
 		}
-		if k := r.kept.Runs[do.Member]; k != nil {
-			*k = was
+		if state := s.state.Schedulers[do.Member]; state != nil {
+			*state = stateBefore
 		}
-		say(w, 200, fleet.Did{State: "refused", Why: "it could not be kept: " + err.Error(), Start: a.start})
+		writeJSON(w, 200, fleet.Did{State: "refused", Why: "it could not be kept: " + err.Error(), Start: a.startID})
 		return
 	}
-	r.touched[do.Member] = true
-	n := r.kept.Doer.Notes[do.Member]
-	a.log.Info("begun", "op", do.Op, "member", do.Member, "call", do.Call, "step", do.No, "takes", fleet.Takes(rec.Ops[do.Op].Steps[do.Member]),
-		"state", n.State, "why", n.Why)
-	if x := r.all[do.Member]; x != nil && n.State == "going" {
-		k := r.kept.Runs[do.Member]
-		x.minder.Wants(a.clock.Now(), k.Run, k.Gen)
-	} else if n.State == "going" {
-		go r.command(do, rec)
-	}
-	a.stir()
-	say(w, 200, fleet.Did{State: n.State, Why: n.Why, Start: a.start})
-}
-
-// known tells how far a step is that was begun, and waits with that till it is over, for part of the caller's time: asked
-// again and again, a step was known to be over only at the next call.
-func (r *runs) known(ctx context.Context, do fleet.Do) (fleet.Did, bool) {
-	over := time.After(callMost / 2)
+	s.stepBegun[do.Member] = true
+	note := s.state.Doer.Notes[do.Member]
+	a.log.Info("begun", "op", do.Op, "member", do.Member, "call", do.Call, "step", do.No, "takes", fleet.Takes(record.Ops[do.Op].Steps[do.Member]),
+		"state", note.State, "why", note.Why)
+	if scheduler := s.schedulers[do.Member]; scheduler != nil && note.State == "going" {
+		state := s.state.Schedulers[do.Member]
+		scheduler.lifecycle.Wants(a.clock.Now(), state.ShouldRun, state.WantedStep)
+	} else if note.State == "going" {
+		go s.runWorkerCommand(do, record)
+	}
+	a.requestWork()
+	writeJSON(w, 200, fleet.Did{State: note.State, Why: note.Why, Start: a.startID})
+}
+
+// awaitStep returns the outcome of a step that was begun here, and whether it is known. It waits for the end of a step that
+// is under way, for half of the caller's timeout: answered at once, the caller would learn of the end only with its next
+// call.
+func (s *supervisor) awaitStep(ctx context.Context, do fleet.Do) (fleet.Did, bool) {
+	timedOut := time.After(callTimeout / 2)
 	for {
-		r.mu.Lock()
-		r.refresh(do.Member)
-		did, known := r.kept.Doer.Known(do)
-		moved := r.moved
-		r.mu.Unlock()
-		if !known || did.State != "going" {
-			return did, known
+		s.mu.Lock()
+		s.refreshNote(do.Member)
+		outcome, known := s.state.Doer.Known(do)
+		stateChanged := s.stateChanged
+		s.mu.Unlock()
+		if !known || outcome.State != "going" {
+			return outcome, known
 		}
 		select {
-		case <-moved:
-		case <-over:
-			return did, true
+		case <-stateChanged:
+		case <-timedOut:
+			return outcome, true
 		case <-ctx.Done():
-			return did, true
+			return outcome, true
 		}
 	}
 }
 
-// begin works out what a step wants of a scheduler's processes.
-func (r *runs) begin(do fleet.Do, rec *fleet.Record) error {
-	op := rec.Ops[do.Op]
+// beginStep sets in the saved state what a step wants of a scheduler: to run or not, and which version. For the command of
+// a worker it only checks that there is one.
+func (s *supervisor) beginStep(do fleet.Do, record *fleet.Record) error {
+	op := record.Ops[do.Op]
 	if do.Call == "command" {
-		if i := slices.IndexFunc(r.a.file.Worker, func(s Site) bool { return s.ID == do.Member }); i < 0 || len(r.a.file.Worker[i].Command) == 0 {
-			return errors.New("no command for it in this agent's file")
+		if i := slices.IndexFunc(s.agent.config.Worker, func(w Site) bool { return w.ID == do.Member }); i < 0 || len(s.agent.config.Worker[i].Command) == 0 {
+			return errors.New("this agent's configuration has no command for the worker")
 		}
 		return nil
 	}
-	k := r.kept.Runs[do.Member]
-	if k == nil || r.all[do.Member] == nil {
+	state := s.state.Schedulers[do.Member]
+	if state == nil || s.schedulers[do.Member] == nil {
 		return errors.New("this agent runs no such scheduler")
 	}
 	if do.Call == "stop" {
-		k.Run = false
+		state.ShouldRun = false
 		return nil
 	}
-	now := k.Pairs[k.Gen]
-	if x := r.all[do.Member]; k.Good != k.Gen {
-		if state, _ := x.minder.State(); state == "failed" {
-			now = k.Pairs[k.Good] // what serves
+	current := state.Versions[state.WantedStep]
+	if scheduler := s.schedulers[do.Member]; state.ReadyStep != state.WantedStep {
+		if lifecycleState, _ := scheduler.lifecycle.State(); lifecycleState == "failed" {
+			current = state.Versions[state.ReadyStep] // the wanted version failed, and this one serves
 		}
 	}
-	want, again := now, op.Kind == "restart" && !op.Back
-	s := op.Steps[do.Member]
-	switch former, kept := k.Former[op.ID]; {
-	case op.Kind == "release" && (op.Back || s.Undo):
+	wanted, newProcess := current, op.Kind == "restart" && !op.Back
+	step := op.Steps[do.Member]
+	switch former, kept := state.FormerVersions[op.ID]; {
+	case op.Kind == "release" && (op.Back || step.Undo):
 		if kept {
-			want = former
-		} else if now.Program == op.Version.Digest {
-			return errors.New("what ran before is not kept here")
+			wanted = former
+		} else if current.Program == op.Version.Digest {
+			return errors.New("the version before the release is not stored here")
 		}
-		for _, name := range []string{want.Program, want.Config} {
-			if err := r.whole(name); err != nil {
+		for _, digest := range []string{wanted.Program, wanted.Config} {
+			if err := s.verifyStored(digest); err != nil {
 				return fmt.Errorf("the former version: %w", err)
 			}
 		}
 	case op.Kind == "release":
-		v := op.Version
-		if v.Program != "" {
-			name, err := r.store(v.Program, 0o700)
+		release := op.Version
+		if release.Program != "" {
+			digest, err := s.storeFile(release.Program, 0o700)
 			if err != nil {
 				return err
 			}
-			if name != v.Digest {
-				return fmt.Errorf("%s is %s here, not what is released", v.Program, name)
+			if digest != release.Digest {
+				return fmt.Errorf("%s has sha256 %s here, want %s of the release", release.Program, digest, release.Digest)
 			}
-			want.Program = name
+			wanted.Program = digest
 		}
-		if v.Config != "" {
-			name, err := r.store(strings.ReplaceAll(v.Config, "{id}", do.Member), 0o600)
+		if release.Config != "" {
+			digest, err := s.storeFile(strings.ReplaceAll(release.Config, "{id}", do.Member), 0o600)
 			if err != nil {
 				return err
 			}
-			want.Config = name
+			wanted.Config = digest
 		}
-		if !kept && now != want { // by notes of an older disk it may be begun again: what runs then is not what ran before
-			k.Former[op.ID] = now
+		// With a state file from an older disk the step may be begun a second time: the version that then runs is the
+		// released one, and must not be kept as the former one.
+		if !kept && current != wanted {
+			state.FormerVersions[op.ID] = current
 		}
-	case s.Undo:
-		again = false
+	case step.Undo:
+		newProcess = false
 	}
-	if want == k.Pairs[k.Good] && !again && k.Run {
-		k.Gen = k.Good // that one serves, or did last
+	if wanted == state.Versions[state.ReadyStep] && !newProcess && state.ShouldRun {
+		state.WantedStep = state.ReadyStep // its process serves, or was the last one that did
 		return nil
 	}
-	k.Run, k.Gen = true, do.No
-	k.Pairs[do.No] = want
+	state.ShouldRun, state.WantedStep = true, do.No
+	state.Versions[do.No] = wanted
 	return nil
 }
 
-// refresh brings the note of a member's last step up to how its processes stand.
-func (r *runs) refresh(member string) {
-	n, x := r.kept.Doer.Notes[member], r.all[member]
-	if x == nil || n.State != "going" {
+// refreshNote updates the note of a scheduler's last step by the state of its processes.
+func (s *supervisor) refreshNote(member string) {
+	note, scheduler := s.state.Doer.Notes[member], s.schedulers[member]
+	if scheduler == nil || note.State != "going" {
 		return
 	}
-	if n.State, n.Why = x.minder.State(); n.State != "going" {
-		r.kept.Doer.Notes[member] = n
-		r.mustKeep()
+	if note.State, note.Why = scheduler.lifecycle.State(); note.State != "going" {
+		s.state.Doer.Notes[member] = note
+		s.saveOrLog()
 	}
 }
 
-// command runs the site's own for a worker that is out.
-func (r *runs) command(do fleet.Do, rec *fleet.Record) {
-	i := slices.IndexFunc(r.a.file.Worker, func(s Site) bool { return s.ID == do.Member })
-	op := rec.Ops[do.Op]
+// runWorkerCommand runs the site's own command for a worker that is out, and notes its outcome.
+func (s *supervisor) runWorkerCommand(do fleet.Do, record *fleet.Record) {
+	i := slices.IndexFunc(s.agent.config.Worker, func(w Site) bool { return w.ID == do.Member })
+	op := record.Ops[do.Op]
 	version := op.Version.Name
 	if op.Back {
 		version = "former"
 	}
 	var args []string
-	for _, a := range r.a.file.Worker[i].Command {
-		args = append(args, strings.NewReplacer("{worker}", do.Member, "{version}", version, "{step}", fmt.Sprint(do.No)).Replace(a))
+	for _, arg := range s.agent.config.Worker[i].Command {
+		args = append(args, strings.NewReplacer("{worker}", do.Member, "{version}", version, "{step}", fmt.Sprint(do.No)).Replace(arg))
 	}
-	ctx, stop := context.WithTimeout(context.Background(), commandMost)
+	ctx, stop := context.WithTimeout(context.Background(), workerCommandTimeout)
 	defer stop()
-	out, err := exec.CommandContext(ctx, args[0], args[1:]...).CombinedOutput()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	n := r.kept.Doer.Notes[do.Member]
-	if n.No != do.No {
+	output, err := exec.CommandContext(ctx, args[0], args[1:]...).CombinedOutput()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	note := s.state.Doer.Notes[do.Member]
+	if note.No != do.No {
 		return
 	}
-	if n.State = "done"; err != nil {
-		n.State, n.Why = "failed", fmt.Sprintf("%v: %.200s", err, out)
+	if note.State = "done"; err != nil {
+		note.State, note.Why = "failed", fmt.Sprintf("%v: %.200s", err, output)
 	}
-	r.kept.Doer.Notes[do.Member] = n
-	r.mustKeep()
-	r.a.log.Info("command ended", "worker", do.Member, "step", do.No, "state", n.State, "why", n.Why)
+	s.state.Doer.Notes[do.Member] = note
+	s.saveOrLog()
+	s.agent.log.Info("command ended", "worker", do.Member, "step", do.No, "state", note.State, "why", note.Why)
 }
 
-// HaltAnswer is an agent's yes to a halt: from it on nothing new is taken out by this agent.
+// HaltAnswer is an agent's confirmation of a halt: from then on this agent takes nothing more out of service that the halt
+// covers.
 type HaltAnswer struct {
 	Agent string   `json:"agent"`
-	Under []string `json:"under_way,omitempty"` // members that were being taken out here already
+	Under []string `json:"under_way,omitempty"` // members with a step under way here
 }
 
-// haltHere halts this machine at once, whatever the record says.
-func (a *Agent) haltHere(w http.ResponseWriter, q *http.Request) {
-	var h fleet.Halt
-	if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, 4<<10)).Decode(&h); err != nil || h.Of == "" || h.By == "" ||
-		len(h.Of)+len(h.By)+len(h.Why) > 1000 {
-		refuse(w, 400, "a halt names what it is of, and by whom")
+// handleHalt applies a halt on this machine at once, whatever the record says. It confirms a halt only once that is saved.
+func (a *Agent) handleHalt(w http.ResponseWriter, r *http.Request) {
+	var halt fleet.Halt
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxHaltRequestBytes)).Decode(&halt); err != nil || halt.Of == "" || halt.By == "" ||
+		len(halt.Of)+len(halt.By)+len(halt.Why) > maxHaltTextBytes {
+		writeRefusal(w, 400, fmt.Sprintf("a halt needs of and by, and at most %d bytes in of, by and why together", maxHaltTextBytes))
 		return
 	}
-	r := a.runs
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	h.No = 0
-	_, there := r.kept.Doer.Halts[h.Of]
-	if !there {
-		r.kept.Doer.Halts[h.Of] = h
-		a.log.Warn("halted here", "of", h.Of, "by", h.By, "why", h.Why)
-	}
-	if !there || r.unkept {
-		if err := r.keep(); err != nil {
-			refuse(w, 503, "halted here, and it could not be kept over a restart: "+err.Error())
+	s := a.supervisor
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	halt.No = 0
+	_, known := s.state.Doer.Halts[halt.Of]
+	if !known {
+		s.state.Doer.Halts[halt.Of] = halt
+		a.log.Warn("halted here", "of", halt.Of, "by", halt.By, "why", halt.Why)
+	}
+	if !known || s.saveFailed {
+		if err := s.save(); err != nil {
+			writeRefusal(w, 503, "halted here, but a restart of the agent would forget it: the halt could not be saved: "+err.Error())
 			return
 		}
 	}
-	yes := HaltAnswer{Agent: a.file.Name}
-	for id, n := range r.kept.Doer.Notes {
-		if n.State == "going" {
-			yes.Under = append(yes.Under, id)
+	answer := HaltAnswer{Agent: a.config.Name}
+	for id, note := range s.state.Doer.Notes {
+		if note.State == "going" {
+			answer.Under = append(answer.Under, id)
 		}
 	}
-	slices.Sort(yes.Under)
-	say(w, 200, yes)
+	slices.Sort(answer.Under)
+	writeJSON(w, 200, answer)
 }
 
-// putHalts puts halts that were told here on record, as soon as that can be.
-func (a *Agent) putHalts(ctx context.Context) {
-	r := a.runs
-	r.mu.Lock()
-	var open []fleet.Halt
-	for _, h := range r.kept.Doer.Halts {
-		if h.No == 0 {
-			open = append(open, h)
+// recordLocalHalts enters the halts that were ordered here in the record, as soon as a leader takes commands.
+func (a *Agent) recordLocalHalts(ctx context.Context) {
+	s := a.supervisor
+	s.mu.Lock()
+	var unrecorded []fleet.Halt
+	for _, halt := range s.state.Doer.Halts {
+		if halt.No == 0 {
+			unrecorded = append(unrecorded, halt)
 		}
 	}
-	r.mu.Unlock()
-	slices.SortFunc(open, func(x, y fleet.Halt) int { return strings.Compare(x.Of, y.Of) })
-	for _, h := range open {
-		got, err := a.do(ctx, fleet.Command{Do: "halt", ID: h.Of, By: h.By, Why: h.Why, Then: h.Then, Caller: a.caller("halt")})
+	s.mu.Unlock()
+	slices.SortFunc(unrecorded, func(x, y fleet.Halt) int { return strings.Compare(x.Of, y.Of) })
+	for _, halt := range unrecorded {
+		answer, err := a.submit(ctx, fleet.Command{Do: "halt", ID: halt.Of, By: halt.By, Why: halt.Why, Then: halt.Then, Caller: a.callerID("halt")})
 		if err != nil {
 			continue
 		}
-		r.mu.Lock()
-		if got.Done {
-			h.No = got.No
-			r.kept.Doer.Halts[h.Of] = h
+		s.mu.Lock()
+		if answer.Done {
+			halt.No = answer.No
+			s.state.Doer.Halts[halt.Of] = halt
 		} else {
-			delete(r.kept.Doer.Halts, h.Of) // of nothing that the record knows
-			a.log.Warn("halt dropped", "of", h.Of, "why", got.Why)
+			delete(s.state.Doer.Halts, halt.Of) // of an operation or zone that the record does not have
+			a.log.Warn("halt dropped", "of", halt.Of, "why", answer.Why)
 		}
-		r.mustKeep()
-		r.mu.Unlock()
+		s.saveOrLog()
+		s.mu.Unlock()
 	}
 }
