--- a/cmd/beamagent/main.go
+++ b/cmd/beamagent/main.go
@@ -1,5 +1,4 @@
-// Command beamagent is one machine's agent: it keeps part of the fleet's record where its file says so, acts for the
-// fleet where it owns a matter, and answers this machine's schedulers.
+// Command beamagent runs one machine's agent of the fleet: see package agent.
 package main
 
 import (
@@ -15,40 +14,43 @@
 	"shalebeam/agent"
 )
 
-type file struct {
-	Path string `name:"config" env:"BEAMAGENT_CONFIG" required:"" placeholder:"FILE" help:"What the agent is told."`
+// configFlag is the flag that both commands share.
+type configFlag struct {
+	Path string `name:"config" env:"BEAMAGENT_CONFIG" required:"" placeholder:"FILE" help:"The agent's configuration file."`
 }
 
-type serve struct {
-	file
-	TrustDisk bool `help:"Count on this voter's disk without being told what it acknowledged. Only where a person knows that the disk is whole, and others can't be asked any more."`
+type serveCommand struct {
+	configFlag
+	TrustDisk bool `help:"Have this voter count on its disk without being told by the other voters what it had acknowledged. Only where a person knows that nothing on the disk is lost, and the other voters can't be asked any more."`
 }
 
-func (c *serve) Run() error {
-	f, err := agent.Load(c.Path)
+// Run serves until SIGTERM or SIGINT.
+func (c *serveCommand) Run() error {
+	config, err := agent.Load(c.Path)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return agent.Run(ctx, f, c.TrustDisk, bug(), slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level()})))
+	return agent.Run(ctx, config, c.TrustDisk, injectedFault(), slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
 }
 
-type check struct{ file }
+type checkCommand struct{ configFlag }
 
-func (c *check) Run() error {
-	f, err := agent.Load(c.Path)
+// Run checks the configuration file and prints a summary of it.
+func (c *checkCommand) Run() error {
+	config, err := agent.Load(c.Path)
 	if err == nil {
-		fmt.Printf("%s: ok, name=%s listen=%s voters=%d schedulers=%d\n", c.Path, f.Name, f.Listen, len(f.Voter), len(f.Scheduler))
+		fmt.Printf("%s: ok, name=%s listen=%s voters=%d schedulers=%d\n", c.Path, config.Name, config.Listen, len(config.Voter), len(config.Scheduler))
 	}
 	return err
 }
 
 func main() {
 	var cli struct {
-		Serve serve `cmd:"" default:"withargs" help:"Serve until SIGTERM."`
-		Check check `cmd:"" help:"Check a configuration and exit."`
+		Serve serveCommand `cmd:"" default:"withargs" help:"Serve until SIGTERM."`
+		Check checkCommand `cmd:"" help:"Check a configuration and exit."`
 	}
-	k := kong.Parse(&cli, kong.Name("beamagent"), kong.Description("One machine's agent of a fleet of schedulers."))
-	k.FatalIfErrorf(k.Run())
+	parsed := kong.Parse(&cli, kong.Name("beamagent"), kong.Description("One machine's agent of a fleet of schedulers."))
+	parsed.FatalIfErrorf(parsed.Run())
 }
--- a/cmd/beamagent/plain.go
+++ b/cmd/beamagent/plain.go
@@ -4,7 +4,7 @@
 
 import "log/slog"
 
-// bug is the one that a build with the tag faults was told to have.
-func bug() string { return "" }
+// injectedFault returns the fault that a build with the tag faults has injected; this build has none.
+func injectedFault() string { return "" }
 
-func level() slog.Level { return slog.LevelInfo }
+func logLevel() slog.Level { return slog.LevelInfo }
--- a/cmd/beamagent/planted.go
+++ b/cmd/beamagent/planted.go
@@ -7,7 +7,8 @@
 	"os"
 )
 
-func bug() string { return os.Getenv("SHALEBEAM_BUG") }
+// injectedFault names the fault that this process has to show in a test, "" for none.
+func injectedFault() string { return os.Getenv("SHALEBEAM_BUG") }
 
-// level has each call logged: the lab judges by it when an owner acted.
-func level() slog.Level { return slog.LevelDebug }
+// logLevel has each call logged: the lab judges by the log when the owner of a lease acted.
+func logLevel() slog.Level { return slog.LevelDebug }
