--- a/agent/agent.go
+++ b/agent/agent.go
@@ -574,7 +574,7 @@
 			Name    string
 			Start   string
 			Fences  map[string]uint64
-			Out     map[string]string // worker to the matter that it is out for
+			Out     map[string]string // worker to the lease whose owner took it out
 			Phase   string
 			Workers map[string]string
 			Txns    fleet.Txns
@@ -587,8 +587,8 @@
 		}
 		reply.Done, reply.Start, reply.Fence = true, state.Start, state.Fences[call.Matter]
 		reply.Phase, reply.Workers, reply.Txns = state.Phase, state.Workers, state.Txns
-		for id, matter := range state.Out {
-			if matter == call.Matter {
+		for id, lease := range state.Out {
+			if lease == call.Matter {
 				reply.Out = append(reply.Out, id)
 			}
 		}
--- a/agent/client.go
+++ b/agent/client.go
@@ -96,8 +96,8 @@
 	return err
 }
 
-// Do sends a command until an agent reports its outcome or ctx is done. Where every agent answers that it knows of no
-// majority, that is an outcome too: the command was not accepted.
+// Do sends a command until an agent reports its outcome or ctx is done. It gives up sooner where
+// every agent refuses for want of a majority: the command was then not accepted.
 func (c *Caller) Do(ctx context.Context, cmd fleet.Command) (answer fleet.Answer, err error) {
 	var lastErr error
 	outcomeUnknown := false
