--- a/cmd/beamctl/main.go
+++ b/cmd/beamctl/main.go
@@ -480,48 +480,51 @@
 	return nil
 }
 
+// commandLine is everything that beamctl accepts. kong derives commands and flags from the field names and tags.
+type commandLine struct {
+	global
+	Status status `cmd:"" help:"The agents, and what each owns."`
+	Worker struct {
+		Down workerDown `cmd:"" help:"Take a worker out at every scheduler."`
+		Up   workerUp   `cmd:"" help:"Put it back."`
+		List workerList `cmd:"" help:"The workers on record."`
+	} `cmd:"" help:"Workers."`
+	Owner struct {
+		List ownerList `cmd:"" help:"Who acts for which zone."`
+		Move ownerMove `cmd:"" help:"Have another agent act for it."`
+	} `cmd:"" help:"Who acts for the fleet."`
+	Events events `cmd:"" help:"The audit's last rows."`
+	Member struct {
+		Add     memberAdd     `cmd:"" help:"Put a scheduler or an agent on record."`
+		Remove  memberRemove  `cmd:"" help:"Take one off."`
+		Replace memberReplace `cmd:"" help:"Replace a voter that is gone for good."`
+	} `cmd:"" help:"Members and voters."`
+	Plan    planCmd `cmd:"" help:"What an operation's file would do, and what would keep it."`
+	Release struct {
+		Start  releaseStart  `cmd:"" help:"Begin the operation of a file."`
+		Status releaseStatus `cmd:"" help:"How far it is."`
+		Halt   releaseHalt   `cmd:"" help:"Nothing new goes out for it."`
+		Resume releaseResume `cmd:"" help:"Lift its halt."`
+		Back   releaseBack   `cmd:"" help:"Go back to what ran before."`
+		Close  releaseClose  `cmd:"" help:"End it for good: what ran before is not kept any more."`
+		List   releaseList   `cmd:"" help:"All operations."`
+	} `cmd:"" help:"Releases and other operations."`
+	Drain    drainCmd    `cmd:"" help:"Take schedulers or workers out, within the limits."`
+	Undrain  undrainCmd  `cmd:"" help:"Bring back what was drained."`
+	Restart  restartCmd  `cmd:"" help:"Restart schedulers, or run workers' own command, within the limits."`
+	Maintain maintainCmd `cmd:"" help:"Out, wait, restart, back, warm."`
+	Halt     haltCmd     `cmd:"" help:"Nothing new is taken out: of one operation, a zone or all."`
+	Lift     liftCmd     `cmd:"" help:"End a halt."`
+	Limits   struct {
+		Show limitsShow `cmd:"" default:"1" help:"Those in force."`
+		Set  limitsSet  `cmd:"" help:"Put others in their place."`
+	} `cmd:"" help:"How many may be out together."`
+	Why   whyCmd `cmd:"" help:"Why a member may not go out now."`
+	Check check  `cmd:"" help:"Check a file: an agent's configuration, limits, an operation."`
+}
+
 func main() {
-	var cli struct {
-		global
-		Status status `cmd:"" help:"The agents, and what each owns."`
-		Worker struct {
-			Down workerDown `cmd:"" help:"Take a worker out at every scheduler."`
-			Up   workerUp   `cmd:"" help:"Put it back."`
-			List workerList `cmd:"" help:"The workers on record."`
-		} `cmd:"" help:"Workers."`
-		Owner struct {
-			List ownerList `cmd:"" help:"Who acts for which zone."`
-			Move ownerMove `cmd:"" help:"Have another agent act for it."`
-		} `cmd:"" help:"Who acts for the fleet."`
-		Events events `cmd:"" help:"The audit's last rows."`
-		Member struct {
-			Add     memberAdd     `cmd:"" help:"Put a scheduler or an agent on record."`
-			Remove  memberRemove  `cmd:"" help:"Take one off."`
-			Replace memberReplace `cmd:"" help:"Replace a voter that is gone for good."`
-		} `cmd:"" help:"Members and voters."`
-		Plan    planCmd `cmd:"" help:"What an operation's file would do, and what would keep it."`
-		Release struct {
-			Start  releaseStart  `cmd:"" help:"Begin the operation of a file."`
-			Status releaseStatus `cmd:"" help:"How far it is."`
-			Halt   releaseHalt   `cmd:"" help:"Nothing new goes out for it."`
-			Resume releaseResume `cmd:"" help:"Lift its halt."`
-			Back   releaseBack   `cmd:"" help:"Go back to what ran before."`
-			Close  releaseClose  `cmd:"" help:"End it for good: what ran before is not kept any more."`
-			List   releaseList   `cmd:"" help:"All operations."`
-		} `cmd:"" help:"Releases and other operations."`
-		Drain    drainCmd    `cmd:"" help:"Take schedulers or workers out, within the limits."`
-		Undrain  undrainCmd  `cmd:"" help:"Bring back what was drained."`
-		Restart  restartCmd  `cmd:"" help:"Restart schedulers, or run workers' own command, within the limits."`
-		Maintain maintainCmd `cmd:"" help:"Out, wait, restart, back, warm."`
-		Halt     haltCmd     `cmd:"" help:"Nothing new is taken out: of one operation, a zone or all."`
-		Lift     liftCmd     `cmd:"" help:"End a halt."`
-		Limits   struct {
-			Show limitsShow `cmd:"" default:"1" help:"Those in force."`
-			Set  limitsSet  `cmd:"" help:"Put others in their place."`
-		} `cmd:"" help:"How many may be out together."`
-		Why   whyCmd `cmd:"" help:"Why a member may not go out now."`
-		Check check  `cmd:"" help:"Check a file: an agent's configuration, limits, an operation."`
-	}
+	var cli commandLine
 	k := kong.Parse(&cli, kong.Name("beamctl"), kong.Description("The fleet's command line."))
 	ctx, stop := context.WithTimeout(context.Background(), cli.Timeout)
 	defer stop()
--- /dev/null
+++ b/cmd/beamctl/ops_test.go
@@ -0,0 +1,64 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"shalebeam/agent"
+	"shalebeam/fleet"
+)
+
+// The keys of an operation file are derived from struct tags: a renamed field must still be read from its key.
+func TestOperationFileKeepsItsKeys(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "release.toml")
+	text := `
+kind = "release"
+why = "fix"
+select = "schedulers"
+zone = "a"
+label = "rack=1"
+program = "/opt/shalebeam"
+digest = "ab12"
+config = "/etc/{id}.toml"
+version = "v2"
+watch = "1s"
+wave_most = "3s"
+together = 2
+auto_back = true
+
+[gates]
+settled = 0.1
+declined = 0.2
+reversed = 0.3
+txns = 40
+lost = 5
+`
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got := opFile{}
+	if err := got.check(path); err != nil {
+		t.Fatal(err)
+	}
+	want := opFile{Kind: "release", Why: "fix", Select: "schedulers", Zone: "a", Label: "rack=1", Program: "/opt/shalebeam", Digest: "ab12",
+		Config: "/etc/{id}.toml", Version: "v2", Watch: agent.Span(time.Second), WaveMost: agent.Span(3 * time.Second), Together: 2,
+		AutoBack: true, Gates: fleet.Gates{Settled: 0.1, Declined: 0.2, Reversed: 0.3, Txns: 40, Lost: 5}}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+	text = "kind = \"maintain\"\nmembers = [\"s0\", \"s1\"]\npause = \"2s\"\n"
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got = opFile{}
+	if err := got.check(path); err != nil {
+		t.Fatal(err)
+	}
+	want = opFile{Kind: "maintain", Members: []string{"s0", "s1"}, Pause: agent.Span(2 * time.Second)}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+}
