--- a/cmd/beamctl/main.go
+++ b/cmd/beamctl/main.go
@@ -28,36 +28,36 @@
 
 // Exit codes, beside 0 where all obeyed: some did, none did or it was refused, nobody could say.
 const (
-	some    = 1
-	none    = 2
-	unknown = 3
+	exitPartial = 1
+	exitFailed  = 2
+	exitUnknown = 3
 )
 
-// exit ends the program with a code, after its output.
-type exit struct {
-	code int
-	why  string
+// exitError ends the program with a code, after its output.
+type exitError struct {
+	code    int
+	message string
 }
 
-func (e exit) Error() string { return e.why }
+func (e exitError) Error() string { return e.message }
 
-type global struct {
-	Agent   []string      `env:"BEAM_AGENT" default:"127.0.0.1:7001" placeholder:"ADDR" help:"Agents to ask, tried in turn."`
-	Timeout time.Duration `default:"10s" help:"How long to wait for all to obey."`
-	JSON    bool          `help:"Write JSON to standard output."`
-	DryRun  bool          `help:"Say what would be done, and change nothing."`
-	By      string        `env:"BEAM_BY" placeholder:"NAME" help:"Who asks; by default the user's name."`
-	session string
-	number  uint64
+type globalFlags struct {
+	Agents            []string      `name:"agent" env:"BEAM_AGENT" default:"127.0.0.1:7001" placeholder:"ADDR" help:"Agents to ask, tried in turn."`
+	Timeout           time.Duration `default:"10s" help:"How long to wait for all to obey."`
+	JSON              bool          `help:"Write JSON to standard output."`
+	DryRun            bool          `help:"Say what would be done, and change nothing."`
+	Requester         string        `name:"by" env:"BEAM_BY" placeholder:"NAME" help:"Who asks; by default the user's name."`
+	callerID          string
+	lastCommandNumber uint64
 }
 
-func (g *global) caller(most time.Duration) *agent.Caller {
-	return &agent.Caller{HTTP: agent.NewHTTP(nil, most), Addrs: g.Agent}
+func (g *globalFlags) newCaller(most time.Duration) *agent.Caller {
+	return &agent.Caller{HTTP: agent.NewHTTP(nil, most), Addrs: g.Agents}
 }
 
-func (g *global) by() string {
-	if g.By != "" {
-		return g.By
+func (g *globalFlags) requesterName() string {
+	if g.Requester != "" {
+		return g.Requester
 	}
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -65,38 +65,38 @@
 	return "somebody"
 }
 
-func (g *global) read(ctx context.Context) (*fleet.Record, error) {
+func (g *globalFlags) readRecord(ctx context.Context) (*fleet.Record, error) {
 	var raw json.RawMessage
-	if err := g.caller(2*time.Second).Get(ctx, "/v1/read", &raw); err != nil {
-		return nil, exit{unknown, "the record can't be read: " + err.Error()}
+	if err := g.newCaller(2*time.Second).Get(ctx, "/v1/read", &raw); err != nil {
+		return nil, exitError{exitUnknown, "the record can't be read: " + err.Error()}
 	}
 	r := fleet.NewRecord()
 	return r, r.Restore(raw)
 }
 
-// do sends a command, the same one again where nobody says what came of it.
-func (g *global) do(ctx context.Context, c fleet.Command) (fleet.Answer, error) {
-	if g.session == "" {
-		g.session = "beamctl/" + strconv.FormatUint(rand.Uint64(), 36)
+// sendCommand sends a command, the same one again where nobody says what came of it.
+func (g *globalFlags) sendCommand(ctx context.Context, c fleet.Command) (fleet.Answer, error) {
+	if g.callerID == "" {
+		g.callerID = "beamctl/" + strconv.FormatUint(rand.Uint64(), 36)
 	}
-	g.number++
-	c.V, c.Caller, c.Number, c.By = fleet.FormOf(&c), g.session, g.number, g.by()
+	g.lastCommandNumber++
+	c.V, c.Caller, c.Number, c.By = fleet.FormOf(&c), g.callerID, g.lastCommandNumber, g.requesterName()
 	if err := c.Check(); err != nil {
-		return fleet.Answer{}, exit{none, err.Error()}
+		return fleet.Answer{}, exitError{exitFailed, err.Error()}
 	}
-	a, err := g.caller(4*time.Second).Do(ctx, c)
+	a, err := g.newCaller(4*time.Second).Do(ctx, c)
 	switch {
 	case errors.Is(err, agent.ErrOpen):
-		return a, exit{unknown, err.Error()}
+		return a, exitError{exitUnknown, err.Error()}
 	case err != nil:
-		return a, exit{none, "refused: " + err.Error()}
+		return a, exitError{exitFailed, "refused: " + err.Error()}
 	case !a.Done:
-		return a, exit{none, "refused: " + a.Why}
+		return a, exitError{exitFailed, "refused: " + a.Why}
 	}
 	return a, nil
 }
 
-func (g *global) write(x any, table func(w *tabwriter.Writer)) {
+func (g *globalFlags) printResult(x any, table func(w *tabwriter.Writer)) {
 	if g.JSON {
 		e := json.NewEncoder(os.Stdout)
 		e.SetIndent("", " ")
@@ -108,18 +108,18 @@
 	w.Flush()
 }
 
-type status struct {
+type statusCmd struct {
 	Watch bool `help:"Again each second, until Ctrl-C or --timeout."`
 }
 
 // Run shows what needs a person, then each agent as it answers itself.
-func (c *status) Run(g *global, ctx context.Context) error {
+func (c *statusCmd) Run(g *globalFlags, ctx context.Context) error {
 	for c.Watch && ctx.Err() == nil {
 		fmt.Print("\033[H\033[2J", time.Now().Format(time.TimeOnly), "\n")
-		err := c.once(g, ctx)
-		var e exit
-		if errors.As(err, &e) {
-			fmt.Println(e.why)
+		err := c.printOnce(g, ctx)
+		var exitErr exitError
+		if errors.As(err, &exitErr) {
+			fmt.Println(exitErr.message)
 		}
 		select {
 		case <-ctx.Done():
@@ -129,23 +129,23 @@
 	if c.Watch {
 		return nil
 	}
-	return c.once(g, ctx)
+	return c.printOnce(g, ctx)
 }
 
-func (*status) once(g *global, ctx context.Context) error {
+func (*statusCmd) printOnce(g *globalFlags, ctx context.Context) error {
 	type row struct {
 		agent.Status
 		Addr string `json:"addr"`
 		Err  string `json:"err,omitempty"`
 	}
-	rec, err := g.read(ctx)
+	rec, err := g.readRecord(ctx)
 	addrs := map[string]string{}
 	if err == nil {
 		for _, m := range rec.Of("agent") {
 			addrs[m.ID] = m.Addr
 		}
 	} else {
-		for _, a := range g.Agent {
+		for _, a := range g.Agents {
 			addrs[a] = a
 		}
 	}
@@ -161,9 +161,9 @@
 		}
 		rows = append(rows, r)
 	}
-	g.write(rows, func(w *tabwriter.Writer) {
+	g.printResult(rows, func(w *tabwriter.Writer) {
 		if err == nil {
-			for _, text := range needs(rec) {
+			for _, text := range attentionLines(rec) {
 				fmt.Fprintln(w, text)
 			}
 		}
@@ -202,40 +202,40 @@
 	case reached == len(rows):
 		return nil
 	case reached > 0:
-		return exit{some, fmt.Sprintf("%d of %d agents answer", reached, len(rows))}
+		return exitError{exitPartial, fmt.Sprintf("%d of %d agents answer", reached, len(rows))}
 	}
-	return exit{unknown, "no agent answers"}
+	return exitError{exitUnknown, "no agent answers"}
 }
 
 type workerDown struct {
-	ID    string `arg:"" help:"The worker."`
-	Zone  string `help:"Its zone, where it is not on record yet."`
-	Why   string `help:"For the audit."`
-	Force bool   `help:"Also where the limits have no room."`
+	ID     string `arg:"" help:"The worker."`
+	Zone   string `help:"Its zone, where it is not on record yet."`
+	Reason string `name:"why" help:"For the audit."`
+	Force  bool   `help:"Also where the limits have no room."`
 }
 
 type workerUp struct {
-	ID    string `arg:"" help:"The worker."`
-	Why   string `help:"For the audit."`
-	Force bool   `help:"Also where another person took it out."`
+	ID     string `arg:"" help:"The worker."`
+	Reason string `name:"why" help:"For the audit."`
+	Force  bool   `help:"Also where another person took it out."`
 }
 
-func (c *workerDown) Run(g *global, ctx context.Context) error {
-	return g.change(ctx, fleet.Command{Do: "out", ID: c.ID, Zone: c.Zone, Why: c.Why, Force: c.Force})
+func (c *workerDown) Run(g *globalFlags, ctx context.Context) error {
+	return g.setWorkerIntent(ctx, fleet.Command{Do: "out", ID: c.ID, Zone: c.Zone, Why: c.Reason, Force: c.Force})
 }
 
-func (c *workerUp) Run(g *global, ctx context.Context) error {
-	return g.change(ctx, fleet.Command{Do: "in", ID: c.ID, Why: c.Why, Force: c.Force})
+func (c *workerUp) Run(g *globalFlags, ctx context.Context) error {
+	return g.setWorkerIntent(ctx, fleet.Command{Do: "in", ID: c.ID, Why: c.Reason, Force: c.Force})
 }
 
-// change puts an intent on record and waits until every scheduler has said yes to it.
-func (g *global) change(ctx context.Context, c fleet.Command) error {
+// setWorkerIntent puts an intent on record and waits until every scheduler has said yes to it.
+func (g *globalFlags) setWorkerIntent(ctx context.Context, c fleet.Command) error {
 	if g.DryRun {
-		r, err := g.read(ctx)
+		r, err := g.readRecord(ctx)
 		if err != nil {
 			return err
 		}
-		g.write(r.Of("scheduler"), func(w *tabwriter.Writer) {
+		g.printResult(r.Of("scheduler"), func(w *tabwriter.Writer) {
 			fmt.Fprintf(w, "worker %s: %s, now out: %t. These would be told:\n", c.ID, c.Do, r.Workers[c.ID].Out)
 			for _, m := range r.Of("scheduler") {
 				fmt.Fprintf(w, "%s\t%s\n", m.ID, m.Zone)
@@ -243,14 +243,14 @@
 		})
 		return nil
 	}
-	a, err := g.do(ctx, c)
+	a, err := g.sendCommand(ctx, c)
 	if err != nil {
 		return err
 	}
 	var t agent.Told
 	obeyed := 0
 	for {
-		err = g.caller(2*time.Second).Get(ctx, "/v1/told?worker="+url.QueryEscape(c.ID), &t)
+		err = g.newCaller(2*time.Second).Get(ctx, "/v1/told?worker="+url.QueryEscape(c.ID), &t)
 		obeyed = 0
 		for _, r := range t.Rows {
 			if r.State == fleet.Obeyed {
@@ -263,14 +263,14 @@
 		select {
 		case <-ctx.Done():
 			if err != nil || t.Intent.Out != (c.Do == "out") {
-				return exit{unknown, fmt.Sprintf("on record as %d; who obeys is not known: %v", a.No, err)}
+				return exitError{exitUnknown, fmt.Sprintf("on record as %d; who obeys is not known: %v", a.No, err)}
 			}
 		case <-time.After(100 * time.Millisecond):
 			continue
 		}
 		break
 	}
-	g.write(t, func(w *tabwriter.Writer) {
+	g.printResult(t, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "SCHEDULER\tSTATE\tWHY")
 		for _, r := range t.Rows {
 			fmt.Fprintf(w, "%s\t%s\t%s\n", r.ID, r.State, r.Why)
@@ -281,27 +281,27 @@
 	case obeyed == len(t.Rows):
 		return nil
 	case obeyed > 0:
-		return exit{some, "on record; the others are told until they obey"}
+		return exitError{exitPartial, "on record; the others are told until they obey"}
 	}
-	return exit{none, "on record; nobody has obeyed yet"}
+	return exitError{exitFailed, "on record; nobody has obeyed yet"}
 }
 
 type workerList struct {
-	Out bool `help:"Those alone that are out."`
+	OutOnly bool `name:"out" help:"Those alone that are out."`
 }
 
-func (c *workerList) Run(g *global, ctx context.Context) error {
-	r, err := g.read(ctx)
+func (c *workerList) Run(g *globalFlags, ctx context.Context) error {
+	r, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	g.write(r.Workers, func(w *tabwriter.Writer) {
+	g.printResult(r.Workers, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "WORKER\tZONE\tSTATE\tSINCE\tBY\tWHY")
 		for _, id := range slices.Sorted(maps.Keys(r.Workers)) {
 			i, state := r.Workers[id], "in use"
 			if i.Out {
 				state = "out"
-			} else if c.Out {
+			} else if c.OutOnly {
 				continue
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", id, i.Zone, state, i.Since, i.By, i.Why)
@@ -312,12 +312,12 @@
 
 type ownerList struct{}
 
-func (ownerList) Run(g *global, ctx context.Context) error {
-	r, err := g.read(ctx)
+func (ownerList) Run(g *globalFlags, ctx context.Context) error {
+	r, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	g.write(r.Matters, func(w *tabwriter.Writer) {
+	g.printResult(r.Matters, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "MATTER\tOWNER\tNUMBER\tWANTED BY")
 		for _, name := range slices.Sorted(maps.Keys(r.Matters)) {
 			m := r.Matters[name]
@@ -328,43 +328,43 @@
 }
 
 type ownerMove struct {
-	Matter string `arg:"" help:"As zone/a."`
-	To     string `arg:"" help:"The agent that is to have it."`
-	Why    string `help:"For the audit."`
+	Matter   string `arg:"" help:"As zone/a."`
+	NewOwner string `arg:"" name:"to" help:"The agent that is to have it."`
+	Reason   string `name:"why" help:"For the audit."`
 }
 
-func (c *ownerMove) Run(g *global, ctx context.Context) error {
+func (c *ownerMove) Run(g *globalFlags, ctx context.Context) error {
 	if g.DryRun {
-		fmt.Printf("%s would be asked to pass to %s\n", c.Matter, c.To)
+		fmt.Printf("%s would be asked to pass to %s\n", c.Matter, c.NewOwner)
 		return nil
 	}
-	if _, err := g.do(ctx, fleet.Command{Do: "want", Matter: c.Matter, Owner: c.To, Why: c.Why}); err != nil {
+	if _, err := g.sendCommand(ctx, fleet.Command{Do: "want", Matter: c.Matter, Owner: c.NewOwner, Why: c.Reason}); err != nil {
 		return err
 	}
 	for {
-		if r, err := g.read(ctx); err == nil && fleet.AgentOf(r.Matters[c.Matter].Owner) == c.To {
-			fmt.Printf("%s is %s's, number %d\n", c.Matter, c.To, r.Matters[c.Matter].Fence)
+		if r, err := g.readRecord(ctx); err == nil && fleet.AgentOf(r.Matters[c.Matter].Owner) == c.NewOwner {
+			fmt.Printf("%s is %s's, number %d\n", c.Matter, c.NewOwner, r.Matters[c.Matter].Fence)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return exit{some, "on record; its owner has not passed it on yet"}
+			return exitError{exitPartial, "on record; its owner has not passed it on yet"}
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
 }
 
-type events struct {
-	Last int `default:"20" help:"How many."`
+type eventsCmd struct {
+	Count int `name:"last" default:"20" help:"How many."`
 }
 
-func (c *events) Run(g *global, ctx context.Context) error {
-	r, err := g.read(ctx)
+func (c *eventsCmd) Run(g *globalFlags, ctx context.Context) error {
+	r, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	rows := r.Rows[max(0, len(r.Rows)-c.Last):]
-	g.write(rows, func(w *tabwriter.Writer) {
+	rows := r.Rows[max(0, len(r.Rows)-c.Count):]
+	g.printResult(rows, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "NO\tWHAT\tOF\tBY\tWHY")
 		for _, e := range rows {
 			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.No, e.What, e.Of, e.By, e.Why)
@@ -380,26 +380,26 @@
 	Kind string `default:"scheduler" enum:"scheduler,agent"`
 }
 
-func (c *memberAdd) Run(g *global, ctx context.Context) error {
-	return g.plain(ctx, fleet.Command{Do: "member", Member: &fleet.Member{ID: c.ID, Kind: c.Kind, Zone: c.Zone, Addr: c.Addr}})
+func (c *memberAdd) Run(g *globalFlags, ctx context.Context) error {
+	return g.recordCommand(ctx, fleet.Command{Do: "member", Member: &fleet.Member{ID: c.ID, Kind: c.Kind, Zone: c.Zone, Addr: c.Addr}})
 }
 
 type memberRemove struct {
-	ID    string `arg:""`
-	Why   string `help:"For the audit: a scheduler that is removed counts as known to be gone."`
-	Force bool   `help:"Also where it is out for an operation."`
+	ID     string `arg:""`
+	Reason string `name:"why" help:"For the audit: a scheduler that is removed counts as known to be gone."`
+	Force  bool   `help:"Also where it is out for an operation."`
 }
 
-func (c *memberRemove) Run(g *global, ctx context.Context) error {
-	return g.plain(ctx, fleet.Command{Do: "unmember", ID: c.ID, Why: c.Why, Force: c.Force})
+func (c *memberRemove) Run(g *globalFlags, ctx context.Context) error {
+	return g.recordCommand(ctx, fleet.Command{Do: "unmember", ID: c.ID, Why: c.Reason, Force: c.Force})
 }
 
-func (g *global) plain(ctx context.Context, c fleet.Command) error {
+func (g *globalFlags) recordCommand(ctx context.Context, c fleet.Command) error {
 	if g.DryRun {
 		fmt.Println("would be put on record:", c.Do, c.ID)
 		return nil
 	}
-	a, err := g.do(ctx, c)
+	a, err := g.sendCommand(ctx, c)
 	if err == nil {
 		fmt.Println("on record as", a.No)
 	}
@@ -407,19 +407,19 @@
 }
 
 type memberReplace struct {
-	Old  uint64 `arg:"" help:"The number of the voter that is gone for good."`
-	New  uint64 `arg:"" help:"A number that no voter ever had."`
-	Addr string `required:"" help:"Where the new one listens; it is started with joins = true."`
+	OldVoter uint64 `arg:"" name:"old" help:"The number of the voter that is gone for good."`
+	NewVoter uint64 `arg:"" name:"new" help:"A number that no voter ever had."`
+	Addr     string `required:"" help:"Where the new one listens; it is started with joins = true."`
 }
 
-func (c *memberReplace) Run(g *global, ctx context.Context) error {
+func (c *memberReplace) Run(g *globalFlags, ctx context.Context) error {
 	if g.DryRun {
-		fmt.Printf("voter %d would go, and %d at %s come\n", c.Old, c.New, c.Addr)
+		fmt.Printf("voter %d would go, and %d at %s come\n", c.OldVoter, c.NewVoter, c.Addr)
 		return nil
 	}
-	raw, _ := json.Marshal(map[string]any{"add": c.New, "addr": c.Addr, "remove": c.Old})
+	raw, _ := json.Marshal(map[string]any{"add": c.NewVoter, "addr": c.Addr, "remove": c.OldVoter})
 	var last error
-	for _, a := range g.Agent {
+	for _, a := range g.Agents {
 		q, _ := http.NewRequestWithContext(ctx, "POST", "http://"+a+"/v1/voters", strings.NewReader(string(raw)))
 		r, err := http.DefaultClient.Do(q)
 		if err != nil {
@@ -434,26 +434,26 @@
 			continue
 		}
 		for ctx.Err() == nil {
-			if rec, err := g.read(ctx); err == nil && rec.Voters[c.New] == c.Addr && rec.Voters[c.Old] == "" {
-				fmt.Printf("voter %d at %s is in, %d is out\n", c.New, c.Addr, c.Old)
+			if rec, err := g.readRecord(ctx); err == nil && rec.Voters[c.NewVoter] == c.Addr && rec.Voters[c.OldVoter] == "" {
+				fmt.Printf("voter %d at %s is in, %d is out\n", c.NewVoter, c.Addr, c.OldVoter)
 				return nil
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		return exit{unknown, "asked for; not on record in time"}
+		return exitError{exitUnknown, "asked for; not on record in time"}
 	}
-	return exit{none, fmt.Sprint("refused: ", last)}
+	return exitError{exitFailed, fmt.Sprint("refused: ", last)}
 }
 
-type check struct {
+type checkCmd struct {
 	Path string `arg:"" help:"An agent's configuration, limits, or an operation's file."`
 }
 
 // Run takes a file for what its keys say it is.
-func (c *check) Run() error {
+func (c *checkCmd) Run() error {
 	raw, err := os.ReadFile(c.Path)
 	if err != nil {
-		return exit{none, err.Error()}
+		return exitError{exitFailed, err.Error()}
 	}
 	var keys map[string]any
 	_ = toml.Unmarshal(raw, &keys) // what is wrong with it is said below
@@ -465,8 +465,8 @@
 		}
 		return err
 	case keys["members"] != nil || keys["select"] != nil || keys["kind"] != nil:
-		f := &opFile{}
-		if err := f.check(c.Path); err != nil {
+		f := &operationFile{}
+		if err := f.load(c.Path); err != nil {
 			return err
 		}
 		fmt.Printf("%s: ok, kind=%s\n", c.Path, f.Kind)
@@ -474,7 +474,7 @@
 	}
 	f, err := agent.Load(c.Path)
 	if err != nil {
-		return exit{none, err.Error()}
+		return exitError{exitFailed, err.Error()}
 	}
 	fmt.Printf("%s: ok, name=%s voters=%d schedulers=%d workers=%d\n", c.Path, f.Name, len(f.Voter), len(f.Scheduler), len(f.Worker))
 	return nil
@@ -482,8 +482,8 @@
 
 // commandLine is everything that beamctl accepts. kong derives commands and flags from the field names and tags.
 type commandLine struct {
-	global
-	Status status `cmd:"" help:"The agents, and what each owns."`
+	globalFlags
+	Status statusCmd `cmd:"" help:"The agents, and what each owns."`
 	Worker struct {
 		Down workerDown `cmd:"" help:"Take a worker out at every scheduler."`
 		Up   workerUp   `cmd:"" help:"Put it back."`
@@ -493,7 +493,7 @@
 		List ownerList `cmd:"" help:"Who acts for which zone."`
 		Move ownerMove `cmd:"" help:"Have another agent act for it."`
 	} `cmd:"" help:"Who acts for the fleet."`
-	Events events `cmd:"" help:"The audit's last rows."`
+	Events eventsCmd `cmd:"" help:"The audit's last rows."`
 	Member struct {
 		Add     memberAdd     `cmd:"" help:"Put a scheduler or an agent on record."`
 		Remove  memberRemove  `cmd:"" help:"Take one off."`
@@ -519,8 +519,8 @@
 		Show limitsShow `cmd:"" default:"1" help:"Those in force."`
 		Set  limitsSet  `cmd:"" help:"Put others in their place."`
 	} `cmd:"" help:"How many may be out together."`
-	Why   whyCmd `cmd:"" help:"Why a member may not go out now."`
-	Check check  `cmd:"" help:"Check a file: an agent's configuration, limits, an operation."`
+	Why   whyCmd   `cmd:"" help:"Why a member may not go out now."`
+	Check checkCmd `cmd:"" help:"Check a file: an agent's configuration, limits, an operation."`
 }
 
 func main() {
@@ -529,11 +529,11 @@
 	ctx, stop := context.WithTimeout(context.Background(), cli.Timeout)
 	defer stop()
 	k.BindTo(ctx, (*context.Context)(nil))
-	err := k.Run(&cli.global)
-	var e exit
-	if errors.As(err, &e) {
-		fmt.Fprintln(os.Stderr, "beamctl:", e.why)
-		os.Exit(e.code)
+	err := k.Run(&cli.globalFlags)
+	var exitErr exitError
+	if errors.As(err, &exitErr) {
+		fmt.Fprintln(os.Stderr, "beamctl:", exitErr.message)
+		os.Exit(exitErr.code)
 	}
 	k.FatalIfErrorf(err)
 }
--- a/cmd/beamctl/ops.go
+++ b/cmd/beamctl/ops.go
@@ -24,31 +24,31 @@
 
 // Operations: drains, restarts, maintenance and releases, their halts and their way back.
 
-// opFile is an operation as a file says it. docs/releases.md has three.
-type opFile struct {
-	Kind     string      `toml:"kind"` // release where none is named
-	Why      string      `toml:"why"`
-	Members  []string    `toml:"members"` // or those of Select
-	Select   string      `toml:"select"`  // schedulers or workers
-	Zone     string      `toml:"zone"`    // of those selected
-	Label    string      `toml:"label"`   // key=value, of those selected
-	Program  string      `toml:"program"`
-	Digest   string      `toml:"digest"` // sha256 of the program; of the file here where none is named
-	Config   string      `toml:"config"`
-	Version  string      `toml:"version"` // for workers' own commands
-	Watch    agent.Span  `toml:"watch"`
-	Pause    agent.Span  `toml:"pause"`
-	WaveMost agent.Span  `toml:"wave_most"`
-	Together int         `toml:"together"`
-	AutoBack bool        `toml:"auto_back"`
-	Gates    fleet.Gates `toml:"gates"`
-}
-
-// strict reads a file, and refuses keys that are none.
-func strict(path string, into any) error {
+// operationFile is an operation as a file says it. docs/releases.md has three.
+type operationFile struct {
+	Kind         string      `toml:"kind"` // release where none is named
+	Reason       string      `toml:"why"`
+	Members      []string    `toml:"members"` // or those of Select
+	SelectKind   string      `toml:"select"`  // schedulers or workers
+	Zone         string      `toml:"zone"`    // of those selected
+	Label        string      `toml:"label"`   // key=value, of those selected
+	Program      string      `toml:"program"`
+	Digest       string      `toml:"digest"` // sha256 of the program; of the file here where none is named
+	Config       string      `toml:"config"`
+	Version      string      `toml:"version"` // for workers' own commands
+	WatchPeriod  agent.Span  `toml:"watch"`
+	Pause        agent.Span  `toml:"pause"`
+	WaveTimeout  agent.Span  `toml:"wave_most"`
+	MaxTogether  int         `toml:"together"`
+	AutoRollback bool        `toml:"auto_back"`
+	Gates        fleet.Gates `toml:"gates"`
+}
+
+// decodeStrict reads a file, and refuses keys that are none.
+func decodeStrict(path string, into any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return exit{none, err.Error()}
+		return exitError{exitFailed, err.Error()}
 	}
 	err = toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(into)
 	var missing *toml.StrictMissingError
@@ -56,22 +56,24 @@
 	switch {
 	case errors.As(err, &missing):
 		row, _ := missing.Errors[0].Position()
-		return exit{none, fmt.Sprintf("%s: line %d: %v is no key", path, row, missing.Errors[0].Key())}
+		return exitError{exitFailed, fmt.Sprintf("%s: line %d: %v is no key", path, row, missing.Errors[0].Key())}
 	case errors.As(err, &at):
 		row, _ := at.Position()
-		return exit{none, fmt.Sprintf("%s: line %d: %v: %s", path, row, at.Key(), at.Error())}
+		return exitError{exitFailed, fmt.Sprintf("%s: line %d: %v: %s", path, row, at.Key(), at.Error())}
 	case err != nil:
-		return exit{none, fmt.Sprintf("%s: %v", path, err)}
+		return exitError{exitFailed, fmt.Sprintf("%s: %v", path, err)}
 	}
 	return nil
 }
 
-// check reads an operation's file, and tells what is wrong with it.
-func (f *opFile) check(path string) error {
-	if err := strict(path, f); err != nil {
+// load reads an operation's file, and tells what is wrong with it.
+func (f *operationFile) load(path string) error {
+	if err := decodeStrict(path, f); err != nil {
 		return err
 	}
-	no := func(format string, args ...any) error { return exit{none, path + ": " + fmt.Sprintf(format, args...)} }
+	no := func(format string, args ...any) error {
+		return exitError{exitFailed, path + ": " + fmt.Sprintf(format, args...)}
+	}
 	if f.Kind == "" {
 		f.Kind = "release"
 	}
@@ -81,31 +83,31 @@
 		return no("kind: %q is no operation", f.Kind)
 	case f.Kind == "release" && released == "":
 		return no("a release names a program, a config or a version")
-	case f.Kind != "release" && (released != "" || f.AutoBack || f.Watch > 0):
+	case f.Kind != "release" && (released != "" || f.AutoRollback || f.WatchPeriod > 0):
 		return no("program, config, version, watch and auto_back are a release's")
 	case f.Pause > 0 && f.Kind != "maintain":
 		return no("pause is maintenance's")
-	case len(f.Members) > 0 && f.Select != "" || len(f.Members) == 0 && f.Select == "":
+	case len(f.Members) > 0 && f.SelectKind != "" || len(f.Members) == 0 && f.SelectKind == "":
 		return no("either members or select is named")
-	case f.Select != "" && f.Select != "schedulers" && f.Select != "workers":
-		return no("select: %q is not schedulers or workers", f.Select)
-	case f.Together < 0 || f.Gates.Settled < 0 || f.Gates.Settled > 1 || f.Gates.Declined < 0 || f.Gates.Declined > 1 || f.Gates.Reversed < 0 ||
+	case f.SelectKind != "" && f.SelectKind != "schedulers" && f.SelectKind != "workers":
+		return no("select: %q is not schedulers or workers", f.SelectKind)
+	case f.MaxTogether < 0 || f.Gates.Settled < 0 || f.Gates.Settled > 1 || f.Gates.Declined < 0 || f.Gates.Declined > 1 || f.Gates.Reversed < 0 ||
 		f.Gates.Reversed > 1 || f.Gates.Txns < 0 || f.Gates.Lost < 0:
 		return no("together and gates are not below 0, and shares not over 1")
 	}
 	return nil
 }
 
-// read makes an operation of a file.
-func (f *opFile) read(path string, r *fleet.Record) (*fleet.Op, error) {
-	if err := f.check(path); err != nil {
+// buildOperation makes an operation of a file.
+func (f *operationFile) buildOperation(path string, r *fleet.Record) (*fleet.Op, error) {
+	if err := f.load(path); err != nil {
 		return nil, err
 	}
 	no := func(format string, args ...any) (*fleet.Op, error) {
-		return nil, exit{none, path + ": " + fmt.Sprintf(format, args...)}
+		return nil, exitError{exitFailed, path + ": " + fmt.Sprintf(format, args...)}
 	}
-	op := &fleet.Op{Kind: f.Kind, Gates: f.Gates, Together: f.Together, AutoBack: f.AutoBack, Watch: ms(f.Watch), Pause: ms(f.Pause),
-		WaveMost: ms(f.WaveMost), Version: fleet.Version{Program: f.Program, Digest: f.Digest, Config: f.Config, Name: f.Version}}
+	op := &fleet.Op{Kind: f.Kind, Gates: f.Gates, Together: f.MaxTogether, AutoBack: f.AutoRollback, Watch: milliseconds(f.WatchPeriod), Pause: milliseconds(f.Pause),
+		WaveMost: milliseconds(f.WaveTimeout), Version: fleet.Version{Program: f.Program, Digest: f.Digest, Config: f.Config, Name: f.Version}}
 	if f.Program != "" && f.Digest == "" {
 		raw, err := os.ReadFile(f.Program)
 		if err != nil {
@@ -123,7 +125,7 @@
 		members = append(members, m)
 	}
 	key, value, _ := strings.Cut(f.Label, "=")
-	for _, m := range r.Of(strings.TrimSuffix(f.Select, "s")) {
+	for _, m := range r.Of(strings.TrimSuffix(f.SelectKind, "s")) {
 		if (f.Zone == "" || m.Zone == f.Zone) && (f.Label == "" || slices.Contains(strings.Split(m.Labels, ","), key+"="+value)) {
 			members = append(members, m)
 		}
@@ -135,28 +137,28 @@
 	return op, nil
 }
 
-func ms(s agent.Span) float64 { return float64(time.Duration(s)) / 1e6 }
+func milliseconds(s agent.Span) float64 { return float64(time.Duration(s)) / 1e6 }
 
 type planCmd struct {
-	Path string        `arg:"" help:"An operation's file."`
-	Each time.Duration `default:"5s" help:"How long one member is taken to need."`
+	Path          string        `arg:"" help:"An operation's file."`
+	TimePerMember time.Duration `name:"each" default:"5s" help:"How long one member is taken to need."`
 }
 
-func (c *planCmd) Run(g *global, ctx context.Context) error {
-	r, err := g.read(ctx)
+func (c *planCmd) Run(g *globalFlags, ctx context.Context) error {
+	r, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	op, err := (&opFile{}).read(c.Path, r)
+	op, err := (&operationFile{}).buildOperation(c.Path, r)
 	if err != nil {
 		return err
 	}
-	return g.plan(r, op, c.Each)
+	return g.printPlan(r, op, c.TimePerMember)
 }
 
-func (g *global) plan(r *fleet.Record, op *fleet.Op, each time.Duration) error {
+func (g *globalFlags) printPlan(r *fleet.Record, op *fleet.Op, each time.Duration) error {
 	f := r.Plan(op, each.Seconds())
-	g.write(f, func(w *tabwriter.Writer) {
+	g.printResult(f, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "WAVE\tMEMBERS")
 		for i, wave := range f.Waves {
 			fmt.Fprintf(w, "%d\t%s\n", i+1, strings.Join(wave, " "))
@@ -170,21 +172,21 @@
 		}
 	})
 	if len(f.Blocks) > 0 {
-		return exit{none, "it can't begin as things stand"}
+		return exitError{exitFailed, "it can't begin as things stand"}
 	}
 	return nil
 }
 
-// begin puts an operation on record; with wait it goes on until it is over, halted, or the time is.
-func (g *global) begin(ctx context.Context, op *fleet.Op, why string, wait bool) error {
+// beginOperation puts an operation on record; with wait it goes on until it is over, halted, or the time is.
+func (g *globalFlags) beginOperation(ctx context.Context, op *fleet.Op, why string, wait bool) error {
 	if g.DryRun {
-		r, err := g.read(ctx)
+		r, err := g.readRecord(ctx)
 		if err != nil {
 			return err
 		}
-		return g.plan(r, op, 5*time.Second)
+		return g.printPlan(r, op, 5*time.Second)
 	}
-	a, err := g.do(ctx, fleet.Command{Do: "begin", Op: op, Why: why})
+	a, err := g.sendCommand(ctx, fleet.Command{Do: "begin", Op: op, Why: why})
 	if err != nil {
 		return err
 	}
@@ -193,19 +195,19 @@
 		fmt.Println(id)
 		return nil
 	}
-	return g.follow(ctx, id, func(o *fleet.Op, halted bool) bool { return o.Done || halted })
+	return g.waitForOperation(ctx, id, func(o *fleet.Op, halted bool) bool { return o.Done || halted })
 }
 
-// follow waits for an operation, and ends with its table.
-func (g *global) follow(ctx context.Context, id string, over func(o *fleet.Op, halted bool) bool) error {
+// waitForOperation waits for an operation, and ends with its table.
+func (g *globalFlags) waitForOperation(ctx context.Context, id string, over func(o *fleet.Op, halted bool) bool) error {
 	var r *fleet.Record
 	for {
-		n, err := g.read(ctx)
+		n, err := g.readRecord(ctx)
 		if err == nil {
 			r = n
 			o := r.Ops[id]
 			if o == nil {
-				return exit{none, "no operation " + id}
+				return exitError{exitFailed, "no operation " + id}
 			}
 			if _, halted := r.Halts[id]; over(o, halted) {
 				break
@@ -219,19 +221,19 @@
 		break
 	}
 	if r == nil {
-		return exit{unknown, id + " is on record; how far it is can't be read"}
+		return exitError{exitUnknown, id + " is on record; how far it is can't be read"}
 	}
-	return g.showOp(r, id)
+	return g.printOperation(r, id)
 }
 
-func (g *global) showOp(r *fleet.Record, id string) error {
+func (g *globalFlags) printOperation(r *fleet.Record, id string) error {
 	o := r.Ops[id]
 	if o == nil {
-		return exit{none, "no operation " + id}
+		return exitError{exitFailed, "no operation " + id}
 	}
 	halt, halted := r.Halts[id]
 	arrived, total := 0, 0
-	g.write(struct {
+	g.printResult(struct {
 		*fleet.Op
 		Halt *fleet.Halt `json:"halt,omitempty"`
 	}{o, map[bool]*fleet.Halt{true: &halt}[halted]}, func(w *tabwriter.Writer) {
@@ -260,36 +262,42 @@
 	case o.Done && arrived == total:
 		return nil
 	case halted:
-		return exit{some, fmt.Sprintf("%s is halted: %s; %d of %d have arrived", id, halt.Why, arrived, total)}
+		return exitError{exitPartial, fmt.Sprintf("%s is halted: %s; %d of %d have arrived", id, halt.Why, arrived, total)}
 	case arrived > 0:
-		return exit{some, fmt.Sprintf("%s goes on: %d of %d have arrived", id, arrived, total)}
+		return exitError{exitPartial, fmt.Sprintf("%s goes on: %d of %d have arrived", id, arrived, total)}
 	}
-	return exit{none, fmt.Sprintf("%s goes on: none of %d has arrived", id, total)}
+	return exitError{exitFailed, fmt.Sprintf("%s goes on: none of %d has arrived", id, total)}
 }
 
-type members struct {
-	IDs  []string `arg:"" name:"member" help:"Schedulers or workers."`
-	Why  string   `help:"For the audit."`
-	Wait bool     `default:"true" negatable:"" help:"Wait until all have arrived."`
+type memberArgs struct {
+	IDs    []string `arg:"" name:"member" help:"Schedulers or workers."`
+	Reason string   `name:"why" help:"For the audit."`
+	Wait   bool     `default:"true" negatable:"" help:"Wait until all have arrived."`
 }
 
-func (c *members) run(g *global, ctx context.Context, kind string, pause time.Duration) error {
-	return g.begin(ctx, &fleet.Op{Kind: kind, Waves: [][]string{c.IDs}, Pause: float64(pause) / 1e6}, c.Why, c.Wait)
+func (c *memberArgs) begin(g *globalFlags, ctx context.Context, kind string, pause time.Duration) error {
+	return g.beginOperation(ctx, &fleet.Op{Kind: kind, Waves: [][]string{c.IDs}, Pause: float64(pause) / 1e6}, c.Reason, c.Wait)
 }
 
-type drainCmd struct{ members }
-type undrainCmd struct{ members }
-type restartCmd struct{ members }
+type drainCmd struct{ memberArgs }
+type undrainCmd struct{ memberArgs }
+type restartCmd struct{ memberArgs }
 type maintainCmd struct {
-	members
+	memberArgs
 	Pause time.Duration `help:"How long it stays out before it comes back."`
 }
 
-func (c *drainCmd) Run(g *global, ctx context.Context) error   { return c.run(g, ctx, "drain", 0) }
-func (c *undrainCmd) Run(g *global, ctx context.Context) error { return c.run(g, ctx, "undrain", 0) }
-func (c *restartCmd) Run(g *global, ctx context.Context) error { return c.run(g, ctx, "restart", 0) }
-func (c *maintainCmd) Run(g *global, ctx context.Context) error {
-	return c.run(g, ctx, "maintain", c.Pause)
+func (c *drainCmd) Run(g *globalFlags, ctx context.Context) error {
+	return c.begin(g, ctx, "drain", 0)
+}
+func (c *undrainCmd) Run(g *globalFlags, ctx context.Context) error {
+	return c.begin(g, ctx, "undrain", 0)
+}
+func (c *restartCmd) Run(g *globalFlags, ctx context.Context) error {
+	return c.begin(g, ctx, "restart", 0)
+}
+func (c *maintainCmd) Run(g *globalFlags, ctx context.Context) error {
+	return c.begin(g, ctx, "maintain", c.Pause)
 }
 
 type releaseStart struct {
@@ -297,88 +305,88 @@
 	Wait bool   `help:"Wait until it is over or halted."`
 }
 
-func (c *releaseStart) Run(g *global, ctx context.Context) error {
-	r, err := g.read(ctx)
+func (c *releaseStart) Run(g *globalFlags, ctx context.Context) error {
+	r, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	f := &opFile{}
-	op, err := f.read(c.Path, r)
+	f := &operationFile{}
+	op, err := f.buildOperation(c.Path, r)
 	if err != nil {
 		return err
 	}
-	return g.begin(ctx, op, f.Why, c.Wait)
+	return g.beginOperation(ctx, op, f.Reason, c.Wait)
 }
 
-type opArg struct {
-	ID  string `arg:"" help:"The operation, as release-17."`
-	Why string `help:"For the audit."`
+type operationArgs struct {
+	ID     string `arg:"" help:"The operation, as release-17."`
+	Reason string `name:"why" help:"For the audit."`
 }
 
 type releaseStatus struct {
 	ID string `arg:"" help:"The operation."`
 }
 
-func (c *releaseStatus) Run(g *global, ctx context.Context) error {
-	r, err := g.read(ctx)
+func (c *releaseStatus) Run(g *globalFlags, ctx context.Context) error {
+	r, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	return g.showOp(r, c.ID)
+	return g.printOperation(r, c.ID)
 }
 
 type releaseHalt struct {
-	opArg
-	Then string `enum:"finish,back" default:"finish" help:"What is out is finished, or all goes back."`
+	operationArgs
+	OnHalt string `name:"then" enum:"finish,back" default:"finish" help:"What is out is finished, or all goes back."`
 }
 
-func (c *releaseHalt) Run(g *global, ctx context.Context) error {
-	return g.halt(ctx, c.ID, c.Why, c.Then)
+func (c *releaseHalt) Run(g *globalFlags, ctx context.Context) error {
+	return g.sendHalt(ctx, c.ID, c.Reason, c.OnHalt)
 }
 
-type releaseResume struct{ opArg }
+type releaseResume struct{ operationArgs }
 
-func (c *releaseResume) Run(g *global, ctx context.Context) error {
-	return g.plain(ctx, fleet.Command{Do: "lift", ID: c.ID, Why: c.Why})
+func (c *releaseResume) Run(g *globalFlags, ctx context.Context) error {
+	return g.recordCommand(ctx, fleet.Command{Do: "lift", ID: c.ID, Why: c.Reason})
 }
 
 type releaseBack struct {
-	opArg
+	operationArgs
 	Wait bool `help:"Wait until all that can has gone back."`
 }
 
-func (c *releaseBack) Run(g *global, ctx context.Context) error {
+func (c *releaseBack) Run(g *globalFlags, ctx context.Context) error {
 	if g.DryRun {
 		fmt.Println(c.ID, "would go back")
 		return nil
 	}
-	if _, err := g.do(ctx, fleet.Command{Do: "turn", Matter: fleet.OpOf(c.ID), Why: c.Why}); err != nil {
+	if _, err := g.sendCommand(ctx, fleet.Command{Do: "turn", Matter: fleet.OpOf(c.ID), Why: c.Reason}); err != nil {
 		return err
 	}
 	if !c.Wait {
 		fmt.Println(c.ID, "goes back")
 		return nil
 	}
-	return g.follow(ctx, c.ID, func(o *fleet.Op, _ bool) bool { return o.Back && o.Done })
+	return g.waitForOperation(ctx, c.ID, func(o *fleet.Op, _ bool) bool { return o.Back && o.Done })
 }
 
 type releaseClose struct {
-	opArg
+	operationArgs
 	Force bool `help:"Also where it is not over."`
 }
 
-func (c *releaseClose) Run(g *global, ctx context.Context) error {
-	return g.plain(ctx, fleet.Command{Do: "close", Matter: fleet.OpOf(c.ID), Why: c.Why, Force: c.Force})
+func (c *releaseClose) Run(g *globalFlags, ctx context.Context) error {
+	return g.recordCommand(ctx, fleet.Command{Do: "close", Matter: fleet.OpOf(c.ID), Why: c.Reason, Force: c.Force})
 }
 
 type releaseList struct{}
 
-func (releaseList) Run(g *global, ctx context.Context) error {
-	r, err := g.read(ctx)
+func (releaseList) Run(g *globalFlags, ctx context.Context) error {
+	r, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	g.write(r.Ops, func(w *tabwriter.Writer) {
+	g.printResult(r.Ops, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "OPERATION\tBY\tWAVE\tARRIVED\tSTATE\tWHY")
 		for _, id := range slices.Sorted(maps.Keys(r.Ops)) {
 			o, arrived := r.Ops[id], 0
@@ -387,13 +395,13 @@
 					arrived++
 				}
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d/%d\t%d/%d\t%s\t%s\n", id, o.By, o.Wave+1, len(o.Waves), arrived, len(o.Steps), opState(r, o), o.Why)
+			fmt.Fprintf(w, "%s\t%s\t%d/%d\t%d/%d\t%s\t%s\n", id, o.By, o.Wave+1, len(o.Waves), arrived, len(o.Steps), operationState(r, o), o.Why)
 		}
 	})
 	return nil
 }
 
-func opState(r *fleet.Record, o *fleet.Op) string {
+func operationState(r *fleet.Record, o *fleet.Op) string {
 	_, halted := r.Halts[o.ID]
 	switch {
 	case o.Closed:
@@ -411,15 +419,17 @@
 }
 
 type haltCmd struct {
-	Of   string `arg:"" help:"An operation, zone/ZONE, or all."`
-	Why  string `help:"For the audit."`
-	Then string `enum:"finish,back" default:"finish" help:"Of an operation: what is out is finished, or all goes back."`
+	Scope  string `arg:"" name:"of" help:"An operation, zone/ZONE, or all."`
+	Reason string `name:"why" help:"For the audit."`
+	OnHalt string `name:"then" enum:"finish,back" default:"finish" help:"Of an operation: what is out is finished, or all goes back."`
 }
 
-func (c *haltCmd) Run(g *global, ctx context.Context) error { return g.halt(ctx, c.Of, c.Why, c.Then) }
+func (c *haltCmd) Run(g *globalFlags, ctx context.Context) error {
+	return g.sendHalt(ctx, c.Scope, c.Reason, c.OnHalt)
+}
 
-// halt tells every agent itself, and the record: it takes hold at each that says yes, also where there is no majority.
-func (g *global) halt(ctx context.Context, of, why, then string) error {
+// sendHalt tells every agent itself, and the record: it takes hold at each that says yes, also where there is no majority.
+func (g *globalFlags) sendHalt(ctx context.Context, of, why, then string) error {
 	type row struct {
 		Agent string      `json:"agent"`
 		State fleet.State `json:"state"`
@@ -430,17 +440,17 @@
 		return nil
 	}
 	ask := map[string]string{}
-	r, rerr := g.read(ctx)
+	r, rerr := g.readRecord(ctx)
 	if rerr == nil {
 		for _, m := range r.Of("agent") {
 			ask[m.ID] = m.Addr
 		}
 	} else {
-		for _, addr := range g.Agent {
+		for _, addr := range g.Agents {
 			ask[addr] = addr // nobody can say who else there is
 		}
 	}
-	h, _ := json.Marshal(fleet.Halt{Of: of, By: g.by(), Why: why, Then: then})
+	h, _ := json.Marshal(fleet.Halt{Of: of, By: g.requesterName(), Why: why, Then: then})
 	rows, yes := map[string]row{}, 0
 	got := make(chan row)
 	client := agent.NewHTTP(nil, 2*time.Second)
@@ -473,8 +483,8 @@
 			yes++
 		}
 	}
-	a, err := g.do(ctx, fleet.Command{Do: "halt", ID: of, Why: why, Then: then})
-	g.write(rows, func(w *tabwriter.Writer) {
+	a, err := g.sendCommand(ctx, fleet.Command{Do: "halt", ID: of, Why: why, Then: then})
+	g.printResult(rows, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "AGENT\tSTATE\tWHY")
 		for _, id := range slices.Sorted(maps.Keys(rows)) {
 			fmt.Fprintf(w, "%s\t%s\t%s\n", id, rows[id].State, rows[id].Why)
@@ -489,28 +499,28 @@
 	case err == nil && yes == len(rows):
 		return nil
 	case yes > 0 || err == nil:
-		return exit{some, "it holds at those that obeyed" + map[bool]string{true: ", and on record", false: "; they put it on record when they can"}[err == nil]}
+		return exitError{exitPartial, "it holds at those that obeyed" + map[bool]string{true: ", and on record", false: "; they put it on record when they can"}[err == nil]}
 	}
-	return exit{none, "nobody could be told"}
+	return exitError{exitFailed, "nobody could be told"}
 }
 
 type liftCmd struct {
-	Of  string `arg:"" help:"What was halted."`
-	Why string `help:"For the audit."`
+	Scope  string `arg:"" name:"of" help:"What was halted."`
+	Reason string `name:"why" help:"For the audit."`
 }
 
-func (c *liftCmd) Run(g *global, ctx context.Context) error {
-	return g.plain(ctx, fleet.Command{Do: "lift", ID: c.Of, Why: c.Why})
+func (c *liftCmd) Run(g *globalFlags, ctx context.Context) error {
+	return g.recordCommand(ctx, fleet.Command{Do: "lift", ID: c.Scope, Why: c.Reason})
 }
 
 type limitsShow struct{}
 
-func (limitsShow) Run(g *global, ctx context.Context) error {
-	r, err := g.read(ctx)
+func (limitsShow) Run(g *globalFlags, ctx context.Context) error {
+	r, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	g.write(r.Limits, func(w *tabwriter.Writer) {
+	g.printResult(r.Limits, func(w *tabwriter.Writer) {
 		for _, l := range r.Limits {
 			fmt.Fprintln(w, l)
 		}
@@ -522,29 +532,29 @@
 }
 
 type limitsSet struct {
-	Path string `arg:"" help:"A file with [[limit]] rows."`
-	Why  string `help:"For the audit."`
+	Path   string `arg:"" help:"A file with [[limit]] rows."`
+	Reason string `name:"why" help:"For the audit."`
 }
 
 func readLimits(path string) ([]fleet.Limit, error) {
 	var f struct {
 		Limit []fleet.Limit `toml:"limit"`
 	}
-	if err := strict(path, &f); err != nil {
+	if err := decodeStrict(path, &f); err != nil {
 		return nil, err
 	}
 	if why := fleet.CheckLimits(f.Limit); why != "" {
-		return nil, exit{none, path + ": " + why}
+		return nil, exitError{exitFailed, path + ": " + why}
 	}
 	return f.Limit, nil
 }
 
-func (c *limitsSet) Run(g *global, ctx context.Context) error {
+func (c *limitsSet) Run(g *globalFlags, ctx context.Context) error {
 	all, err := readLimits(c.Path)
 	if err != nil {
 		return err
 	}
-	return g.plain(ctx, fleet.Command{Do: "limits", Limits: all, Why: c.Why})
+	return g.recordCommand(ctx, fleet.Command{Do: "limits", Limits: all, Why: c.Reason})
 }
 
 type whyCmd struct {
@@ -552,18 +562,18 @@
 }
 
 // Run says why a member may not go out now, a row for each thing that counts.
-func (c *whyCmd) Run(g *global, ctx context.Context) error {
-	r, err := g.read(ctx)
+func (c *whyCmd) Run(g *globalFlags, ctx context.Context) error {
+	r, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
 	m, known := r.Members[c.ID]
 	if !known || m.Kind == "agent" {
-		return exit{none, "no such scheduler or worker"}
+		return exitError{exitFailed, "no such scheduler or worker"}
 	}
 	rows := r.Room(c.ID)
 	why := r.Grant(&fleet.Op{ID: "-"}, c.ID)
-	g.write(rows, func(w *tabwriter.Writer) {
+	g.printResult(rows, func(w *tabwriter.Writer) {
 		state, out := r.IsOut(c.ID)
 		if !out {
 			state = "in service"
@@ -585,13 +595,13 @@
 		}
 	})
 	if why != "" {
-		return exit{none, why}
+		return exitError{exitFailed, why}
 	}
 	return nil
 }
 
-// needs lists what needs a person, the most urgent first.
-func needs(r *fleet.Record) (all []string) {
+// attentionLines lists what needs a person, the most urgent first.
+func attentionLines(r *fleet.Record) (all []string) {
 	for _, of := range slices.Sorted(maps.Keys(r.Halts)) {
 		h := r.Halts[of]
 		all = append(all, fmt.Sprintf("HALTED %s by %s: %s", of, h.By, h.Why))
@@ -607,7 +617,7 @@
 			}
 		}
 		if o.Done {
-			all = append(all, fmt.Sprintf("CLOSE %s: it is %s, and what it came from is still kept", id, opState(r, o)))
+			all = append(all, fmt.Sprintf("CLOSE %s: it is %s, and what it came from is still kept", id, operationState(r, o)))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.Members)) {
--- a/cmd/beamctl/ops_test.go
+++ b/cmd/beamctl/ops_test.go
@@ -39,13 +39,13 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got := opFile{}
-	if err := got.check(path); err != nil {
+	got := operationFile{}
+	if err := got.load(path); err != nil {
 		t.Fatal(err)
 	}
-	want := opFile{Kind: "release", Why: "fix", Select: "schedulers", Zone: "a", Label: "rack=1", Program: "/opt/shalebeam", Digest: "ab12",
-		Config: "/etc/{id}.toml", Version: "v2", Watch: agent.Span(time.Second), WaveMost: agent.Span(3 * time.Second), Together: 2,
-		AutoBack: true, Gates: fleet.Gates{Settled: 0.1, Declined: 0.2, Reversed: 0.3, Txns: 40, Lost: 5}}
+	want := operationFile{Kind: "release", Reason: "fix", SelectKind: "schedulers", Zone: "a", Label: "rack=1", Program: "/opt/shalebeam", Digest: "ab12",
+		Config: "/etc/{id}.toml", Version: "v2", WatchPeriod: agent.Span(time.Second), WaveTimeout: agent.Span(3 * time.Second), MaxTogether: 2,
+		AutoRollback: true, Gates: fleet.Gates{Settled: 0.1, Declined: 0.2, Reversed: 0.3, Txns: 40, Lost: 5}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
@@ -53,11 +53,11 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got = opFile{}
-	if err := got.check(path); err != nil {
+	got = operationFile{}
+	if err := got.load(path); err != nil {
 		t.Fatal(err)
 	}
-	want = opFile{Kind: "maintain", Members: []string{"s0", "s1"}, Pause: agent.Span(2 * time.Second)}
+	want = operationFile{Kind: "maintain", Members: []string{"s0", "s1"}, Pause: agent.Span(2 * time.Second)}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
