--- a/cmd/beamctl/main.go
+++ b/cmd/beamctl/main.go
@@ -1,5 +1,8 @@
-// Command beamctl asks the fleet's agents: who is there, who owns what, who is out; and takes workers out and back at
-// every scheduler. Each command ends with a table of who obeyed, refused and why, was not reached, is unknown.
+// Command beamctl is the command-line client of the fleet's agents, which it calls over HTTP. It reads the fleet record,
+// the replicated state that the voters among the agents keep: members, owners, operations, halts, limits and the audit
+// log. It takes workers out of service and back at every scheduler, and runs drains, restarts, maintenance and releases.
+// A command that schedulers or agents have to follow ends with a table of which obeyed, which refused and why, which were
+// not reached, and which have not answered yet.
 package main
 
 import (
@@ -26,14 +29,23 @@
 	"shalebeam/fleet"
 )
 
-// Exit codes, beside 0 where all obeyed: some did, none did or it was refused, nobody could say.
+// Exit codes; 0 means that everything that was asked for is done.
 const (
-	exitPartial = 1
-	exitFailed  = 2
-	exitUnknown = 3
+	exitPartial = 1 // some schedulers, agents or members have followed the command, others have not
+	exitFailed  = 2 // none has followed it, the command was refused, or the input is invalid
+	exitUnknown = 3 // no agent could tell the outcome; a change may be on record nevertheless
 )
 
-// exitError ends the program with a code, after its output.
+const (
+	readTimeout    = 2 * time.Second        // for one agent to return the record or a worker's standings
+	commandTimeout = 4 * time.Second        // for one agent to answer a command; an agent itself waits 3 s for the outcome
+	haltTimeout    = 2 * time.Second        // for one agent to accept a halt
+	statusTimeout  = time.Second            // for one agent to report its own status
+	pollInterval   = 100 * time.Millisecond // between two reads while waiting for a change to take effect
+	watchInterval  = time.Second            // between two screens of status --watch
+)
+
+// exitError ends the program with an exit code; its message goes to standard error after the command's output.
 type exitError struct {
 	code    int
 	message string
@@ -41,20 +53,24 @@
 
 func (e exitError) Error() string { return e.message }
 
+// globalFlags are the flags that all commands share, with the idempotency key of the commands that this process sends.
 type globalFlags struct {
-	Agents            []string      `name:"agent" env:"BEAM_AGENT" default:"127.0.0.1:7001" placeholder:"ADDR" help:"Agents to ask, tried in turn."`
-	Timeout           time.Duration `default:"10s" help:"How long to wait for all to obey."`
-	JSON              bool          `help:"Write JSON to standard output."`
-	DryRun            bool          `help:"Say what would be done, and change nothing."`
-	Requester         string        `name:"by" env:"BEAM_BY" placeholder:"NAME" help:"Who asks; by default the user's name."`
-	callerID          string
-	lastCommandNumber uint64
+	Agents    []string      `name:"agent" env:"BEAM_AGENT" default:"127.0.0.1:7001" placeholder:"ADDR" help:"Addresses of the agents to ask, tried in order until one answers."`
+	Timeout   time.Duration `default:"10s" help:"Time limit of the whole command, with its wait for schedulers, agents or members."`
+	JSON      bool          `help:"Write JSON to standard output instead of a table."`
+	DryRun    bool          `help:"Show what would be done, and change nothing."`
+	Requester string        `name:"by" env:"BEAM_BY" placeholder:"NAME" help:"Who requests the change, for the audit log; by default the current user's name."`
+
+	callerID          string // random, one for each run of beamctl; "" until the first command is sent
+	lastCommandNumber uint64 // of the commands sent under callerID
 }
 
-func (g *globalFlags) newCaller(most time.Duration) *agent.Caller {
-	return &agent.Caller{HTTP: agent.NewHTTP(nil, most), Addrs: g.Agents}
+// newCaller returns a client that tries the agents in turn, and gives each call callTimeout.
+func (g *globalFlags) newCaller(callTimeout time.Duration) *agent.Caller {
+	return &agent.Caller{HTTP: agent.NewHTTP(nil, callTimeout), Addrs: g.Agents}
 }
 
+// requesterName is --by, or else the name of the user who runs the program.
 func (g *globalFlags) requesterName() string {
 	if g.Requester != "" {
 		return g.Requester
@@ -65,42 +81,45 @@
 	return "somebody"
 }
 
+// readRecord returns the fleet record, at least as new as every change that was acknowledged before the call.
 func (g *globalFlags) readRecord(ctx context.Context) (*fleet.Record, error) {
 	var raw json.RawMessage
-	if err := g.newCaller(2*time.Second).Get(ctx, "/v1/read", &raw); err != nil {
-		return nil, exitError{exitUnknown, "the record can't be read: " + err.Error()}
+	if err := g.newCaller(readTimeout).Get(ctx, "/v1/read", &raw); err != nil {
+		return nil, exitError{exitUnknown, "cannot read the fleet record: " + err.Error()}
 	}
-	r := fleet.NewRecord()
-	return r, r.Restore(raw)
+	record := fleet.NewRecord()
+	return record, record.Restore(raw)
 }
 
-// sendCommand sends a command, the same one again where nobody says what came of it.
-func (g *globalFlags) sendCommand(ctx context.Context, c fleet.Command) (fleet.Answer, error) {
+// sendCommand sends a command to the agents until one reports its outcome. A retry carries the same caller id and number,
+// which are the command's idempotency key: the record applies the command once.
+func (g *globalFlags) sendCommand(ctx context.Context, command fleet.Command) (fleet.Answer, error) {
 	if g.callerID == "" {
 		g.callerID = "beamctl/" + strconv.FormatUint(rand.Uint64(), 36)
 	}
 	g.lastCommandNumber++
-	c.V, c.Caller, c.Number, c.By = fleet.FormOf(&c), g.callerID, g.lastCommandNumber, g.requesterName()
-	if err := c.Check(); err != nil {
+	command.V, command.Caller, command.Number, command.By = fleet.FormOf(&command), g.callerID, g.lastCommandNumber, g.requesterName()
+	if err := command.Check(); err != nil {
 		return fleet.Answer{}, exitError{exitFailed, err.Error()}
 	}
-	a, err := g.newCaller(4*time.Second).Do(ctx, c)
+	answer, err := g.newCaller(commandTimeout).Do(ctx, command)
 	switch {
 	case errors.Is(err, agent.ErrOpen):
-		return a, exitError{exitUnknown, err.Error()}
+		return answer, exitError{exitUnknown, err.Error()}
 	case err != nil:
-		return a, exitError{exitFailed, "refused: " + err.Error()}
-	case !a.Done:
-		return a, exitError{exitFailed, "refused: " + a.Why}
+		return answer, exitError{exitFailed, "refused: " + err.Error()}
+	case !answer.Done:
+		return answer, exitError{exitFailed, "refused: " + answer.Why}
 	}
-	return a, nil
+	return answer, nil
 }
 
-func (g *globalFlags) printResult(x any, table func(w *tabwriter.Writer)) {
+// printResult writes result as JSON with --json, and else the table.
+func (g *globalFlags) printResult(result any, table func(w *tabwriter.Writer)) {
 	if g.JSON {
-		e := json.NewEncoder(os.Stdout)
-		e.SetIndent("", " ")
-		_ = e.Encode(x)
+		encoder := json.NewEncoder(os.Stdout)
+		encoder.SetIndent("", " ")
+		_ = encoder.Encode(result)
 		return
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
@@ -109,10 +128,10 @@
 }
 
 type statusCmd struct {
-	Watch bool `help:"Again each second, until Ctrl-C or --timeout."`
+	Watch bool `help:"Repeat every second, until Ctrl-C or --timeout."`
 }
 
-// Run shows what needs a person, then each agent as it answers itself.
+// Run prints what an operator has to attend to, then the status that each agent reports of itself.
 func (c *statusCmd) Run(g *globalFlags, ctx context.Context) error {
 	for c.Watch && ctx.Err() == nil {
 		fmt.Print("\033[H\033[2J", time.Now().Format(time.TimeOnly), "\n")
@@ -123,7 +142,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Second):
+		case <-time.After(watchInterval):
 		}
 	}
 	if c.Watch {
@@ -132,67 +151,70 @@
 	return c.printOnce(g, ctx)
 }
 
+// printOnce asks each agent on record for its status, or the agents of --agent if the record cannot be read.
 func (*statusCmd) printOnce(g *globalFlags, ctx context.Context) error {
-	type row struct {
+	// agentRow is also the JSON form of one agent.
+	type agentRow struct {
 		agent.Status
 		Addr string `json:"addr"`
 		Err  string `json:"err,omitempty"`
 	}
-	rec, err := g.readRecord(ctx)
-	addrs := map[string]string{}
+	record, err := g.readRecord(ctx)
+	addrs := map[string]string{} // by agent id, or by address if the record cannot be read
 	if err == nil {
-		for _, m := range rec.Of("agent") {
-			addrs[m.ID] = m.Addr
+		for _, member := range record.Of("agent") {
+			addrs[member.ID] = member.Addr
 		}
 	} else {
-		for _, a := range g.Agents {
-			addrs[a] = a
+		for _, addr := range g.Agents {
+			addrs[addr] = addr
 		}
 	}
-	var rows []row
+	var rows []agentRow
 	reached := 0
 	for _, id := range slices.Sorted(maps.Keys(addrs)) {
-		r := row{Addr: addrs[id]}
-		c := &agent.Caller{HTTP: agent.NewHTTP(nil, time.Second), Addrs: []string{r.Addr}}
-		if e := c.Get(ctx, "/v1/status", &r.Status); e != nil {
-			r.Name, r.Err = id, "not reached"
+		row := agentRow{Addr: addrs[id]}
+		caller := &agent.Caller{HTTP: agent.NewHTTP(nil, statusTimeout), Addrs: []string{row.Addr}}
+		if e := caller.Get(ctx, "/v1/status", &row.Status); e != nil {
+			row.Name, row.Err = id, "not reached"
 		} else {
 			reached++
 		}
-		rows = append(rows, r)
+		rows = append(rows, row)
 	}
 	g.printResult(rows, func(w *tabwriter.Writer) {
 		if err == nil {
-			for _, text := range attentionLines(rec) {
+			for _, text := range attentionLines(record) {
 				fmt.Fprintln(w, text)
 			}
 		}
 		fmt.Fprintln(w, "AGENT\tZONE\tADDR\tVOTER\tRECORD\tOWNS")
-		for _, r := range rows {
+		for _, row := range rows {
 			voter := "-"
 			switch {
-			case r.Voter != 0 && r.Leads:
-				voter = fmt.Sprint(r.Voter, " leads")
-			case r.Behind:
-				voter = fmt.Sprint(r.Voter, " REPLACE: its disk lacks what it acknowledged")
-			case r.Voter != 0 && !r.Counts:
-				voter = fmt.Sprint(r.Voter, " waits")
-			case r.Voter != 0:
-				voter = fmt.Sprint(r.Voter)
+			case row.Voter != 0 && row.Leads:
+				voter = fmt.Sprint(row.Voter, " leads")
+			case row.Behind:
+				voter = fmt.Sprint(row.Voter, " REPLACE: its disk lacks what it acknowledged")
+			case row.Voter != 0 && !row.Counts:
+				voter = fmt.Sprint(row.Voter, " waits")
+			case row.Voter != 0:
+				voter = fmt.Sprint(row.Voter)
 			}
-			owns := strings.Join(slices.Sorted(maps.Keys(r.Holds)), " ")
-			if r.Err != "" {
-				owns = r.Err
+			owns := strings.Join(slices.Sorted(maps.Keys(row.Holds)), " ")
+			if row.Err != "" {
+				owns = row.Err
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", r.Name, r.Zone, r.Addr, voter, r.No, owns)
-			for _, x := range r.Runs {
-				if !x.Run && x.State == "done" {
-					x.State = "stopped"
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", row.Name, row.Zone, row.Addr, voter, row.No, owns)
+			for _, process := range row.Runs {
+				// The agent reports "done" for every process that is as it is meant to be, also for one meant to be stopped.
+				if !process.Run && process.State == "done" {
+					process.State = "stopped"
 				}
-				fmt.Fprintf(w, "  %s\t%s\t%s\t%v\t%.12s\t%s\n", x.ID, x.State, x.Addr, x.Pids, x.Program, x.Why)
+				fmt.Fprintf(w, "  %s\t%s\t%s\t%v\t%.12s\t%s\n", process.ID, process.State, process.Addr, process.Pids, process.Program, process.Why)
 			}
-			for _, h := range r.Halts {
-				fmt.Fprintf(w, "  halted here: %s by %s: %s\n", h.Of, h.By, h.Why)
+			for _, halt := range row.Halts {
+				fmt.Fprintf(w, "  halted here: %s by %s: %s\n", halt.Of, halt.By, halt.Why)
 			}
 		}
 	})
@@ -202,22 +224,22 @@
 	case reached == len(rows):
 		return nil
 	case reached > 0:
-		return exitError{exitPartial, fmt.Sprintf("%d of %d agents answer", reached, len(rows))}
+		return exitError{exitPartial, fmt.Sprintf("%d of %d agents answered", reached, len(rows))}
 	}
-	return exitError{exitUnknown, "no agent answers"}
+	return exitError{exitUnknown, fmt.Sprintf("none of %d agents answered", len(rows))}
 }
 
 type workerDown struct {
-	ID     string `arg:"" help:"The worker."`
-	Zone   string `help:"Its zone, where it is not on record yet."`
-	Reason string `name:"why" help:"For the audit."`
-	Force  bool   `help:"Also where the limits have no room."`
+	ID     string `arg:"" help:"The worker's id."`
+	Zone   string `help:"The worker's zone; needed if the worker is not on record yet."`
+	Reason string `name:"why" help:"Reason, for the audit log."`
+	Force  bool   `help:"Take it out even if that exceeds the limits."`
 }
 
 type workerUp struct {
-	ID     string `arg:"" help:"The worker."`
-	Reason string `name:"why" help:"For the audit."`
-	Force  bool   `help:"Also where another person took it out."`
+	ID     string `arg:"" help:"The worker's id."`
+	Reason string `name:"why" help:"Reason, for the audit log."`
+	Force  bool   `help:"Return it to service even if another person took it out."`
 }
 
 func (c *workerDown) Run(g *globalFlags, ctx context.Context) error {
@@ -228,83 +250,86 @@
 	return g.setWorkerIntent(ctx, fleet.Command{Do: "in", ID: c.ID, Why: c.Reason, Force: c.Force})
 }
 
-// setWorkerIntent puts an intent on record and waits until every scheduler has said yes to it.
-func (g *globalFlags) setWorkerIntent(ctx context.Context, c fleet.Command) error {
+// setWorkerIntent puts on record whether a worker is to be in or out of service (command.Do is "in" or "out"), and waits
+// until every scheduler has obeyed or the time limit is reached.
+func (g *globalFlags) setWorkerIntent(ctx context.Context, command fleet.Command) error {
 	if g.DryRun {
-		r, err := g.readRecord(ctx)
+		record, err := g.readRecord(ctx)
 		if err != nil {
 			return err
 		}
-		g.printResult(r.Of("scheduler"), func(w *tabwriter.Writer) {
-			fmt.Fprintf(w, "worker %s: %s, now out: %t. These would be told:\n", c.ID, c.Do, r.Workers[c.ID].Out)
-			for _, m := range r.Of("scheduler") {
-				fmt.Fprintf(w, "%s\t%s\n", m.ID, m.Zone)
+		g.printResult(record.Of("scheduler"), func(w *tabwriter.Writer) {
+			fmt.Fprintf(w, "worker %s: %s, now out: %t. These would be told:\n", command.ID, command.Do, record.Workers[command.ID].Out)
+			for _, member := range record.Of("scheduler") {
+				fmt.Fprintf(w, "%s\t%s\n", member.ID, member.Zone)
 			}
 		})
 		return nil
 	}
-	a, err := g.sendCommand(ctx, c)
+	answer, err := g.sendCommand(ctx, command)
 	if err != nil {
 		return err
 	}
-	var t agent.Told
+	var told agent.Told // each scheduler's standing, as the owner of the worker's zone knows it
 	obeyed := 0
 	for {
-		err = g.newCaller(2*time.Second).Get(ctx, "/v1/told?worker="+url.QueryEscape(c.ID), &t)
+		err = g.newCaller(readTimeout).Get(ctx, "/v1/told?worker="+url.QueryEscape(command.ID), &told)
 		obeyed = 0
-		for _, r := range t.Rows {
-			if r.State == fleet.Obeyed {
+		for _, standing := range told.Rows {
+			if standing.State == fleet.Obeyed {
 				obeyed++
 			}
 		}
-		if err == nil && t.Intent.Out == (c.Do == "out") && obeyed == len(t.Rows) {
+		// The zone's owner may still report the intent before this command.
+		if err == nil && told.Intent.Out == (command.Do == "out") && obeyed == len(told.Rows) {
 			break
 		}
 		select {
 		case <-ctx.Done():
-			if err != nil || t.Intent.Out != (c.Do == "out") {
-				return exitError{exitUnknown, fmt.Sprintf("on record as %d; who obeys is not known: %v", a.No, err)}
+			if err != nil || told.Intent.Out != (command.Do == "out") {
+				return exitError{exitUnknown, fmt.Sprintf("on record as command %d; which schedulers obey is not known: %v", answer.No, err)}
 			}
-		case <-time.After(100 * time.Millisecond):
+		case <-time.After(pollInterval):
 			continue
 		}
 		break
 	}
-	g.printResult(t, func(w *tabwriter.Writer) {
+	g.printResult(told, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "SCHEDULER\tSTATE\tWHY")
-		for _, r := range t.Rows {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", r.ID, r.State, r.Why)
+		for _, standing := range told.Rows {
+			fmt.Fprintf(w, "%s\t%s\t%s\n", standing.ID, standing.State, standing.Why)
 		}
-		fmt.Fprintf(w, "%d of %d obeyed; told by %s as %s number %d\n", obeyed, len(t.Rows), fleet.AgentOf(t.Owner), t.Matter, t.Fence)
+		fmt.Fprintf(w, "%d of %d obeyed; told by %s as %s number %d\n", obeyed, len(told.Rows), fleet.AgentOf(told.Owner), told.Matter, told.Fence)
 	})
 	switch {
-	case obeyed == len(t.Rows):
+	case obeyed == len(told.Rows):
 		return nil
 	case obeyed > 0:
-		return exitError{exitPartial, "on record; the others are told until they obey"}
+		return exitError{exitPartial, fmt.Sprintf("on record; %d of %d schedulers have obeyed, the others are told again until they obey", obeyed, len(told.Rows))}
 	}
-	return exitError{exitFailed, "on record; nobody has obeyed yet"}
+	return exitError{exitFailed, fmt.Sprintf("on record; none of %d schedulers has obeyed yet", len(told.Rows))}
 }
 
 type workerList struct {
-	OutOnly bool `name:"out" help:"Those alone that are out."`
+	OutOnly bool `name:"out" help:"Only the workers that are out now."`
 }
 
+// Run lists the workers for which the record has an intent: those that were taken out of service at least once.
 func (c *workerList) Run(g *globalFlags, ctx context.Context) error {
-	r, err := g.readRecord(ctx)
+	record, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	g.printResult(r.Workers, func(w *tabwriter.Writer) {
+	g.printResult(record.Workers, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "WORKER\tZONE\tSTATE\tSINCE\tBY\tWHY")
-		for _, id := range slices.Sorted(maps.Keys(r.Workers)) {
-			i, state := r.Workers[id], "in use"
-			if i.Out {
+		for _, id := range slices.Sorted(maps.Keys(record.Workers)) {
+			intent, state := record.Workers[id], "in use"
+			if intent.Out {
 				state = "out"
 			} else if c.OutOnly {
 				continue
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", id, i.Zone, state, i.Since, i.By, i.Why)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", id, intent.Zone, state, intent.Since, intent.By, intent.Why)
 		}
 	})
 	return nil
@@ -312,72 +337,75 @@
 
 type ownerList struct{}
 
+// Run lists every matter, which is a zone (zone/ZONE) or an operation (op/ID) that one agent at a time owns, with its
+// owner, the fencing token of that ownership, and the agent that has been asked for as the next owner.
 func (ownerList) Run(g *globalFlags, ctx context.Context) error {
-	r, err := g.readRecord(ctx)
+	record, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	g.printResult(r.Matters, func(w *tabwriter.Writer) {
+	g.printResult(record.Matters, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "MATTER\tOWNER\tNUMBER\tWANTED BY")
-		for _, name := range slices.Sorted(maps.Keys(r.Matters)) {
-			m := r.Matters[name]
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", name, m.Owner, m.Fence, m.Wanted)
+		for _, name := range slices.Sorted(maps.Keys(record.Matters)) {
+			matter := record.Matters[name]
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", name, matter.Owner, matter.Fence, matter.Wanted)
 		}
 	})
 	return nil
 }
 
 type ownerMove struct {
-	Matter   string `arg:"" help:"As zone/a."`
-	NewOwner string `arg:"" name:"to" help:"The agent that is to have it."`
-	Reason   string `name:"why" help:"For the audit."`
+	Matter   string `arg:"" help:"What to hand over: zone/ZONE or op/OPERATION."`
+	NewOwner string `arg:"" name:"to" help:"The agent that is to own it."`
+	Reason   string `name:"why" help:"Reason, for the audit log."`
 }
 
+// Run asks the present owner to hand a matter over, and waits until the record shows the new owner.
 func (c *ownerMove) Run(g *globalFlags, ctx context.Context) error {
 	if g.DryRun {
-		fmt.Printf("%s would be asked to pass to %s\n", c.Matter, c.NewOwner)
+		fmt.Printf("the owner of %s would be asked to hand it over to %s\n", c.Matter, c.NewOwner)
 		return nil
 	}
 	if _, err := g.sendCommand(ctx, fleet.Command{Do: "want", Matter: c.Matter, Owner: c.NewOwner, Why: c.Reason}); err != nil {
 		return err
 	}
 	for {
-		if r, err := g.readRecord(ctx); err == nil && fleet.AgentOf(r.Matters[c.Matter].Owner) == c.NewOwner {
-			fmt.Printf("%s is %s's, number %d\n", c.Matter, c.NewOwner, r.Matters[c.Matter].Fence)
+		if record, err := g.readRecord(ctx); err == nil && fleet.AgentOf(record.Matters[c.Matter].Owner) == c.NewOwner {
+			fmt.Printf("%s is owned by %s, number %d\n", c.Matter, c.NewOwner, record.Matters[c.Matter].Fence)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return exitError{exitPartial, "on record; its owner has not passed it on yet"}
-		case <-time.After(100 * time.Millisecond):
+			return exitError{exitPartial, fmt.Sprintf("on record; the owner of %s has not handed it over to %s yet", c.Matter, c.NewOwner)}
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 type eventsCmd struct {
-	Count int `name:"last" default:"20" help:"How many."`
+	Count int `name:"last" default:"20" help:"How many of the newest entries to show."`
 }
 
 func (c *eventsCmd) Run(g *globalFlags, ctx context.Context) error {
-	r, err := g.readRecord(ctx)
+	record, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	rows := r.Rows[max(0, len(r.Rows)-c.Count):]
+	rows := record.Rows[max(0, len(record.Rows)-c.Count):]
 	g.printResult(rows, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "NO\tWHAT\tOF\tBY\tWHY")
-		for _, e := range rows {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.No, e.What, e.Of, e.By, e.Why)
+		for _, row := range rows {
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", row.No, row.What, row.Of, row.By, row.Why)
 		}
 	})
 	return nil
 }
 
 type memberAdd struct {
-	ID   string `arg:""`
-	Zone string `required:""`
-	Addr string `required:"" help:"Of a scheduler its second address."`
-	Kind string `default:"scheduler" enum:"scheduler,agent"`
+	ID   string `arg:"" help:"The member's id."`
+	Zone string `required:"" help:"The member's zone."`
+	Addr string `required:"" help:"The member's address; of a scheduler, its management address (setting mgmt)."`
+	Kind string `default:"scheduler" enum:"scheduler,agent" help:"What the member is: scheduler or agent."`
 }
 
 func (c *memberAdd) Run(g *globalFlags, ctx context.Context) error {
@@ -385,155 +413,158 @@
 }
 
 type memberRemove struct {
-	ID     string `arg:""`
-	Reason string `name:"why" help:"For the audit: a scheduler that is removed counts as known to be gone."`
-	Force  bool   `help:"Also where it is out for an operation."`
+	ID     string `arg:"" help:"The member's id."`
+	Reason string `name:"why" help:"Reason, for the audit log; a scheduler that is removed counts as known to be gone."`
+	Force  bool   `help:"Remove it even if it is out of service for an operation."`
 }
 
 func (c *memberRemove) Run(g *globalFlags, ctx context.Context) error {
 	return g.recordCommand(ctx, fleet.Command{Do: "unmember", ID: c.ID, Why: c.Reason, Force: c.Force})
 }
 
-func (g *globalFlags) recordCommand(ctx context.Context, c fleet.Command) error {
+// recordCommand puts a command on record and prints its number there, without waiting for members to follow it.
+func (g *globalFlags) recordCommand(ctx context.Context, command fleet.Command) error {
 	if g.DryRun {
-		fmt.Println("would be put on record:", c.Do, c.ID)
+		fmt.Println("would be put on record:", command.Do, command.ID)
 		return nil
 	}
-	a, err := g.sendCommand(ctx, c)
+	answer, err := g.sendCommand(ctx, command)
 	if err == nil {
-		fmt.Println("on record as", a.No)
+		fmt.Println("on record as", answer.No)
 	}
 	return err
 }
 
 type memberReplace struct {
-	OldVoter uint64 `arg:"" name:"old" help:"The number of the voter that is gone for good."`
-	NewVoter uint64 `arg:"" name:"new" help:"A number that no voter ever had."`
-	Addr     string `required:"" help:"Where the new one listens; it is started with joins = true."`
+	OldVoter uint64 `arg:"" name:"old" help:"Number of the voter that is gone for good."`
+	NewVoter uint64 `arg:"" name:"new" help:"Number of the new voter, which no voter had before."`
+	Addr     string `required:"" help:"Listen address of the new voter, which is started with joins = true."`
 }
 
+// Run asks the agents in turn until one accepts the change of voters, and waits until the record shows it.
 func (c *memberReplace) Run(g *globalFlags, ctx context.Context) error {
 	if g.DryRun {
-		fmt.Printf("voter %d would go, and %d at %s come\n", c.OldVoter, c.NewVoter, c.Addr)
+		fmt.Printf("voter %d would be removed, and voter %d at %s added\n", c.OldVoter, c.NewVoter, c.Addr)
 		return nil
 	}
-	raw, _ := json.Marshal(map[string]any{"add": c.NewVoter, "addr": c.Addr, "remove": c.OldVoter})
-	var last error
-	for _, a := range g.Agents {
-		q, _ := http.NewRequestWithContext(ctx, "POST", "http://"+a+"/v1/voters", strings.NewReader(string(raw)))
-		r, err := http.DefaultClient.Do(q)
+	body, _ := json.Marshal(map[string]any{"add": c.NewVoter, "addr": c.Addr, "remove": c.OldVoter})
+	var lastErr error
+	for _, addr := range g.Agents {
+		request, _ := http.NewRequestWithContext(ctx, "POST", "http://"+addr+"/v1/voters", strings.NewReader(string(body)))
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		var no agent.Refusal
-		_ = json.NewDecoder(r.Body).Decode(&no)
-		r.Body.Close()
-		if r.StatusCode != 200 {
-			last = errors.New(no.Why)
+		var refusal agent.Refusal
+		_ = json.NewDecoder(response.Body).Decode(&refusal)
+		response.Body.Close()
+		if response.StatusCode != 200 {
+			lastErr = errors.New(refusal.Why)
 			continue
 		}
 		for ctx.Err() == nil {
-			if rec, err := g.readRecord(ctx); err == nil && rec.Voters[c.NewVoter] == c.Addr && rec.Voters[c.OldVoter] == "" {
+			if record, err := g.readRecord(ctx); err == nil && record.Voters[c.NewVoter] == c.Addr && record.Voters[c.OldVoter] == "" {
 				fmt.Printf("voter %d at %s is in, %d is out\n", c.NewVoter, c.Addr, c.OldVoter)
 				return nil
 			}
-			time.Sleep(100 * time.Millisecond)
+			time.Sleep(pollInterval)
 		}
-		return exitError{exitUnknown, "asked for; not on record in time"}
+		return exitError{exitUnknown, fmt.Sprintf("%s accepted the change of voters; it is not on record within --timeout (%v)", addr, g.Timeout)}
 	}
-	return exitError{exitFailed, fmt.Sprint("refused: ", last)}
+	return exitError{exitFailed, fmt.Sprint("refused: ", lastErr)}
 }
 
 type checkCmd struct {
-	Path string `arg:"" help:"An agent's configuration, limits, or an operation's file."`
+	Path string `arg:"" help:"An agent configuration, a limits file or an operation file."`
 }
 
-// Run takes a file for what its keys say it is.
+// Run tells from a file's top-level keys whether it holds limits, an operation or else an agent configuration, and checks
+// it as such.
 func (c *checkCmd) Run() error {
 	raw, err := os.ReadFile(c.Path)
 	if err != nil {
 		return exitError{exitFailed, err.Error()}
 	}
 	var keys map[string]any
-	_ = toml.Unmarshal(raw, &keys) // what is wrong with it is said below
+	_ = toml.Unmarshal(raw, &keys) // the checks below report a syntax error
 	switch {
 	case keys["limit"] != nil:
-		all, err := readLimits(c.Path)
+		limits, err := readLimits(c.Path)
 		if err == nil {
-			fmt.Printf("%s: ok, limits=%d\n", c.Path, len(all))
+			fmt.Printf("%s: ok, limits=%d\n", c.Path, len(limits))
 		}
 		return err
 	case keys["members"] != nil || keys["select"] != nil || keys["kind"] != nil:
-		f := &operationFile{}
-		if err := f.load(c.Path); err != nil {
+		operation := &operationFile{}
+		if err := operation.load(c.Path); err != nil {
 			return err
 		}
-		fmt.Printf("%s: ok, kind=%s\n", c.Path, f.Kind)
+		fmt.Printf("%s: ok, kind=%s\n", c.Path, operation.Kind)
 		return nil
 	}
-	f, err := agent.Load(c.Path)
+	config, err := agent.Load(c.Path)
 	if err != nil {
 		return exitError{exitFailed, err.Error()}
 	}
-	fmt.Printf("%s: ok, name=%s voters=%d schedulers=%d workers=%d\n", c.Path, f.Name, len(f.Voter), len(f.Scheduler), len(f.Worker))
+	fmt.Printf("%s: ok, name=%s voters=%d schedulers=%d workers=%d\n", c.Path, config.Name, len(config.Voter), len(config.Scheduler), len(config.Worker))
 	return nil
 }
 
 // commandLine is everything that beamctl accepts. kong derives commands and flags from the field names and tags.
 type commandLine struct {
 	globalFlags
-	Status statusCmd `cmd:"" help:"The agents, and what each owns."`
+	Status statusCmd `cmd:"" help:"Show what needs attention, then each agent with what it owns and runs."`
 	Worker struct {
-		Down workerDown `cmd:"" help:"Take a worker out at every scheduler."`
-		Up   workerUp   `cmd:"" help:"Put it back."`
-		List workerList `cmd:"" help:"The workers on record."`
+		Down workerDown `cmd:"" help:"Take a worker out of service at every scheduler."`
+		Up   workerUp   `cmd:"" help:"Return a worker to service at every scheduler."`
+		List workerList `cmd:"" help:"List the workers that were ever taken out, and whether they are out now."`
 	} `cmd:"" help:"Workers."`
 	Owner struct {
-		List ownerList `cmd:"" help:"Who acts for which zone."`
-		Move ownerMove `cmd:"" help:"Have another agent act for it."`
-	} `cmd:"" help:"Who acts for the fleet."`
-	Events eventsCmd `cmd:"" help:"The audit's last rows."`
+		List ownerList `cmd:"" help:"List the agent that owns each zone and operation."`
+		Move ownerMove `cmd:"" help:"Have a zone or operation handed over to another agent."`
+	} `cmd:"" help:"Owners of zones and operations."`
+	Events eventsCmd `cmd:"" help:"Show the newest entries of the audit log."`
 	Member struct {
-		Add     memberAdd     `cmd:"" help:"Put a scheduler or an agent on record."`
-		Remove  memberRemove  `cmd:"" help:"Take one off."`
+		Add     memberAdd     `cmd:"" help:"Add a scheduler or an agent to the fleet record."`
+		Remove  memberRemove  `cmd:"" help:"Remove a member from the fleet record."`
 		Replace memberReplace `cmd:"" help:"Replace a voter that is gone for good."`
 	} `cmd:"" help:"Members and voters."`
-	Plan    planCmd `cmd:"" help:"What an operation's file would do, and what would keep it."`
+	Plan    planCmd `cmd:"" help:"Show what an operation file would do, and what prevents it from beginning now."`
 	Release struct {
-		Start  releaseStart  `cmd:"" help:"Begin the operation of a file."`
-		Status releaseStatus `cmd:"" help:"How far it is."`
-		Halt   releaseHalt   `cmd:"" help:"Nothing new goes out for it."`
-		Resume releaseResume `cmd:"" help:"Lift its halt."`
-		Back   releaseBack   `cmd:"" help:"Go back to what ran before."`
-		Close  releaseClose  `cmd:"" help:"End it for good: what ran before is not kept any more."`
-		List   releaseList   `cmd:"" help:"All operations."`
+		Start  releaseStart  `cmd:"" help:"Begin the operation that a file describes."`
+		Status releaseStatus `cmd:"" help:"Show how far an operation is."`
+		Halt   releaseHalt   `cmd:"" help:"Halt an operation: it takes no further members out."`
+		Resume releaseResume `cmd:"" help:"Lift the halt of an operation."`
+		Back   releaseBack   `cmd:"" help:"Roll an operation back to what ran before."`
+		Close  releaseClose  `cmd:"" help:"Close an operation for good: what ran before is no longer kept for a rollback."`
+		List   releaseList   `cmd:"" help:"List all operations."`
 	} `cmd:"" help:"Releases and other operations."`
-	Drain    drainCmd    `cmd:"" help:"Take schedulers or workers out, within the limits."`
-	Undrain  undrainCmd  `cmd:"" help:"Bring back what was drained."`
-	Restart  restartCmd  `cmd:"" help:"Restart schedulers, or run workers' own command, within the limits."`
-	Maintain maintainCmd `cmd:"" help:"Out, wait, restart, back, warm."`
-	Halt     haltCmd     `cmd:"" help:"Nothing new is taken out: of one operation, a zone or all."`
-	Lift     liftCmd     `cmd:"" help:"End a halt."`
+	Drain    drainCmd    `cmd:"" help:"Take schedulers or workers out of service, within the limits."`
+	Undrain  undrainCmd  `cmd:"" help:"Return drained members to service."`
+	Restart  restartCmd  `cmd:"" help:"Restart schedulers, or run the site's own command for workers, within the limits."`
+	Maintain maintainCmd `cmd:"" help:"Take members out, wait for --pause, restart them (workers: the site's own command), and return them to service once warm."`
+	Halt     haltCmd     `cmd:"" help:"Halt one operation, a zone or everything: no further members are taken out."`
+	Lift     liftCmd     `cmd:"" help:"Lift a halt."`
 	Limits   struct {
-		Show limitsShow `cmd:"" default:"1" help:"Those in force."`
-		Set  limitsSet  `cmd:"" help:"Put others in their place."`
-	} `cmd:"" help:"How many may be out together."`
-	Why   whyCmd   `cmd:"" help:"Why a member may not go out now."`
-	Check checkCmd `cmd:"" help:"Check a file: an agent's configuration, limits, an operation."`
+		Show limitsShow `cmd:"" default:"1" help:"Show the limits in force."`
+		Set  limitsSet  `cmd:"" help:"Replace the limits in force by those of a file."`
+	} `cmd:"" help:"How many members may be out of service together."`
+	Why   whyCmd   `cmd:"" help:"Show why a member may not be taken out now."`
+	Check checkCmd `cmd:"" help:"Check a file: an agent configuration, limits or an operation."`
 }
 
 func main() {
 	var cli commandLine
-	k := kong.Parse(&cli, kong.Name("beamctl"), kong.Description("The fleet's command line."))
-	ctx, stop := context.WithTimeout(context.Background(), cli.Timeout)
-	defer stop()
-	k.BindTo(ctx, (*context.Context)(nil))
-	err := k.Run(&cli.globalFlags)
+	parsed := kong.Parse(&cli, kong.Name("beamctl"), kong.Description("Command-line client of the fleet's agents."))
+	ctx, cancel := context.WithTimeout(context.Background(), cli.Timeout)
+	defer cancel()
+	parsed.BindTo(ctx, (*context.Context)(nil))
+	err := parsed.Run(&cli.globalFlags)
 	var exitErr exitError
 	if errors.As(err, &exitErr) {
 		fmt.Fprintln(os.Stderr, "beamctl:", exitErr.message)
 		os.Exit(exitErr.code)
 	}
-	k.FatalIfErrorf(err)
+	parsed.FatalIfErrorf(err)
 }
--- a/cmd/beamctl/ops.go
+++ b/cmd/beamctl/ops.go
@@ -22,259 +22,272 @@
 	"shalebeam/fleet"
 )
 
-// Operations: drains, restarts, maintenance and releases, their halts and their way back.
+// The commands for operations: drains, restarts, maintenance and releases, their halts and rollbacks, and the limits on how
+// many members may be out of service together.
 
-// operationFile is an operation as a file says it. docs/releases.md has three.
+// operationFile is the TOML form of an operation; docs/releases.md has three examples.
 type operationFile struct {
-	Kind         string      `toml:"kind"` // release where none is named
-	Reason       string      `toml:"why"`
-	Members      []string    `toml:"members"` // or those of Select
-	SelectKind   string      `toml:"select"`  // schedulers or workers
-	Zone         string      `toml:"zone"`    // of those selected
-	Label        string      `toml:"label"`   // key=value, of those selected
-	Program      string      `toml:"program"`
-	Digest       string      `toml:"digest"` // sha256 of the program; of the file here where none is named
-	Config       string      `toml:"config"`
-	Version      string      `toml:"version"` // for workers' own commands
-	WatchPeriod  agent.Span  `toml:"watch"`
-	Pause        agent.Span  `toml:"pause"`
-	WaveTimeout  agent.Span  `toml:"wave_most"`
-	MaxTogether  int         `toml:"together"`
-	AutoRollback bool        `toml:"auto_back"`
-	Gates        fleet.Gates `toml:"gates"`
-}
-
-// decodeStrict reads a file, and refuses keys that are none.
-func decodeStrict(path string, into any) error {
+	Kind         string      `toml:"kind"`      // drain, undrain, restart, maintain or release; "" means release
+	Reason       string      `toml:"why"`       // for the audit log
+	Members      []string    `toml:"members"`   // ids; either these or SelectKind is set
+	SelectKind   string      `toml:"select"`    // schedulers or workers: all members of this kind that match Zone and Label
+	Zone         string      `toml:"zone"`      // of the selected members; "" means any
+	Label        string      `toml:"label"`     // key=value that the selected members have; "" means any
+	Program      string      `toml:"program"`   // path, on each machine, of the program to release
+	Digest       string      `toml:"digest"`    // SHA-256 of the program in hex; "" means that of Program on this machine
+	Config       string      `toml:"config"`    // path, on each machine, of the configuration to release; {id} stands for the member
+	Version      string      `toml:"version"`   // passed to the site's own command for workers
+	WatchPeriod  agent.Span  `toml:"watch"`     // how long after each wave the gates are watched before the next wave begins
+	Pause        agent.Span  `toml:"pause"`     // how long a member in maintenance stays out
+	WaveTimeout  agent.Span  `toml:"wave_most"` // a wave that takes longer halts the operation
+	MaxTogether  int         `toml:"together"`  // members of this operation out at once, beside the limits; 0 means the limits alone
+	AutoRollback bool        `toml:"auto_back"` // an automatic halt also rolls the operation back
+	Gates        fleet.Gates `toml:"gates"`     // how much worse the released members may do than the others
+}
+
+// decodeStrict reads a TOML file into target, and rejects keys that target has no field for.
+func decodeStrict(path string, target any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return exitError{exitFailed, err.Error()}
 	}
-	err = toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(into)
-	var missing *toml.StrictMissingError
-	var at *toml.DecodeError
+	err = toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(target)
+	var unknownKeys *toml.StrictMissingError
+	var decodeErr *toml.DecodeError
 	switch {
-	case errors.As(err, &missing):
-		row, _ := missing.Errors[0].Position()
-		return exitError{exitFailed, fmt.Sprintf("%s: line %d: %v is no key", path, row, missing.Errors[0].Key())}
-	case errors.As(err, &at):
-		row, _ := at.Position()
-		return exitError{exitFailed, fmt.Sprintf("%s: line %d: %v: %s", path, row, at.Key(), at.Error())}
+	case errors.As(err, &unknownKeys):
+		line, _ := unknownKeys.Errors[0].Position()
+		return exitError{exitFailed, fmt.Sprintf("%s: line %d: unknown key %v", path, line, unknownKeys.Errors[0].Key())}
+	case errors.As(err, &decodeErr):
+		line, _ := decodeErr.Position()
+		return exitError{exitFailed, fmt.Sprintf("%s: line %d: %v: %s", path, line, decodeErr.Key(), decodeErr.Error())}
 	case err != nil:
 		return exitError{exitFailed, fmt.Sprintf("%s: %v", path, err)}
 	}
 	return nil
 }
 
-// load reads an operation's file, and tells what is wrong with it.
+// load reads an operation file and validates it without the fleet record.
 func (f *operationFile) load(path string) error {
 	if err := decodeStrict(path, f); err != nil {
 		return err
 	}
-	no := func(format string, args ...any) error {
+	invalid := func(format string, args ...any) error {
 		return exitError{exitFailed, path + ": " + fmt.Sprintf(format, args...)}
 	}
 	if f.Kind == "" {
 		f.Kind = "release"
 	}
-	released := f.Program + f.Config + f.Version
+	released := f.Program + f.Config + f.Version // "" if the file names nothing to release
 	switch {
 	case !slices.Contains([]string{"drain", "undrain", "restart", "maintain", "release"}, f.Kind):
-		return no("kind: %q is no operation", f.Kind)
+		return invalid("kind: got %q, want drain, undrain, restart, maintain or release", f.Kind)
 	case f.Kind == "release" && released == "":
-		return no("a release names a program, a config or a version")
+		return invalid("kind release needs program, config or version")
 	case f.Kind != "release" && (released != "" || f.AutoRollback || f.WatchPeriod > 0):
-		return no("program, config, version, watch and auto_back are a release's")
+		return invalid("program, config, version, watch and auto_back need kind release, got kind %s", f.Kind)
 	case f.Pause > 0 && f.Kind != "maintain":
-		return no("pause is maintenance's")
+		return invalid("pause needs kind maintain, got kind %s", f.Kind)
 	case len(f.Members) > 0 && f.SelectKind != "" || len(f.Members) == 0 && f.SelectKind == "":
-		return no("either members or select is named")
+		return invalid("exactly one of members and select is needed")
 	case f.SelectKind != "" && f.SelectKind != "schedulers" && f.SelectKind != "workers":
-		return no("select: %q is not schedulers or workers", f.SelectKind)
+		return invalid("select: got %q, want schedulers or workers", f.SelectKind)
 	case f.MaxTogether < 0 || f.Gates.Settled < 0 || f.Gates.Settled > 1 || f.Gates.Declined < 0 || f.Gates.Declined > 1 || f.Gates.Reversed < 0 ||
 		f.Gates.Reversed > 1 || f.Gates.Txns < 0 || f.Gates.Lost < 0:
-		return no("together and gates are not below 0, and shares not over 1")
+		return invalid("together and gates must not be below 0, and the shares settled, declined and reversed not above 1")
 	}
 	return nil
 }
 
-// buildOperation makes an operation of a file.
-func (f *operationFile) buildOperation(path string, r *fleet.Record) (*fleet.Op, error) {
+// buildOperation loads the file and makes an operation of it, with the members that the record has now.
+func (f *operationFile) buildOperation(path string, record *fleet.Record) (*fleet.Op, error) {
 	if err := f.load(path); err != nil {
 		return nil, err
 	}
-	no := func(format string, args ...any) (*fleet.Op, error) {
+	invalid := func(format string, args ...any) (*fleet.Op, error) {
 		return nil, exitError{exitFailed, path + ": " + fmt.Sprintf(format, args...)}
 	}
-	op := &fleet.Op{Kind: f.Kind, Gates: f.Gates, Together: f.MaxTogether, AutoBack: f.AutoRollback, Watch: milliseconds(f.WatchPeriod), Pause: milliseconds(f.Pause),
-		WaveMost: milliseconds(f.WaveTimeout), Version: fleet.Version{Program: f.Program, Digest: f.Digest, Config: f.Config, Name: f.Version}}
+	op := &fleet.Op{Kind: f.Kind, Gates: f.Gates, Together: f.MaxTogether, AutoBack: f.AutoRollback,
+		Watch: milliseconds(f.WatchPeriod), Pause: milliseconds(f.Pause), WaveMost: milliseconds(f.WaveTimeout),
+		Version: fleet.Version{Program: f.Program, Digest: f.Digest, Config: f.Config, Name: f.Version}}
 	if f.Program != "" && f.Digest == "" {
 		raw, err := os.ReadFile(f.Program)
 		if err != nil {
-			return no("digest is missing, and %v", err)
+			return invalid("digest is not set, and cannot be computed from program: %v", err)
 		}
 		sum := sha256.Sum256(raw)
 		op.Version.Digest = hex.EncodeToString(sum[:])
 	}
 	var members []fleet.Member
 	for _, id := range f.Members {
-		m, known := r.Members[id]
+		member, known := record.Members[id]
 		if !known {
-			return no("members: %s is not on record", id)
+			return invalid("members: %s is not in the fleet record", id)
 		}
-		members = append(members, m)
+		members = append(members, member)
 	}
 	key, value, _ := strings.Cut(f.Label, "=")
-	for _, m := range r.Of(strings.TrimSuffix(f.SelectKind, "s")) {
-		if (f.Zone == "" || m.Zone == f.Zone) && (f.Label == "" || slices.Contains(strings.Split(m.Labels, ","), key+"="+value)) {
-			members = append(members, m)
+	for _, member := range record.Of(strings.TrimSuffix(f.SelectKind, "s")) {
+		if (f.Zone == "" || member.Zone == f.Zone) && (f.Label == "" || slices.Contains(strings.Split(member.Labels, ","), key+"="+value)) {
+			members = append(members, member)
 		}
 	}
 	if len(members) == 0 {
-		return no("it names nobody")
+		return invalid("no member in the fleet record matches select, zone and label")
 	}
 	op.Waves = fleet.Waves(members)
 	return op, nil
 }
 
-func milliseconds(s agent.Span) float64 { return float64(time.Duration(s)) / 1e6 }
+func milliseconds(span agent.Span) float64 { return float64(time.Duration(span)) / 1e6 }
+
+// defaultTimePerMember is what a dry run assumes; it equals the default of plan --each.
+const defaultTimePerMember = 5 * time.Second
 
 type planCmd struct {
-	Path          string        `arg:"" help:"An operation's file."`
-	TimePerMember time.Duration `name:"each" default:"5s" help:"How long one member is taken to need."`
+	Path          string        `arg:"" help:"The operation file."`
+	TimePerMember time.Duration `name:"each" default:"5s" help:"Time that one member is assumed to take."`
 }
 
 func (c *planCmd) Run(g *globalFlags, ctx context.Context) error {
-	r, err := g.readRecord(ctx)
+	record, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	op, err := (&operationFile{}).buildOperation(c.Path, r)
+	op, err := (&operationFile{}).buildOperation(c.Path, record)
 	if err != nil {
 		return err
 	}
-	return g.printPlan(r, op, c.TimePerMember)
+	return g.printPlan(record, op, c.TimePerMember)
 }
 
-func (g *globalFlags) printPlan(r *fleet.Record, op *fleet.Op, each time.Duration) error {
-	f := r.Plan(op, each.Seconds())
-	g.printResult(f, func(w *tabwriter.Writer) {
+// printPlan prints an operation's waves, how many members would be out together in each zone, the estimated time, and what
+// prevents it from beginning now.
+func (g *globalFlags) printPlan(record *fleet.Record, op *fleet.Op, timePerMember time.Duration) error {
+	forecast := record.Plan(op, timePerMember.Seconds())
+	g.printResult(forecast, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "WAVE\tMEMBERS")
-		for i, wave := range f.Waves {
+		for i, wave := range forecast.Waves {
 			fmt.Fprintf(w, "%d\t%s\n", i+1, strings.Join(wave, " "))
 		}
-		for _, zone := range slices.Sorted(maps.Keys(f.Most)) {
-			fmt.Fprintf(w, "zone %s\tat most %d out together\n", zone, f.Most[zone])
+		for _, zone := range slices.Sorted(maps.Keys(forecast.Most)) {
+			fmt.Fprintf(w, "zone %s\tat most %d out together\n", zone, forecast.Most[zone])
 		}
-		fmt.Fprintf(w, "time\tabout %v at %v a member\n", time.Duration(f.Seconds*float64(time.Second)).Round(time.Second), each)
-		for _, b := range f.Blocks {
-			fmt.Fprintf(w, "blocked\t%s\n", b)
+		fmt.Fprintf(w, "time\tabout %v at %v a member\n", time.Duration(forecast.Seconds*float64(time.Second)).Round(time.Second), timePerMember)
+		for _, reason := range forecast.Blocks {
+			fmt.Fprintf(w, "blocked\t%s\n", reason)
 		}
 	})
-	if len(f.Blocks) > 0 {
-		return exitError{exitFailed, "it can't begin as things stand"}
+	if len(forecast.Blocks) > 0 {
+		return exitError{exitFailed, fmt.Sprintf("the operation cannot begin now (blocking reasons: %d)", len(forecast.Blocks))}
 	}
 	return nil
 }
 
-// beginOperation puts an operation on record; with wait it goes on until it is over, halted, or the time is.
-func (g *globalFlags) beginOperation(ctx context.Context, op *fleet.Op, why string, wait bool) error {
+// beginOperation puts an operation on record. With wait it returns when the operation has ended or is halted, or at the time
+// limit of the command; without wait it prints the operation's id and returns.
+func (g *globalFlags) beginOperation(ctx context.Context, op *fleet.Op, reason string, wait bool) error {
 	if g.DryRun {
-		r, err := g.readRecord(ctx)
+		record, err := g.readRecord(ctx)
 		if err != nil {
 			return err
 		}
-		return g.printPlan(r, op, 5*time.Second)
+		return g.printPlan(record, op, defaultTimePerMember)
 	}
-	a, err := g.sendCommand(ctx, fleet.Command{Do: "begin", Op: op, Why: why})
+	answer, err := g.sendCommand(ctx, fleet.Command{Do: "begin", Op: op, Why: reason})
 	if err != nil {
 		return err
 	}
-	id := fmt.Sprintf("%s-%d", op.Kind, a.No)
+	id := fmt.Sprintf("%s-%d", op.Kind, answer.No) // as the record names it: the kind, and the number of the command that began it
 	if !wait {
 		fmt.Println(id)
 		return nil
 	}
-	return g.waitForOperation(ctx, id, func(o *fleet.Op, halted bool) bool { return o.Done || halted })
+	return g.waitForOperation(ctx, id, func(op *fleet.Op, halted bool) bool { return op.Done || halted })
 }
 
-// waitForOperation waits for an operation, and ends with its table.
-func (g *globalFlags) waitForOperation(ctx context.Context, id string, over func(o *fleet.Op, halted bool) bool) error {
-	var r *fleet.Record
+// waitForOperation reads the record until isOver holds for an operation or the time limit is reached, and prints the
+// operation's table as last read.
+func (g *globalFlags) waitForOperation(ctx context.Context, id string, isOver func(op *fleet.Op, halted bool) bool) error {
+	var record *fleet.Record // as last read; nil if it never was
 	for {
-		n, err := g.readRecord(ctx)
+		newer, err := g.readRecord(ctx)
 		if err == nil {
-			r = n
-			o := r.Ops[id]
-			if o == nil {
-				return exitError{exitFailed, "no operation " + id}
+			record = newer
+			op := record.Ops[id]
+			if op == nil {
+				return exitError{exitFailed, "no operation " + id + " in the fleet record"}
 			}
-			if _, halted := r.Halts[id]; over(o, halted) {
+			if _, halted := record.Halts[id]; isOver(op, halted) {
 				break
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(100 * time.Millisecond):
+		case <-time.After(pollInterval):
 			continue
 		}
 		break
 	}
-	if r == nil {
-		return exitError{exitUnknown, id + " is on record; how far it is can't be read"}
+	if record == nil {
+		return exitError{exitUnknown, fmt.Sprintf("the command for %s is on record; its progress could not be read within --timeout (%v)", id, g.Timeout)}
 	}
-	return g.printOperation(r, id)
+	return g.printOperation(record, id)
 }
 
-func (g *globalFlags) printOperation(r *fleet.Record, id string) error {
-	o := r.Ops[id]
-	if o == nil {
-		return exitError{exitFailed, "no operation " + id}
+// printOperation prints where each member stands in an operation, and returns nil only if the operation has ended with all
+// members at their last step.
+func (g *globalFlags) printOperation(record *fleet.Record, id string) error {
+	op := record.Ops[id]
+	if op == nil {
+		return exitError{exitFailed, "no operation " + id + " in the fleet record"}
 	}
-	halt, halted := r.Halts[id]
+	halt, halted := record.Halts[id]
 	arrived, total := 0, 0
 	g.printResult(struct {
 		*fleet.Op
 		Halt *fleet.Halt `json:"halt,omitempty"`
-	}{o, map[bool]*fleet.Halt{true: &halt}[halted]}, func(w *tabwriter.Writer) {
-		fmt.Fprintf(w, "%s by %s: %s\n", o.ID, o.By, o.Why)
+	}{op, map[bool]*fleet.Halt{true: &halt}[halted] /* nil unless halted */}, func(w *tabwriter.Writer) {
+		fmt.Fprintf(w, "%s by %s: %s\n", op.ID, op.By, op.Why)
 		if halted {
 			fmt.Fprintf(w, "HALTED by %s: %s\n", halt.By, halt.Why)
 		}
 		fmt.Fprintln(w, "WAVE\tMEMBER\tSTATE\tSEEN\tWHY")
-		for i, wave := range o.Waves {
+		for i, wave := range op.Waves {
 			for _, id := range wave {
-				s := o.Steps[id]
-				why := s.Why
-				if why == "" && s.At == fleet.Waits && i <= o.Wave {
-					why = r.Grant(o, id)
+				step := op.Steps[id]
+				reason := step.Why
+				if reason == "" && step.At == fleet.Waits && i <= op.Wave { // its wave has begun, and it has no permit yet
+					reason = record.Grant(op, id)
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", i+1, id, s.At, r.Health[id].State, why)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", i+1, id, step.At, record.Health[id].State, reason)
 			}
 		}
 	})
-	for _, s := range o.Steps {
-		if total++; o.Arrived(s) {
+	for _, step := range op.Steps {
+		if total++; op.Arrived(step) {
 			arrived++
 		}
 	}
 	switch {
-	case o.Done && arrived == total:
+	case op.Done && arrived == total:
 		return nil
 	case halted:
-		return exitError{exitPartial, fmt.Sprintf("%s is halted: %s; %d of %d have arrived", id, halt.Why, arrived, total)}
+		return exitError{exitPartial, fmt.Sprintf("%s is halted: %s; %d of %d members have completed it", id, halt.Why, arrived, total)}
 	case arrived > 0:
-		return exitError{exitPartial, fmt.Sprintf("%s goes on: %d of %d have arrived", id, arrived, total)}
+		return exitError{exitPartial, fmt.Sprintf("%s is not complete: %d of %d members have completed it", id, arrived, total)}
 	}
-	return exitError{exitFailed, fmt.Sprintf("%s goes on: none of %d has arrived", id, total)}
+	return exitError{exitFailed, fmt.Sprintf("%s is not complete: none of %d members has completed it", id, total)}
 }
 
+// memberArgs are the arguments of an operation on members that the command line names.
 type memberArgs struct {
-	IDs    []string `arg:"" name:"member" help:"Schedulers or workers."`
-	Reason string   `name:"why" help:"For the audit."`
-	Wait   bool     `default:"true" negatable:"" help:"Wait until all have arrived."`
+	IDs    []string `arg:"" name:"member" help:"Ids of schedulers or workers."`
+	Reason string   `name:"why" help:"Reason, for the audit log."`
+	Wait   bool     `default:"true" negatable:"" help:"Wait until the operation has ended or is halted."`
 }
 
+// begin begins an operation with all members in one wave.
 func (c *memberArgs) begin(g *globalFlags, ctx context.Context, kind string, pause time.Duration) error {
 	return g.beginOperation(ctx, &fleet.Op{Kind: kind, Waves: [][]string{c.IDs}, Pause: float64(pause) / 1e6}, c.Reason, c.Wait)
 }
@@ -284,7 +297,7 @@
 type restartCmd struct{ memberArgs }
 type maintainCmd struct {
 	memberArgs
-	Pause time.Duration `help:"How long it stays out before it comes back."`
+	Pause time.Duration `help:"How long a member stays out before it is restarted."`
 }
 
 func (c *drainCmd) Run(g *globalFlags, ctx context.Context) error {
@@ -301,43 +314,44 @@
 }
 
 type releaseStart struct {
-	Path string `arg:"" help:"The operation's file."`
-	Wait bool   `help:"Wait until it is over or halted."`
+	Path string `arg:"" help:"The operation file."`
+	Wait bool   `help:"Wait until the operation has ended or is halted."`
 }
 
 func (c *releaseStart) Run(g *globalFlags, ctx context.Context) error {
-	r, err := g.readRecord(ctx)
+	record, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	f := &operationFile{}
-	op, err := f.buildOperation(c.Path, r)
+	file := &operationFile{}
+	op, err := file.buildOperation(c.Path, record)
 	if err != nil {
 		return err
 	}
-	return g.beginOperation(ctx, op, f.Reason, c.Wait)
+	return g.beginOperation(ctx, op, file.Reason, c.Wait)
 }
 
+// operationArgs are the arguments of a command on one operation.
 type operationArgs struct {
-	ID     string `arg:"" help:"The operation, as release-17."`
-	Reason string `name:"why" help:"For the audit."`
+	ID     string `arg:"" help:"The operation's id, such as release-17."`
+	Reason string `name:"why" help:"Reason, for the audit log."`
 }
 
 type releaseStatus struct {
-	ID string `arg:"" help:"The operation."`
+	ID string `arg:"" help:"The operation's id, such as release-17."`
 }
 
 func (c *releaseStatus) Run(g *globalFlags, ctx context.Context) error {
-	r, err := g.readRecord(ctx)
+	record, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	return g.printOperation(r, c.ID)
+	return g.printOperation(record, c.ID)
 }
 
 type releaseHalt struct {
 	operationArgs
-	OnHalt string `name:"then" enum:"finish,back" default:"finish" help:"What is out is finished, or all goes back."`
+	OnHalt string `name:"then" enum:"finish,back" default:"finish" help:"finish: members that are out complete their steps; back: the operation is rolled back."`
 }
 
 func (c *releaseHalt) Run(g *globalFlags, ctx context.Context) error {
@@ -352,12 +366,12 @@
 
 type releaseBack struct {
 	operationArgs
-	Wait bool `help:"Wait until all that can has gone back."`
+	Wait bool `help:"Wait until the rollback has ended."`
 }
 
 func (c *releaseBack) Run(g *globalFlags, ctx context.Context) error {
 	if g.DryRun {
-		fmt.Println(c.ID, "would go back")
+		fmt.Println(c.ID, "would be rolled back")
 		return nil
 	}
 	if _, err := g.sendCommand(ctx, fleet.Command{Do: "turn", Matter: fleet.OpOf(c.ID), Why: c.Reason}); err != nil {
@@ -367,12 +381,12 @@
 		fmt.Println(c.ID, "goes back")
 		return nil
 	}
-	return g.waitForOperation(ctx, c.ID, func(o *fleet.Op, _ bool) bool { return o.Back && o.Done })
+	return g.waitForOperation(ctx, c.ID, func(op *fleet.Op, _ bool) bool { return op.Back && op.Done })
 }
 
 type releaseClose struct {
 	operationArgs
-	Force bool `help:"Also where it is not over."`
+	Force bool `help:"Close it even if it has not ended."`
 }
 
 func (c *releaseClose) Run(g *globalFlags, ctx context.Context) error {
@@ -382,35 +396,37 @@
 type releaseList struct{}
 
 func (releaseList) Run(g *globalFlags, ctx context.Context) error {
-	r, err := g.readRecord(ctx)
+	record, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	g.printResult(r.Ops, func(w *tabwriter.Writer) {
+	g.printResult(record.Ops, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "OPERATION\tBY\tWAVE\tARRIVED\tSTATE\tWHY")
-		for _, id := range slices.Sorted(maps.Keys(r.Ops)) {
-			o, arrived := r.Ops[id], 0
-			for _, s := range o.Steps {
-				if o.Arrived(s) {
+		for _, id := range slices.Sorted(maps.Keys(record.Ops)) {
+			op, arrived := record.Ops[id], 0
+			for _, step := range op.Steps {
+				if op.Arrived(step) {
 					arrived++
 				}
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d/%d\t%d/%d\t%s\t%s\n", id, o.By, o.Wave+1, len(o.Waves), arrived, len(o.Steps), operationState(r, o), o.Why)
+			fmt.Fprintf(w, "%s\t%s\t%d/%d\t%d/%d\t%s\t%s\n", id, op.By, op.Wave+1, len(op.Waves), arrived, len(op.Steps), operationState(record, op), op.Why)
 		}
 	})
 	return nil
 }
 
-func operationState(r *fleet.Record, o *fleet.Op) string {
-	_, halted := r.Halts[o.ID]
+// operationState is the STATE column of an operation: closed (nothing is kept for a rollback), back (rolled back), done,
+// going back (being rolled back), halted or going (in progress).
+func operationState(record *fleet.Record, op *fleet.Op) string {
+	_, halted := record.Halts[op.ID]
 	switch {
-	case o.Closed:
+	case op.Closed:
 		return "closed"
-	case o.Done && o.Back:
+	case op.Done && op.Back:
 		return "back"
-	case o.Done:
+	case op.Done:
 		return "done"
-	case o.Back:
+	case op.Back:
 		return "going back"
 	case halted:
 		return "halted"
@@ -419,94 +435,98 @@
 }
 
 type haltCmd struct {
-	Scope  string `arg:"" name:"of" help:"An operation, zone/ZONE, or all."`
-	Reason string `name:"why" help:"For the audit."`
-	OnHalt string `name:"then" enum:"finish,back" default:"finish" help:"Of an operation: what is out is finished, or all goes back."`
+	Scope  string `arg:"" name:"of" help:"What to halt: an operation's id, zone/ZONE, or all."`
+	Reason string `name:"why" help:"Reason, for the audit log."`
+	OnHalt string `name:"then" enum:"finish,back" default:"finish" help:"For an operation: finish lets members that are out complete their steps, back rolls the operation back."`
 }
 
 func (c *haltCmd) Run(g *globalFlags, ctx context.Context) error {
 	return g.sendHalt(ctx, c.Scope, c.Reason, c.OnHalt)
 }
 
-// sendHalt tells every agent itself, and the record: it takes hold at each that says yes, also where there is no majority.
-func (g *globalFlags) sendHalt(ctx context.Context, of, why, then string) error {
-	type row struct {
+// sendHalt sends a halt to each agent directly, and then puts it on record. An agent that accepts it takes no further
+// members out from then on, even while the voters have no majority and the record cannot be changed.
+func (g *globalFlags) sendHalt(ctx context.Context, scope, reason, onHalt string) error {
+	// agentAnswer is also the JSON form of one agent's answer.
+	type agentAnswer struct {
 		Agent string      `json:"agent"`
 		State fleet.State `json:"state"`
 		Why   string      `json:"why,omitempty"`
 	}
 	if g.DryRun {
-		fmt.Println("would be halted:", of)
+		fmt.Println("would be halted:", scope)
 		return nil
 	}
-	ask := map[string]string{}
-	r, rerr := g.readRecord(ctx)
-	if rerr == nil {
-		for _, m := range r.Of("agent") {
-			ask[m.ID] = m.Addr
+	addrs := map[string]string{} // by agent id, or by address if the record cannot be read
+	record, readErr := g.readRecord(ctx)
+	if readErr == nil {
+		for _, member := range record.Of("agent") {
+			addrs[member.ID] = member.Addr
 		}
 	} else {
 		for _, addr := range g.Agents {
-			ask[addr] = addr // nobody can say who else there is
+			addrs[addr] = addr // without the record only the agents of --agent are known
 		}
 	}
-	h, _ := json.Marshal(fleet.Halt{Of: of, By: g.requesterName(), Why: why, Then: then})
-	rows, yes := map[string]row{}, 0
-	got := make(chan row)
-	client := agent.NewHTTP(nil, 2*time.Second)
-	for id, addr := range ask {
+	body, _ := json.Marshal(fleet.Halt{Of: scope, By: g.requesterName(), Why: reason, Then: onHalt})
+	answers, obeyed := map[string]agentAnswer{}, 0
+	received := make(chan agentAnswer)
+	client := agent.NewHTTP(nil, haltTimeout)
+	for id, addr := range addrs {
 		go func() {
-			p, err := client.Post("http://"+addr+"/v1/halt", "application/json", bytes.NewReader(h))
+			response, err := client.Post("http://"+addr+"/v1/halt", "application/json", bytes.NewReader(body))
 			if err != nil {
-				got <- row{id, fleet.NotReached, "its machine may go on until the record tells it"}
+				// Such an agent may take members out until it learns of the halt from the record.
+				received <- agentAnswer{id, fleet.NotReached, "its machine may go on until the record tells it"}
 				return
 			}
-			defer p.Body.Close()
-			var a agent.HaltAnswer
-			var no agent.Refusal
-			if p.StatusCode != http.StatusOK {
-				_ = json.NewDecoder(p.Body).Decode(&no)
-				got <- row{id, fleet.Refused, no.Why}
+			defer response.Body.Close()
+			var accepted agent.HaltAnswer
+			var refusal agent.Refusal
+			if response.StatusCode != http.StatusOK {
+				_ = json.NewDecoder(response.Body).Decode(&refusal)
+				received <- agentAnswer{id, fleet.Refused, refusal.Why}
 				return
 			}
-			_ = json.NewDecoder(p.Body).Decode(&a)
+			_ = json.NewDecoder(response.Body).Decode(&accepted)
 			text := ""
-			if len(a.Under) > 0 {
-				text = "under way there already: " + strings.Join(a.Under, " ")
+			if len(accepted.Under) > 0 {
+				text = "under way there already: " + strings.Join(accepted.Under, " ")
 			}
-			got <- row{id, fleet.Obeyed, text}
+			received <- agentAnswer{id, fleet.Obeyed, text}
 		}()
 	}
-	for range ask {
-		x := <-got
-		if rows[x.Agent] = x; x.State == fleet.Obeyed {
-			yes++
+	for range addrs {
+		answer := <-received
+		if answers[answer.Agent] = answer; answer.State == fleet.Obeyed {
+			obeyed++
 		}
 	}
-	a, err := g.sendCommand(ctx, fleet.Command{Do: "halt", ID: of, Why: why, Then: then})
-	g.printResult(rows, func(w *tabwriter.Writer) {
+	recorded, err := g.sendCommand(ctx, fleet.Command{Do: "halt", ID: scope, Why: reason, Then: onHalt})
+	g.printResult(answers, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "AGENT\tSTATE\tWHY")
-		for _, id := range slices.Sorted(maps.Keys(rows)) {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", id, rows[id].State, rows[id].Why)
+		for _, id := range slices.Sorted(maps.Keys(answers)) {
+			fmt.Fprintf(w, "%s\t%s\t%s\n", id, answers[id].State, answers[id].Why)
 		}
 		if err == nil {
-			fmt.Fprintf(w, "on record as %d\n", a.No)
+			fmt.Fprintf(w, "on record as %d\n", recorded.No)
 		} else {
 			fmt.Fprintf(w, "NOT on record: %v\n", err)
 		}
 	})
 	switch {
-	case err == nil && yes == len(rows):
+	case err == nil && obeyed == len(answers):
 		return nil
-	case yes > 0 || err == nil:
-		return exitError{exitPartial, "it holds at those that obeyed" + map[bool]string{true: ", and on record", false: "; they put it on record when they can"}[err == nil]}
+	case obeyed > 0 || err == nil:
+		return exitError{exitPartial, fmt.Sprintf("%d of %d agents obey the halt", obeyed, len(answers)) +
+			map[bool]string{true: ", and it is on record", false: "; they put it on record as soon as they can"}[err == nil]}
 	}
-	return exitError{exitFailed, "nobody could be told"}
+	return exitError{exitFailed, fmt.Sprintf("none of %d agents obeys the halt, and it is not on record", len(answers))}
 }
 
 type liftCmd struct {
-	Scope  string `arg:"" name:"of" help:"What was halted."`
-	Reason string `name:"why" help:"For the audit."`
+	Scope  string `arg:"" name:"of" help:"What was halted: an operation's id, zone/ZONE, or all."`
+	Reason string `name:"why" help:"Reason, for the audit log."`
 }
 
 func (c *liftCmd) Run(g *globalFlags, ctx context.Context) error {
@@ -516,15 +536,15 @@
 type limitsShow struct{}
 
 func (limitsShow) Run(g *globalFlags, ctx context.Context) error {
-	r, err := g.readRecord(ctx)
+	record, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	g.printResult(r.Limits, func(w *tabwriter.Writer) {
-		for _, l := range r.Limits {
-			fmt.Fprintln(w, l)
+	g.printResult(record.Limits, func(w *tabwriter.Writer) {
+		for _, limit := range record.Limits {
+			fmt.Fprintln(w, limit)
 		}
-		if len(r.Limits) == 0 {
+		if len(record.Limits) == 0 {
 			fmt.Fprintln(w, "none: one scheduler and one worker at a time")
 		}
 	})
@@ -532,101 +552,105 @@
 }
 
 type limitsSet struct {
-	Path   string `arg:"" help:"A file with [[limit]] rows."`
-	Reason string `name:"why" help:"For the audit."`
+	Path   string `arg:"" help:"A TOML file with [[limit]] tables."`
+	Reason string `name:"why" help:"Reason, for the audit log."`
 }
 
+// readLimits reads and validates a limits file.
 func readLimits(path string) ([]fleet.Limit, error) {
-	var f struct {
+	var file struct {
 		Limit []fleet.Limit `toml:"limit"`
 	}
-	if err := decodeStrict(path, &f); err != nil {
+	if err := decodeStrict(path, &file); err != nil {
 		return nil, err
 	}
-	if why := fleet.CheckLimits(f.Limit); why != "" {
-		return nil, exitError{exitFailed, path + ": " + why}
+	if reason := fleet.CheckLimits(file.Limit); reason != "" {
+		return nil, exitError{exitFailed, path + ": " + reason}
 	}
-	return f.Limit, nil
+	return file.Limit, nil
 }
 
 func (c *limitsSet) Run(g *globalFlags, ctx context.Context) error {
-	all, err := readLimits(c.Path)
+	limits, err := readLimits(c.Path)
 	if err != nil {
 		return err
 	}
-	return g.recordCommand(ctx, fleet.Command{Do: "limits", Limits: all, Why: c.Reason})
+	return g.recordCommand(ctx, fleet.Command{Do: "limits", Limits: limits, Why: c.Reason})
 }
 
 type whyCmd struct {
-	ID string `arg:"" help:"A scheduler or worker."`
+	ID string `arg:"" help:"Id of a scheduler or worker."`
 }
 
-// Run says why a member may not go out now, a row for each thing that counts.
+// Run prints whether a member may be taken out now: for each limit that covers it a row with its count, followed by the
+// other members that count as out, and then the first reason that prevents it.
 func (c *whyCmd) Run(g *globalFlags, ctx context.Context) error {
-	r, err := g.readRecord(ctx)
+	record, err := g.readRecord(ctx)
 	if err != nil {
 		return err
 	}
-	m, known := r.Members[c.ID]
-	if !known || m.Kind == "agent" {
-		return exitError{exitFailed, "no such scheduler or worker"}
+	member, known := record.Members[c.ID]
+	if !known || member.Kind == "agent" {
+		return exitError{exitFailed, fmt.Sprintf("no scheduler or worker %s in the fleet record", c.ID)}
 	}
-	rows := r.Room(c.ID)
-	why := r.Grant(&fleet.Op{ID: "-"}, c.ID)
-	g.printResult(rows, func(w *tabwriter.Writer) {
-		state, out := r.IsOut(c.ID)
+	counts := record.Room(c.ID)
+	reason := record.Grant(&fleet.Op{ID: "-"}, c.ID) // for an operation with an id that no other has
+	g.printResult(counts, func(w *tabwriter.Writer) {
+		state, out := record.IsOut(c.ID)
 		if !out {
 			state = "in service"
 		}
-		fmt.Fprintf(w, "%s, %s in zone %s: %s\n", c.ID, m.Kind, m.Zone, state)
-		for _, x := range rows {
-			fmt.Fprintf(w, "limit\t%s\t%d of %d would be out, %d may be\n", x.Limit, len(x.Out), x.Of, x.Allowed)
-			for _, id := range x.Out {
+		fmt.Fprintf(w, "%s, %s in zone %s: %s\n", c.ID, member.Kind, member.Zone, state)
+		for _, count := range counts {
+			fmt.Fprintf(w, "limit\t%s\t%d of %d would be out, %d may be\n", count.Limit, len(count.Out), count.Of, count.Allowed)
+			for _, id := range count.Out {
 				if id != c.ID {
-					state, _ := r.IsOut(id)
+					state, _ := record.IsOut(id)
 					fmt.Fprintf(w, "\t%s\t%s\n", id, state)
 				}
 			}
 		}
-		if why == "" {
+		if reason == "" {
 			fmt.Fprintln(w, "it may go out now")
 		} else {
-			fmt.Fprintln(w, "it may not go out now:", why)
+			fmt.Fprintln(w, "it may not go out now:", reason)
 		}
 	})
-	if why != "" {
-		return exitError{exitFailed, why}
+	if reason != "" {
+		return exitError{exitFailed, reason}
 	}
 	return nil
 }
 
-// attentionLines lists what needs a person, the most urgent first.
-func attentionLines(r *fleet.Record) (all []string) {
-	for _, of := range slices.Sorted(maps.Keys(r.Halts)) {
-		h := r.Halts[of]
-		all = append(all, fmt.Sprintf("HALTED %s by %s: %s", of, h.By, h.Why))
+// attentionLines lists what an operator has to attend to, the most urgent first: halts; members that cannot go on in an
+// operation, and operations that have ended but are not closed; members that are out for no operation.
+func attentionLines(record *fleet.Record) (lines []string) {
+	for _, scope := range slices.Sorted(maps.Keys(record.Halts)) {
+		halt := record.Halts[scope]
+		lines = append(lines, fmt.Sprintf("HALTED %s by %s: %s", scope, halt.By, halt.Why))
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.Ops)) {
-		o := r.Ops[id]
-		if o.Closed {
+	for _, id := range slices.Sorted(maps.Keys(record.Ops)) {
+		op := record.Ops[id]
+		if op.Closed {
 			continue
 		}
-		for _, m := range slices.Sorted(maps.Keys(o.Steps)) {
-			if s := o.Steps[m]; s.Why != "" {
-				all = append(all, fmt.Sprintf("STUCK %s in %s: %s", m, id, s.Why))
+		for _, member := range slices.Sorted(maps.Keys(op.Steps)) {
+			if step := op.Steps[member]; step.Why != "" {
+				lines = append(lines, fmt.Sprintf("STUCK %s in %s: %s", member, id, step.Why))
 			}
 		}
-		if o.Done {
-			all = append(all, fmt.Sprintf("CLOSE %s: it is %s, and what it came from is still kept", id, operationState(r, o)))
+		if op.Done {
+			lines = append(lines, fmt.Sprintf("CLOSE %s: it is %s, and what it came from is still kept", id, operationState(record, op)))
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.Members)) {
-		if m := r.Members[id]; m.Kind == "agent" || r.V < 2 {
+	for _, id := range slices.Sorted(maps.Keys(record.Members)) {
+		// In a record below form 2 nobody observes whether members are in service, and all would count as out.
+		if member := record.Members[id]; member.Kind == "agent" || record.V < 2 {
 			continue
 		}
-		if state, out := r.IsOut(id); out && r.Permits[id].Op == "" {
-			all = append(all, fmt.Sprintf("OUT %s: %s", id, state))
+		if state, out := record.IsOut(id); out && record.Permits[id].Op == "" {
+			lines = append(lines, fmt.Sprintf("OUT %s: %s", id, state))
 		}
 	}
-	return all
+	return lines
 }
