--- a/lab/sysfault/sysfault.go
+++ b/lab/sysfault/sysfault.go
@@ -1,13 +1,13 @@
 //go:build linux
 
-// Package sysfault makes system calls of a real child process fail. The child installs a seccomp filter on itself that hands
-// chosen calls to this process (user notification), and then becomes the program under test. A Go program calls the kernel
-// without the C library, so a preloaded library would see nothing of it; a filter sees each call, also those that a library or
-// the language's runtime makes. It needs no special rights.
+// Package sysfault injects faults into the system calls of a child process. The child, called the launcher, installs a
+// seccomp filter on itself that passes chosen calls to this process for a decision (seccomp user notification), and then
+// executes the program under test. Preloading a library would not work, because a Go program makes system calls without the
+// C library; the filter sees every call, including those made by libraries and by the language runtime. No special
+// privileges are needed.
 package sysfault
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -22,15 +22,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Call is a system call by its number on this machine.
+// Call is the number of a system call on the architecture that this program was built for.
 type Call uintptr
 
-// The calls that can be made to fail.
+// The calls to which rules can apply.
 const (
 	Accept   = Call(unix.SYS_ACCEPT4)
 	Connect  = Call(unix.SYS_CONNECT)
-	Dup      = Call(unix.SYS_FCNTL)
-	EpollCtl = Call(unix.SYS_EPOLL_CTL)
+	Dup      = Call(unix.SYS_FCNTL)     // only with F_DUPFD_CLOEXEC
+	EpollCtl = Call(unix.SYS_EPOLL_CTL) // only with EPOLL_CTL_ADD
 	Fsync    = Call(unix.SYS_FSYNC)
 	Open     = Call(unix.SYS_OPENAT)
 	Poll     = Call(unix.SYS_PPOLL)
@@ -45,31 +45,32 @@
 
 func (c Call) String() string { return callNames[c] }
 
-// Kind is what a descriptor leads to.
+// Kind is the type of file that a descriptor refers to, as a prefix of its link target in /proc/PID/fd.
 type Kind string
 
-// The kinds that rules tell apart.
+// The kinds of descriptors to which rules can be limited.
 const (
 	AnyKind  = Kind("")
 	Sockets  = Kind("socket")
 	EventFDs = Kind("anon_inode:[eventfd]")
-	Files    = Kind("/") // of the file system
+	Files    = Kind("/") // files of the file system: their link target is an absolute path
 )
 
-// Rule says which calls fail, and how.
+// Rule selects calls and says which fault is applied to them: Delay, else Short, else Errno. Where a field that selects calls
+// has its zero value, it matches every call.
 type Rule struct {
 	Call  Call
-	Kind  Kind         // of the first descriptor that the call names
-	Path  string       // a part of the path that the call or its descriptor names
-	Peers map[int]bool // of a connection: the ports that its other end may have; nil: any
-	Errno unix.Errno
-	Short int           // a read or write on a socket moves at most so many bytes, where it is above 0
-	Delay time.Duration // the call waits for so long before it is carried out
-	Every int           // one call in so many, in the order in which they come; 0: each
-	Most  int           // so many calls and no more; 0: without end
+	Kind  Kind          // of the descriptor that the call operates on
+	Path  string        // a substring of the path in the call's arguments or of the path of its descriptor
+	Peers map[int]bool  // ports of the remote end of the call's connection
+	Errno unix.Errno    // the call fails with this error without being carried out
+	Short int           // a read or write on a socket transfers at most this many bytes; 0: no limit
+	Delay time.Duration // the call is carried out after this delay
+	Every int           // the rule applies to every n-th matching call; 0: to every one
+	Most  int           // the rule applies to at most this many calls; 0: no limit
 }
 
-// Event is one call that a rule matched.
+// Event is one call to which a rule was applied.
 type Event struct {
 	At   time.Time
 	Call Call
@@ -78,12 +79,12 @@
 }
 
 const (
-	launchVariable = "SYSFAULT_CALLS" // tells a process that it is to become the program under test
-	listenerSocket = 3                // on which the launcher hands over its filter
+	launchVariable = "SYSFAULT_CALLS" // set for the launcher: the numbers of the calls to filter, separated by commas
+	listenerSocket = 3                // descriptor of the socket on which the launcher sends its filter's listener descriptor
 )
 
-// Launch becomes the program under test where this process was started for that, and returns otherwise. Programs that use
-// Start call it first of all.
+// Launch executes the program under test where Start started this process as the launcher; otherwise it returns. Programs
+// that are used as the launcher call it before anything else.
 func Launch() {
 	calls := os.Getenv(launchVariable)
 	if calls == "" {
@@ -96,8 +97,9 @@
 	}
 }
 
+// launch installs the filter, sends its listener descriptor to the parent and executes the program in os.Args[1].
 func launch(calls string) error {
-	runtime.LockOSThread() // the filter is this thread's, and execve keeps this thread alone
+	runtime.LockOSThread() // the filter applies to the calling thread, and only the thread that calls execve survives it
 	var numbers []uint32
 	for text := range strings.SplitSeq(calls, ",") {
 		number, err := strconv.ParseUint(text, 10, 32)
@@ -109,7 +111,7 @@
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("no_new_privs: %w", err)
 	}
-	listener, err := install(numbers)
+	listener, err := installFilter(numbers)
 	if err != nil {
 		return fmt.Errorf("seccomp: %w", err)
 	}
@@ -121,9 +123,10 @@
 	return unix.Exec(os.Args[1], os.Args[1:], os.Environ())
 }
 
-// install has the kernel hand these calls of this thread to whoever reads the descriptor that it returns.
-func install(numbers []uint32) (listener int, err error) {
-	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: 0}} // the number of the call
+// installFilter installs a filter on the calling thread and returns its listener descriptor, on which the kernel notifies of
+// each call with one of these numbers.
+func installFilter(numbers []uint32) (listener int, err error) {
+	program := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: 0}} // loads the call's number
 	for i, number := range numbers {
 		program = append(program, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: number,
 			Jt: uint8(len(numbers) - i)})
@@ -139,32 +142,32 @@
 	return int(fd), nil
 }
 
-// Tracer decides about the calls of one process.
+// Tracer applies rules to the calls of one process.
 type Tracer struct {
 	pid      int
 	pidfd    int
 	listener int
 	done     chan struct{}
 
-	mu     sync.Mutex
-	rules  []Rule
-	seen   []int // calls that each rule matched
-	failed []int // of these, those that it was applied to
-	events []Event
+	mu      sync.Mutex
+	rules   []Rule
+	matched []int // by rule: calls that it matched
+	applied []int // by rule: of these, calls that it was applied to
+	events  []Event
 
-	untaken []error
+	undelivered []error
 }
 
-// Start starts cmd, whose path is the program under test, with these calls under control and these rules in force. launcher is a
-// program that calls Launch.
+// Start starts cmd, whose path is the program under test, so that rules can apply to these calls; the given rules apply from
+// the start. launcher is the path of a program that calls Launch.
 func Start(cmd *exec.Cmd, launcher string, calls []Call, rules ...Rule) (*Tracer, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
 	}
-	ours, theirs := pair[0], os.NewFile(uintptr(pair[1]), "listener")
-	defer unix.Close(ours)
-	defer theirs.Close()
+	parentEnd, childEnd := pair[0], os.NewFile(uintptr(pair[1]), "listener")
+	defer unix.Close(parentEnd)
+	defer childEnd.Close()
 	numbers := make([]string, len(calls))
 	for i, call := range calls {
 		numbers[i] = strconv.Itoa(int(call))
@@ -172,13 +175,13 @@
 	cmd.Args = append([]string{launcher, cmd.Path}, cmd.Args[1:]...)
 	cmd.Path = launcher
 	cmd.Env = append(cmd.Env, launchVariable+"="+strings.Join(numbers, ","))
-	cmd.ExtraFiles = []*os.File{theirs}
+	cmd.ExtraFiles = []*os.File{childEnd}
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	theirs.Close()
+	childEnd.Close()
 	t := &Tracer{pid: cmd.Process.Pid, done: make(chan struct{})}
-	if t.listener, err = receive(ours); err == nil {
+	if t.listener, err = receiveListener(parentEnd); err == nil {
 		t.pidfd, err = unix.PidfdOpen(t.pid, 0)
 	}
 	if err != nil {
@@ -191,8 +194,8 @@
 	return t, nil
 }
 
-// receive takes the descriptor that the launcher hands over.
-func receive(socket int) (int, error) {
+// receiveListener receives the listener descriptor of the launcher's filter.
+func receiveListener(socket int) (int, error) {
 	data, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
 	_, n, _, _, err := unix.Recvmsg(socket, data, control, unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
@@ -200,43 +203,44 @@
 	}
 	messages, err := unix.ParseSocketControlMessage(control[:n])
 	if err != nil || len(messages) != 1 {
-		return 0, errors.New("the launcher did not come up")
+		return 0, fmt.Errorf("launcher did not send its seccomp listener: got %d control messages, expected 1 (error: %v)",
+			len(messages), err)
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return 0, errors.New("the launcher handed over no filter")
+		return 0, fmt.Errorf("launcher did not send its seccomp listener: got %d descriptors, expected 1 (error: %v)", len(fds), err)
 	}
 	return fds[0], nil
 }
 
-// Set puts these rules in force, in place of all before. The first that a call falls under counts.
+// Set replaces all rules and resets their counts. Of several rules that apply to a call, the first is used.
 func (t *Tracer) Set(rules ...Rule) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.rules, t.seen, t.failed = rules, make([]int, len(rules)), make([]int, len(rules))
+	t.rules, t.matched, t.applied = rules, make([]int, len(rules)), make([]int, len(rules))
 }
 
-// Failed counts the calls that rules were applied to since they were set.
+// Failed counts the calls to which rules were applied since the last Set, also those that were only delayed or shortened.
 func (t *Tracer) Failed() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, count := range t.failed {
+	for _, count := range t.applied {
 		n += count
 	}
 	return n
 }
 
-// Events are all calls that rules were applied to, in order.
+// Events returns all calls to which rules were applied since Start, in order.
 func (t *Tracer) Events() []Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Event(nil), t.events...)
 }
 
-// Wait returns once the process has ended and nothing more is decided.
+// Wait waits until the process has ended and no more calls are answered.
 func (t *Tracer) Wait() { <-t.done }
 
-// notification and response are the kernel's seccomp_notif and seccomp_notif_resp.
+// notification has the layout of the kernel's struct seccomp_notif.
 type notification struct {
 	id    uint64
 	pid   uint32
@@ -247,6 +251,7 @@
 	args  [6]uint64
 }
 
+// response has the layout of the kernel's struct seccomp_notif_resp.
 type response struct {
 	id    uint64
 	val   int64
@@ -255,9 +260,9 @@
 }
 
 const (
-	ioctlReceive = 0xc0502100
-	ioctlSend    = 0xc0182101
-	carryOn      = 1 // SECCOMP_USER_NOTIF_FLAG_CONTINUE
+	ioctlReceive = 0xc0502100 // SECCOMP_IOCTL_NOTIF_RECV
+	ioctlSend    = 0xc0182101 // SECCOMP_IOCTL_NOTIF_SEND
+	continueCall = 1          // SECCOMP_USER_NOTIF_FLAG_CONTINUE: the kernel carries the call out
 )
 
 func (t *Tracer) ioctl(request uintptr, argument unsafe.Pointer) error {
@@ -268,27 +273,29 @@
 	return nil
 }
 
-// answer sends a decision. An interrupted call is made again: the process waits for it.
-func (t *Tracer) answer(out *response) {
+// respond sends the decision about a call. Where a signal interrupts sending, it sends again, because the traced process is
+// blocked until it gets the decision.
+func (t *Tracer) respond(out *response) {
 	err := t.ioctl(ioctlSend, unsafe.Pointer(out))
 	for err == unix.EINTR {
 		err = t.ioctl(ioctlSend, unsafe.Pointer(out))
 	}
 	if err != nil {
 		t.mu.Lock()
-		t.untaken = append(t.untaken, err)
+		t.undelivered = append(t.undelivered, err)
 		t.mu.Unlock()
 	}
 }
 
-// Untaken are the errors of decisions that the process did not take: it was killed meanwhile, or the fault is this package's.
+// Untaken returns the errors of decisions that could not be delivered: the process was killed in the meantime, or this package
+// has a bug.
 func (t *Tracer) Untaken() []error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]error(nil), t.untaken...)
+	return append([]error(nil), t.undelivered...)
 }
 
-// serve answers notifications until the process has ended.
+// serve receives notifications and answers them until the process has ended.
 func (t *Tracer) serve() {
 	defer close(t.done)
 	defer unix.Close(t.pidfd)
@@ -312,43 +319,45 @@
 	}
 }
 
+// decide answers the notification of one call, after a delay where a rule asks for one.
 func (t *Tracer) decide(n *notification) {
 	rule, matched := t.match(n)
-	out := &response{id: n.id, flags: carryOn}
+	out := &response{id: n.id, flags: continueCall}
 	switch {
 	case !matched:
 	case rule.Delay > 0:
-		time.AfterFunc(rule.Delay, func() { t.answer(out) })
+		time.AfterFunc(rule.Delay, func() { t.respond(out) })
 		return
 	case rule.Short > 0:
-		t.shorten(n, rule.Short, out)
+		t.transferShort(n, rule.Short, out)
 	case rule.Errno != 0:
 		out.flags, out.errno = 0, -int32(rule.Errno)
 	}
-	t.answer(out)
+	t.respond(out)
 }
 
-// match finds the rule that this call falls under, if any, and counts it.
+// match returns the rule to apply to this call, if any, and updates the counts.
 func (t *Tracer) match(n *notification) (Rule, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, rule := range t.rules {
-		if rule.Call != Call(n.nr) || rule.Most > 0 && t.failed[i] >= rule.Most || !t.concerns(rule, n) {
+		if rule.Call != Call(n.nr) || rule.Most > 0 && t.applied[i] >= rule.Most || !t.selects(rule, n) {
 			continue
 		}
-		t.seen[i]++
-		if rule.Every > 1 && t.seen[i]%rule.Every != 0 {
+		t.matched[i]++
+		if rule.Every > 1 && t.matched[i]%rule.Every != 0 {
 			continue
 		}
-		t.failed[i]++
+		t.applied[i]++
 		t.events = append(t.events, Event{time.Now(), rule.Call, int(int32(n.args[0])), rule})
 		return rule, true
 	}
 	return Rule{}, false
 }
 
-// concerns tells whether a call is of the kind that a rule names.
-func (t *Tracer) concerns(rule Rule, n *notification) bool {
+// selects tells whether a rule selects a call by its arguments and its descriptor. Socket calls for Unix sockets and connects
+// to them are never selected.
+func (t *Tracer) selects(rule Rule, n *notification) bool {
 	fd := int(int32(n.args[0]))
 	switch rule.Call {
 	case Dup:
@@ -361,9 +370,9 @@
 		}
 		fd = int(int32(n.args[2]))
 	case Open, Rename:
-		return strings.Contains(t.text(n.args[1]), rule.Path)
+		return strings.Contains(t.readString(n.args[1]), rule.Path)
 	case Connect:
-		return !t.local(n)
+		return !t.isUnixConnect(n)
 	case Socket:
 		return n.args[0] != unix.AF_UNIX
 	}
@@ -377,39 +386,40 @@
 	return err == nil && strings.HasPrefix(name, string(rule.Kind)) && strings.Contains(name, rule.Path)
 }
 
-// peerPort is the port at the other end of a connection of the process, -1 where there is none.
+// peerPort returns the remote port of an IPv4 connection of the process, -1 where the descriptor is no such connection.
 func (t *Tracer) peerPort(fd int) int {
-	own, err := unix.PidfdGetfd(t.pidfd, fd, 0)
+	duplicate, err := unix.PidfdGetfd(t.pidfd, fd, 0)
 	if err != nil {
 		return -1
 	}
-	defer unix.Close(own)
-	if peer, err := unix.Getpeername(own); err == nil {
-		if at, ok := peer.(*unix.SockaddrInet4); ok {
-			return at.Port
+	defer unix.Close(duplicate)
+	if peer, err := unix.Getpeername(duplicate); err == nil {
+		if address, ok := peer.(*unix.SockaddrInet4); ok {
+			return address.Port
 		}
 	}
 	return -1
 }
 
-// local tells whether a connect is to a Unix socket.
-func (t *Tracer) local(n *notification) bool {
+// isUnixConnect tells whether a connect call is to a Unix socket.
+func (t *Tracer) isUnixConnect(n *notification) bool {
 	family := make([]byte, 2)
-	return t.peek(n.args[1], family) == nil && family[0] == unix.AF_UNIX
+	return t.readMemory(n.args[1], family) == nil && family[0] == unix.AF_UNIX
 }
 
-// text reads a path of the process.
-func (t *Tracer) text(address uint64) string {
+// readString reads a NUL-terminated string, at most 256 bytes long, from the memory of the process; "" where it can't be read.
+func (t *Tracer) readString(address uint64) string {
 	raw := make([]byte, 256)
-	if t.peek(address, raw) != nil {
+	if t.readMemory(address, raw) != nil {
 		return ""
 	}
 	text, _, _ := strings.Cut(string(raw), "\x00")
 	return text
 }
 
-// peek reads memory of the process. What lies behind the end of a mapping may be missing.
-func (t *Tracer) peek(address uint64, into []byte) error {
+// readMemory reads memory of the process into a buffer. Where the whole range can't be read, because it reaches beyond the end
+// of a mapping, it tries half the size until a read succeeds, and leaves the rest of the buffer as it was.
+func (t *Tracer) readMemory(address uint64, into []byte) error {
 	for size := len(into); size > 0; size /= 2 {
 		local := []unix.Iovec{{Base: &into[0], Len: uint64(size)}}
 		remote := []unix.RemoteIovec{{Base: uintptr(address), Len: size}}
@@ -420,10 +430,12 @@
 	return io.ErrUnexpectedEOF
 }
 
-// shorten carries out a read or write on a socket for the process, with fewer bytes than it asked for.
-func (t *Tracer) shorten(n *notification, most int, out *response) {
+// transferShort carries out a read or write on a socket on behalf of the process, with at most maxBytes, and puts the result
+// into the response. Where the call asked for no more than that, or its descriptor can't be duplicated, the response stays as it
+// is, so that the kernel carries the call out.
+func (t *Tracer) transferShort(n *notification, maxBytes int, out *response) {
 	size := int(n.args[2])
-	if size <= most {
+	if size <= maxBytes {
 		return
 	}
 	fd, err := unix.PidfdGetfd(t.pidfd, int(n.args[0]), 0)
@@ -431,20 +443,20 @@
 		return
 	}
 	defer unix.Close(fd)
-	moved := make([]byte, most)
-	local := []unix.Iovec{{Base: &moved[0]}}
+	buffer := make([]byte, maxBytes)
+	local := []unix.Iovec{{Base: &buffer[0]}}
 	remote := []unix.RemoteIovec{{Base: uintptr(n.args[1])}}
-	done := 0
+	transferred := 0
 	if Call(n.nr) == Write {
-		local[0].Len, remote[0].Len = uint64(most), most
+		local[0].Len, remote[0].Len = uint64(maxBytes), maxBytes
 		if _, err = unix.ProcessVMReadv(t.pid, local, remote, 0); err == nil {
-			done, err = unix.SendmsgN(fd, moved, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+			transferred, err = unix.SendmsgN(fd, buffer, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 		}
-	} else if done, _, err = unix.Recvfrom(fd, moved, unix.MSG_DONTWAIT); err == nil && done > 0 {
-		local[0].Len, remote[0].Len = uint64(done), done
+	} else if transferred, _, err = unix.Recvfrom(fd, buffer, unix.MSG_DONTWAIT); err == nil && transferred > 0 {
+		local[0].Len, remote[0].Len = uint64(transferred), transferred
 		_, err = unix.ProcessVMWritev(t.pid, local, remote, 0)
 	}
-	out.flags, out.val = 0, int64(done)
+	out.flags, out.val = 0, int64(transferred)
 	if errno, failed := err.(unix.Errno); failed {
 		out.val, out.errno = 0, -int32(errno)
 	}
--- a/lab/sysfault/sysfault_test.go
+++ b/lab/sysfault/sysfault_test.go
@@ -29,7 +29,8 @@
 	os.Exit(m.Run())
 }
 
-// echo is the program under test: it sends back what it reads, on several connections, while the collector runs.
+// echo is the program under test: on several connections it sends back what it reads, while the garbage collector runs all the
+// time, so that the runtime's signals interrupt system calls.
 func echo(addr string) error {
 	go func() {
 		for {
@@ -37,7 +38,7 @@
 		}
 	}()
 	ended := make(chan error)
-	for range echoes {
+	for range echoConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			return err
@@ -48,7 +49,7 @@
 			ended <- err
 		}()
 	}
-	for range echoes {
+	for range echoConns {
 		if err := <-ended; err != nil {
 			return err
 		}
@@ -56,20 +57,22 @@
 	return nil
 }
 
-const echoes = 4
+const echoConns = 4
 
-// Short reads and writes lose, double and change nothing, also while signals interrupt the process and this one.
+// Guards against short reads and writes that lose, duplicate or change bytes of a stream, also while signals interrupt both the
+// traced process and this one.
 func TestShortReadsAndWritesKeepTheStream(t *testing.T) {
 	for name, rules := range map[string][]Rule{
 		"short reads":  {{Call: Read, Kind: Sockets, Short: 11}},
 		"short writes": {{Call: Write, Kind: Sockets, Short: 11}},
 		"interrupted":  {{Call: Read, Kind: Sockets, Errno: unix.EINTR, Every: 2}, {Call: Write, Kind: Sockets, Short: 7}},
 	} {
-		t.Run(name, func(t *testing.T) { streams(t, rules) })
+		t.Run(name, func(t *testing.T) { checkEcho(t, rules) })
 	}
 }
 
-func streams(t *testing.T, rules []Rule) {
+// checkEcho runs echo under these rules and checks that each connection gets its bytes back, and that the rules were applied.
+func checkEcho(t *testing.T, rules []Rule) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -83,8 +86,8 @@
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	done := make(chan error, echoes)
-	for range echoes {
+	done := make(chan error, echoConns)
+	for range echoConns {
 		c, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -92,7 +95,7 @@
 		c.SetDeadline(time.Now().Add(time.Minute))
 		go func() { done <- roundTrip(c) }()
 	}
-	for range echoes {
+	for range echoConns {
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
@@ -101,11 +104,11 @@
 		t.Error(err)
 	}
 	if tracer.Failed() < 1000 {
-		t.Errorf("only %d calls were shortened", tracer.Failed())
+		t.Errorf("rules were applied to %d calls, expected at least 1000", tracer.Failed())
 	}
 }
 
-// roundTrip sends numbers and checks that they come back in order.
+// roundTrip sends numbers over a connection and checks that they come back complete and in order.
 func roundTrip(c net.Conn) error {
 	defer c.Close()
 	const numbers = 4000
@@ -122,7 +125,7 @@
 	for i := range numbers {
 		want := fmt.Sprintf("%08d\n", i)
 		if at := i * len(want); at+len(want) > len(got) || string(got[at:at+len(want)]) != want {
-			return fmt.Errorf("number %d of %d: %.40q", i, numbers, got[min(at, len(got)):])
+			return fmt.Errorf("echoed number %d of %d: got %.40q, expected %q", i, numbers, got[min(at, len(got)):], want)
 		}
 	}
 	return nil
