--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -12,7 +12,7 @@
 	"shalebeam/lab/plan"
 )
 
-// Program is built once for all tests here: what is played against is a real process.
+// program is the path of the scheduler program, built once for all tests of this package.
 var program string
 
 func TestMain(m *testing.M) {
@@ -29,7 +29,7 @@
 	os.Exit(code)
 }
 
-const small = `name = "small"
+const smallPlan = `name = "small"
 length = "3s"
 [schedulers]
 count = 3
@@ -76,11 +76,11 @@
 lag = "20ms"
 `
 
-// With real processes killed, stopped and reloaded, workers killed and drained and discovery down, each job of
-// the plan ends, no rule breaks, and the same jobs came as in simulated time. Not how many settled in time: that
-// is the machine's matter.
-func TestRealProcessesKeepTheRules(t *testing.T) {
-	p, err := plan.Parse([]byte(small + `
+// Guards against invariants that hold in the simulation but break with real processes: while schedulers are killed, stopped and
+// reloaded, workers are killed and drained and discovery is down, each job of the plan ends, no rule is broken, and the same jobs
+// come as in simulated time. How many jobs settle in time is not checked, because that depends on the speed of the machine.
+func TestRealProcessesKeepInvariants(t *testing.T) {
+	p, err := plan.Parse([]byte(smallPlan + `
 [[fault]]
 do = "kill"
 on = "schedulers:1"
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	over := 0
+	ended := 0
 	done := make(chan *load.Job, 10000)
 	r, err := Play(context.Background(), p, 1, Options{Program: program, Outcome: func(j *load.Job) { done <- j }})
 	if err != nil {
@@ -130,7 +130,7 @@
 	}
 	for len(done) > 0 {
 		j := <-done
-		if over++; !j.Over || j.Got == "" {
+		if ended++; !j.Over || j.Got == "" {
 			t.Errorf("job %d is not over: %+v", j.No, j)
 		}
 	}
@@ -147,15 +147,16 @@
 	for _, c := range r.Schemes {
 		settled += c.InTime + c.Late
 	}
-	if over != jobs || r.Offered != jobs || settled < jobs/2 {
-		t.Errorf("%d jobs came, %d were counted, %d ended, %d settled", jobs, r.Offered, over, settled)
+	if ended != jobs || r.Offered != jobs || settled < jobs/2 {
+		t.Errorf("%d jobs in the plan, %d offered, %d ended, %d settled", jobs, r.Offered, ended, settled)
 	}
 }
 
-// On a network that loses a third of all messages, what a worker has yet to say is no reason for an answer: the time that
-// it was under way for, 0.4 s and more, was named as an answer held back.
-func TestTimeOnTheWayIsNotHeldBack(t *testing.T) {
-	p, err := plan.Parse([]byte(small + `
+// Guards against an auditor that reports an answer as held back while the worker's failure is still in transit: the network
+// loses 30% of all messages, and a resend adds 400 ms each time. The auditor took that transit time for time in which the
+// scheduler withheld an answer.
+func TestTransitTimeIsNotCountedAsHeldBack(t *testing.T) {
+	p, err := plan.Parse([]byte(smallPlan + `
 [network]
 loss = 0.3
 resend = "400ms"
@@ -174,13 +175,14 @@
 		t.Fatal(err)
 	}
 	if r.Schemes[1].Reversed < 10 || r.Counts["held back"] > 0 {
-		t.Errorf("%d reversed, %v", r.Schemes[1].Reversed, r.Counts)
+		t.Errorf("%d reversed, expected at least 10; breaks by rule %v, expected none held back", r.Schemes[1].Reversed, r.Counts)
 	}
 }
 
-// A result that no worker made is named: here a program stands in that answers by itself.
-func TestMadeUpAnswersAreNamed(t *testing.T) {
-	p, err := plan.Parse([]byte(small))
+// Guards against an auditor that misses results which no worker produced: a stand-in for the scheduler answers each request by
+// itself, and each of its answers must be reported as made up.
+func TestFabricatedAnswersAreReported(t *testing.T) {
+	p, err := plan.Parse([]byte(smallPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,13 +196,14 @@
 		t.Fatal(err)
 	}
 	if r.Counts["made up"] == 0 || r.Counts["made up"] != r.Offered {
-		t.Errorf("%v of %d", r.Counts, r.Offered)
+		t.Errorf("breaks by rule %v, expected %d made up, one for each job", r.Counts, r.Offered)
 	}
 }
 
-// When the caller gives up, all that was started ends and the result is partial.
-func TestStoppedEarly(t *testing.T) {
-	p, err := plan.Parse([]byte(small))
+// Guards against processes that outlive a cancelled run: when the caller cancels the context, every process that was started ends,
+// and the result is marked as partial.
+func TestCancelStopsProcesses(t *testing.T) {
+	p, err := plan.Parse([]byte(smallPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,10 +211,10 @@
 	var addr string
 	r, err := Play(ctx, p, 1, Options{Program: program, Serving: func(a, _ string) { addr = a; cancel() }})
 	if err != nil || !r.Partial {
-		t.Errorf("%+v %v", r, err)
+		t.Errorf("got result %+v, error %v; expected a partial result without an error", r, err)
 	}
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Error("a scheduler still serves")
+		t.Error("a scheduler still accepts connections after the run was cancelled")
 	}
 }
--- a/lab/live/testdata/fake/main.go
+++ b/lab/live/testdata/fake/main.go
@@ -1,4 +1,5 @@
-// A program that settles all by itself, for a test of the auditor.
+// Fake stands in for the scheduler program in a test of the auditor: it answers each request with status 200 and a result that
+// no worker produced. Its arguments are those of the real program, of which it uses only the configuration's path.
 package main
 
 import (
@@ -9,7 +10,7 @@
 )
 
 func main() {
-	raw, err := os.ReadFile(os.Args[3])
+	raw, err := os.ReadFile(os.Args[3]) // fake serve --config PATH
 	if err != nil {
 		panic(err)
 	}
