--- a/lab/live/boxes.go
+++ b/lab/live/boxes.go
@@ -20,58 +20,59 @@
 	"shalebeam/lab/script"
 )
 
-// box is a worker: the same model as in simulated time, behind a real listener for each scheduler.
-type box struct {
+// worker stands in for a worker: the model that the simulation uses too, behind one real listener for each scheduler.
+type worker struct {
 	plan.Box
-	w       *world
-	no      int
-	addrs   []string // by scheduler
-	mu      sync.Mutex
-	m       *machine.Machine
-	up      bool
-	silent  bool
-	marks   map[balance.Group]*machine.Shelf
-	rand    *rand.Rand
-	timer   *time.Timer
-	visits  map[*machine.Job]*visit
-	conns   map[*conn]bool
-	reports [2]float64
-	read    float64
-	// parts of its answers that go wrong
-	erring, twice, late, other float64
+	exp              *experiment
+	number           int
+	addrs            []string // by scheduler
+	mu               sync.Mutex
+	model            *machine.Machine
+	running          bool                             // its process runs
+	vanished         bool                             // its machine sends nothing, and its connections stay open
+	idempotencyKeys  map[balance.Group]*machine.Shelf // keys that were carried out, shared with the other workers of each group
+	random           *rand.Rand
+	timer            *time.Timer // for the model's next step
+	postings         map[*machine.Job]*posting
+	conns            map[*workerConn]bool
+	freeSlotReadings [2]float64 // the last two readings of the free slots, the older one first
+	lastReadingMs    float64    // time in the run
+	// Shares of its answers, from 0 to 1, that fail, are sent twice, come late, or carry the ID of another txn.
+	failedShare, repeatedShare, lateShare, wrongIDShare float64
 }
 
-// visit is one posting at a worker.
-type visit struct {
-	ref   string
-	no    int     // among all postings of its txn, as they came to workers
-	at    float64 // when it came
-	guest bool    // no txn of the plan's: the auditor does not know it
-	notes chan machine.Note
+// posting is one posting that a worker received.
+type posting struct {
+	reference string
+	number    int     // among all postings of its txn, in the order in which workers received them
+	arrivedMs float64 // time in the run
+	isGuest   bool    // its txn is not part of the plan, and the auditor does not know it
+	notes     chan machine.Note
 }
 
-// conn is a connection to a worker, which a fault may hold up or break.
-type conn struct {
+// workerConn is a scheduler's connection to a worker, which faults may delay or reset.
+type workerConn struct {
 	*net.TCPConn
-	b     *box
-	sched int
-	came  atomic.Int64 // when bytes last came, in microseconds of the run
+	worker          *worker
+	schedulerNumber int
+	lastReadMicros  atomic.Int64 // when bytes last arrived, in microseconds of the run
 }
 
-// Read holds bytes up while nothing comes through. They count as come when the machine had them. Where this program read
-// them late, as the system knows, it is noted: a posting was taken for one that was made after its txn's answer.
-func (c *conn) Read(p []byte) (int, error) {
+// Read reads, and then blocks while a network cut is in force. The bytes count as arrived when they were read, before that
+// wait. Where this process read them late, as the kernel's statistics of the connection show, the delay is recorded; otherwise
+// a posting that was sent before its txn was answered could be taken for one that was sent after it.
+func (c *workerConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n > 0 {
-		c.came.Store(int64(c.b.w.now() * 1000))
-		c.b.w.lateBy(since(c.TCPConn))
+		c.lastReadMicros.Store(int64(c.worker.exp.nowMs() * 1000))
+		c.worker.exp.recordLabDelay(msSinceLastReceive(c.TCPConn))
 	}
-	c.b.w.whole(c)
+	c.worker.exp.waitForLink(c)
 	return n, err
 }
 
-// since is how many ms ago bytes last came to the system, 0 where it does not say.
-func since(c *net.TCPConn) float64 {
+// msSinceLastReceive returns how many ms ago the kernel last received bytes on a connection, 0 where it does not tell.
+func msSinceLastReceive(c *net.TCPConn) float64 {
 	var ms uint32
 	if raw, err := c.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) {
@@ -83,45 +84,45 @@
 	return float64(ms)
 }
 
-// connKey finds a request's connection in its context.
-type connKey struct{}
+// connContextKey is the key of a request's connection in its context.
+type connContextKey struct{}
 
-// Write holds bytes up while nothing comes through.
-func (c *conn) Write(p []byte) (int, error) {
-	c.b.w.whole(c)
+// Write blocks while a network cut is in force, and then writes.
+func (c *workerConn) Write(p []byte) (int, error) {
+	c.worker.exp.waitForLink(c)
 	return c.TCPConn.Write(p)
 }
 
-// Close forgets the connection.
-func (c *conn) Close() error {
-	c.b.mu.Lock()
-	delete(c.b.conns, c)
-	c.b.mu.Unlock()
+// Close closes the connection and removes it from the worker's connections.
+func (c *workerConn) Close() error {
+	c.worker.mu.Lock()
+	delete(c.worker.conns, c)
+	c.worker.mu.Unlock()
 	return c.TCPConn.Close()
 }
 
-// door is a worker's listener for one scheduler.
-type door struct {
+// workerListener is a worker's listener for one scheduler.
+type workerListener struct {
 	net.Listener
-	b     *box
-	sched int
+	worker          *worker
+	schedulerNumber int
 }
 
-// Accept takes a connection. While no process runs there it is reset at once, as near to a refusal as a
-// listener that must keep its address gets; a machine that says nothing leaves it open.
-func (d *door) Accept() (net.Conn, error) {
+// Accept accepts a connection. While the worker's process does not run it resets the connection at once, which is as close to
+// a refused connection as a listener that must keep its address can get. Connections to a vanished machine stay open.
+func (l *workerListener) Accept() (net.Conn, error) {
 	for {
-		x, err := d.Listener.Accept()
+		accepted, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		c := &conn{TCPConn: x.(*net.TCPConn), b: d.b, sched: d.sched}
-		d.b.mu.Lock()
-		open := d.b.up || d.b.silent
+		c := &workerConn{TCPConn: accepted.(*net.TCPConn), worker: l.worker, schedulerNumber: l.schedulerNumber}
+		l.worker.mu.Lock()
+		open := l.worker.running || l.worker.vanished
 		if open {
-			d.b.conns[c] = true
+			l.worker.conns[c] = true
 		}
-		d.b.mu.Unlock()
+		l.worker.mu.Unlock()
 		if open {
 			return c, nil
 		}
@@ -130,318 +131,330 @@
 	}
 }
 
-func (b *box) open() error {
-	for i := range b.w.p.Schedulers.Count {
+// listen opens a listener for each scheduler and serves its requests.
+func (wk *worker) listen() error {
+	for i := range wk.exp.plan.Schedulers.Count {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		b.addrs = append(b.addrs, l.Addr().String())
-		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { b.serve(i, w, r) }),
-			ErrorLog: quiet, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-				return context.WithValue(ctx, connKey{}, c)
+		wk.addrs = append(wk.addrs, l.Addr().String())
+		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { wk.serve(i, w, r) }),
+			ErrorLog: discardLog, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+				return context.WithValue(ctx, connContextKey{}, c)
 			}}
-		go s.Serve(&door{l, b, i})
-		b.w.closers = append(b.w.closers, func() { s.Close() })
+		go s.Serve(&workerListener{l, wk, i})
+		wk.exp.closers = append(wk.exp.closers, func() { s.Close() })
 	}
 	return nil
 }
 
-func (b *box) clock() float64 { return b.w.wall() }
+// clockMs returns the time of the worker's model, which is wall-clock time in ms.
+func (wk *worker) clockMs() float64 { return wk.exp.wallClockMs() }
 
-// serve answers a scheduler's posting or probe.
-func (b *box) serve(sched int, w http.ResponseWriter, r *http.Request) {
+// serve answers a posting or a probe of a scheduler.
+func (wk *worker) serve(schedulerNumber int, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ping" || r.URL.Path == "/_load" {
-		b.probe(w, r)
+		wk.serveProbe(w, r)
 		return
 	}
 	_, err := io.Copy(io.Discard, r.Body)
 	ref := r.Header.Get("Request-Id")
-	j := b.w.job(ref)
-	guest := j == nil && b.w.opt.Guests
-	if guest {
-		j = b.w.guest(r)
+	j := wk.exp.jobByReference(ref)
+	isGuest := j == nil && wk.exp.options.Guests
+	if isGuest {
+		j = wk.exp.guestJob(r)
 	}
 	if err != nil || j == nil {
 		http.Error(w, "no such txn", http.StatusBadRequest)
 		return
 	}
-	came := float64(r.Context().Value(connKey{}).(*conn).came.Load()) / 1000
-	v := &visit{ref: ref, at: came, guest: guest, notes: make(chan machine.Note, 4)}
-	if !guest {
-		v.no = b.w.posted(came, sched, b, ref)
+	arrivedMs := float64(r.Context().Value(connContextKey{}).(*workerConn).lastReadMicros.Load()) / 1000
+	post := &posting{reference: ref, arrivedMs: arrivedMs, isGuest: isGuest, notes: make(chan machine.Note, 4)}
+	if !isGuest {
+		post.number = wk.exp.recordPosting(arrivedMs, schedulerNumber, wk, ref)
 	}
-	time.Sleep(b.w.net.wait())
-	row := b.w.p.Row(j.Scheme)
-	job := &machine.Job{Ref: ref, Work: j.Work, Slots: j.Slots, Rank: b.w.p.Schemes[j.Scheme].Gain,
+	time.Sleep(wk.exp.network.drawDelay())
+	row := wk.exp.plan.Row(j.Scheme)
+	job := &machine.Job{Ref: ref, Work: j.Work, Slots: j.Slots, Rank: wk.exp.plan.Schemes[j.Scheme].Gain,
 		Window: row.Window}
 	if row.Effect == balance.Referenced {
 		job.Mark = r.Header.Get("Idempotency-Key")
 	}
-	b.mu.Lock()
-	start := b.m.Start
-	b.mu.Unlock()
-	job.Warned = b.w.disc.knows(sched, b.Name, start) // its lock comes before this worker's
-	b.mu.Lock()
-	b.visits[job] = v
-	b.m.Marks = b.marks[row.Group]
-	b.m.Take(b.clock(), job)
-	b.settle()
-	b.mu.Unlock()
-	b.answer(w, r, job, v)
+	wk.mu.Lock()
+	start := wk.model.Start
+	wk.mu.Unlock()
+	// Called without wk.mu, because discovery's lock must be taken before a worker's.
+	job.Warned = wk.exp.discovery.wasToldStart(schedulerNumber, wk.Name, start)
+	wk.mu.Lock()
+	wk.postings[job] = post
+	wk.model.Marks = wk.idempotencyKeys[row.Group]
+	wk.model.Take(wk.clockMs(), job)
+	wk.deliverNotes()
+	wk.mu.Unlock()
+	wk.streamStates(w, r, job, post)
 }
 
-// answer writes the worker's notes as they come, until the last one or until the scheduler hangs up.
-func (b *box) answer(w http.ResponseWriter, r *http.Request, job *machine.Job, v *visit) {
-	// It has ended for its scheduler when the line goes out, not when it gets under way: on a network that loses messages
-	// the auditor took the time that they were under way for time in which an answer was held back.
-	say := func(state string, more map[string]any, how ...balance.Outcome) {
-		line := map[string]any{"id": v.ref, "from": b.Name, "state": state}
-		for k, x := range more {
-			line[k] = x
+// streamStates writes a state line for each note of the worker's model, until the last one or until the scheduler closes the
+// connection.
+func (wk *worker) streamStates(w http.ResponseWriter, r *http.Request, job *machine.Job, post *posting) {
+	// The outcome is recorded when the line is written, not when its transit begins: on a network that loses messages the
+	// auditor would otherwise count the transit as time in which the scheduler held an answer back.
+	send := func(state string, fields map[string]any, outcomes ...balance.Outcome) {
+		line := map[string]any{"id": post.reference, "from": wk.Name, "state": state}
+		for k, value := range fields {
+			line[k] = value
 		}
 		raw, err := json.Marshal(line)
 		if err != nil {
 			return
 		}
-		time.Sleep(b.w.net.wait())
-		for _, h := range how {
-			b.w.ended(v, h, 0)
+		time.Sleep(wk.exp.network.drawDelay())
+		for _, outcome := range outcomes {
+			wk.exp.recordPostingEnd(post, outcome, 0)
 		}
 		_, _ = w.Write(append(raw, '\n'))
 		_ = http.NewResponseController(w).Flush()
 	}
 	for {
 		select {
-		case n := <-v.notes:
-			switch n.What {
+		case note := <-post.notes:
+			switch note.What {
 			case machine.Began:
-				b.w.noteOf(v, func(at float64) { b.w.audit.Began(at, v.ref, v.no, b.Name) })
-				say("started", nil)
+				wk.exp.recordPostingEvent(post, func(at float64) { wk.exp.auditor.Began(at, post.reference, post.number, wk.Name) })
+				send("started", nil)
 				continue
 			case machine.Returned:
-				say("returned", b.load(), balance.Full)
+				send("returned", wk.loadReport(), balance.Full)
 			case machine.Lost:
-				if b.isUp() {
-					say("lost", nil, balance.Reset)
+				if wk.isRunning() {
+					send("lost", nil, balance.Reset)
 				} else {
-					b.w.ended(v, balance.Reset, 0)
+					wk.exp.recordPostingEnd(post, balance.Reset, 0)
 					panic(http.ErrAbortHandler)
 				}
 			case machine.Settled:
-				b.settled(say, v, n)
+				wk.sendResult(send, post, note)
 			}
 			return
 		case <-r.Context().Done():
-			// The scheduler hung up, or the connection broke. What it did before it saw that comes first.
-			b.w.ended(v, balance.Cancelled, hungUp)
-			b.mu.Lock()
-			delete(b.visits, job)
-			b.m.Drop(b.clock(), job)
-			b.settle()
-			b.mu.Unlock()
+			// The scheduler closed the connection, or the connection broke. The worker sees that later than the scheduler
+			// decided it, so the end is recorded earlier, ahead of what the scheduler did next.
+			wk.exp.recordPostingEnd(post, balance.Cancelled, hangUpDelayMs)
+			wk.mu.Lock()
+			delete(wk.postings, job)
+			wk.model.Drop(wk.clockMs(), job)
+			wk.deliverNotes()
+			wk.mu.Unlock()
 			return
 		}
 	}
 }
 
-// hungUp is by how much later than the scheduler decided it a worker may see a connection's end.
-const hungUp = 20.0
+// hangUpDelayMs is how much later than a scheduler decided it a worker may see the end of a connection, in ms.
+const hangUpDelayMs = 20.0
 
-func (b *box) settled(say func(string, map[string]any, ...balance.Outcome), v *visit, n machine.Note) {
-	b.mu.Lock()
-	erring, twice, late, other := b.rand.Float64() < b.erring, b.rand.Float64() < b.twice, b.rand.Float64() < b.late,
-		b.rand.Float64() < b.other
-	b.mu.Unlock()
-	result := v.ref + " by " + b.Name
-	b.w.noteOf(v, func(at float64) { b.w.audit.Made(at, v.ref, v.no, b.Name, result, n.Drop) })
-	more := b.load()
-	more["result"] = result
+// sendResult sends the result of a posting, wrong in one of the ways that faults ask for.
+func (wk *worker) sendResult(send func(string, map[string]any, ...balance.Outcome), post *posting, note machine.Note) {
+	wk.mu.Lock()
+	failed, repeated, late, wrongID := wk.random.Float64() < wk.failedShare, wk.random.Float64() < wk.repeatedShare,
+		wk.random.Float64() < wk.lateShare, wk.random.Float64() < wk.wrongIDShare
+	wk.mu.Unlock()
+	result := post.reference + " by " + wk.Name
+	wk.exp.recordPostingEvent(post, func(at float64) { wk.exp.auditor.Made(at, post.reference, post.number, wk.Name, result, note.Drop) })
+	fields := wk.loadReport()
+	fields["result"] = result
 	switch {
-	case erring:
-		say("failed", nil, balance.Erred)
-	case other:
-		more["id"] = "t0-999"
-		say("done", more, balance.Reset)
+	case failed:
+		send("failed", nil, balance.Erred)
+	case wrongID:
+		fields["id"] = "t0-999"
+		send("done", fields, balance.Reset)
 	default:
 		if late {
-			time.Sleep(lateAfter)
+			time.Sleep(lateAnswerDelay)
 		}
-		say("done", more, balance.Done)
-		if twice {
-			say("done", more)
+		send("done", fields, balance.Done)
+		if repeated {
+			send("done", fields)
 		}
 	}
 }
 
-const lateAfter = 4 * time.Second
+// lateAnswerDelay is how long a worker waits with an answer that is to come late.
+const lateAnswerDelay = 4 * time.Second
 
-func (b *box) isUp() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.up
+func (wk *worker) isRunning() bool {
+	wk.mu.Lock()
+	defer wk.mu.Unlock()
+	return wk.running
 }
 
-// load is a report of free slots, some time old and not quite right.
-func (b *box) load() map[string]any {
-	g := &b.w.p.Workers[b.Group]
-	if g.ReportsEach == 0 {
+// loadReport returns the load field of an answer, which reports free slots: a reading that is out of date by at least one
+// interval of the plan, with noise. It is empty where this group of workers reports no load.
+func (wk *worker) loadReport() map[string]any {
+	group := &wk.exp.plan.Workers[wk.Group]
+	if group.ReportsEach == 0 {
 		return map[string]any{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if now := b.w.now(); now >= b.read+float64(g.ReportsEach) {
-		b.read = now
-		b.reports = [2]float64{b.reports[1], float64(b.m.Free())}
+	wk.mu.Lock()
+	defer wk.mu.Unlock()
+	if now := wk.exp.nowMs(); now >= wk.lastReadingMs+float64(group.ReportsEach) {
+		wk.lastReadingMs = now
+		wk.freeSlotReadings = [2]float64{wk.freeSlotReadings[1], float64(wk.model.Free())}
 	}
-	free := math.Round(b.reports[0] + g.Noise*(2*b.rand.Float64()-1))
+	free := math.Round(wk.freeSlotReadings[0] + group.Noise*(2*wk.random.Float64()-1))
 	return map[string]any{"load": map[string]float64{"x0": max(free, 0)}}
 }
 
-func (b *box) probe(w http.ResponseWriter, r *http.Request) {
-	if !b.w.p.Schedulers.Probes {
+// serveProbe answers a scheduler's probe with the present load report.
+func (wk *worker) serveProbe(w http.ResponseWriter, r *http.Request) {
+	if !wk.exp.plan.Schedulers.Probes {
 		http.NotFound(w, r)
 		return
 	}
-	time.Sleep(b.w.net.wait())
-	if report, ok := b.load()["load"]; ok {
+	time.Sleep(wk.exp.network.drawDelay())
+	if report, ok := wk.loadReport()["load"]; ok {
 		_ = json.NewEncoder(w).Encode(report)
 	}
 }
 
-// settle passes on what the model says and arms its next step. The lock is held.
-func (b *box) settle() {
-	fell := b.m.Fell && b.up
-	for n, ok := b.m.NextNote(); ok; n, ok = b.m.NextNote() {
-		if v := b.visits[n.Job]; v != nil {
-			v.notes <- n // at most one that it began and one that it ended
-			if n.What != machine.Began {
-				delete(b.visits, n.Job)
+// deliverNotes passes the notes of the model on to the handlers of their postings, ends the process where the model collapsed
+// under load, and sets the timer for the model's next step. wk.mu is held.
+func (wk *worker) deliverNotes() {
+	collapsed := wk.model.Fell && wk.running
+	for note, ok := wk.model.NextNote(); ok; note, ok = wk.model.NextNote() {
+		if post := wk.postings[note.Job]; post != nil {
+			post.notes <- note // never blocks: a posting gets at most one note that it began and one that it ended
+			if note.What != machine.Began {
+				delete(wk.postings, note.Job)
 			}
 		}
 	}
-	if fell {
-		part, why := b.m.Blame, b.m.Tipped
-		b.w.note(func(at float64) { b.w.audit.Fell(at, b.Name, part, why) })
-		b.end(false)
-		go b.w.disc.tell(b, balance.Removed)
-		b.w.later(float64(b.w.p.Cold.Down), b.restart)
+	if collapsed {
+		share, reason := wk.model.Blame, wk.model.Tipped
+		wk.exp.recordEvent(func(at float64) { wk.exp.auditor.Fell(at, wk.Name, share, reason) })
+		wk.stopProcess(false)
+		go wk.exp.discovery.announce(wk, balance.Removed)
+		wk.exp.afterMs(float64(wk.exp.plan.Cold.Down), wk.restart)
 	}
-	next := b.m.Next()
-	if math.IsInf(next, 1) || !b.up {
+	next := wk.model.Next()
+	if math.IsInf(next, 1) || !wk.running {
 		return
 	}
-	wait := time.Duration(max(next-b.clock(), 0) * float64(time.Millisecond))
-	if b.timer == nil {
-		b.timer = time.AfterFunc(wait, func() {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			if b.up {
-				b.m.Advance(b.clock())
-				b.settle()
+	wait := time.Duration(max(next-wk.clockMs(), 0) * float64(time.Millisecond))
+	if wk.timer == nil {
+		wk.timer = time.AfterFunc(wait, func() {
+			wk.mu.Lock()
+			defer wk.mu.Unlock()
+			if wk.running {
+				wk.model.Advance(wk.clockMs())
+				wk.deliverNotes()
 			}
 		})
 	} else {
-		b.timer.Reset(wait)
+		wk.timer.Reset(wait)
 	}
 }
 
-// end ends its process: connections are reset, or left open and silent. The lock is held.
-func (b *box) end(silent bool) {
-	b.up, b.silent = false, silent
-	if silent {
-		b.m.Kill(b.clock())
-		for _, ok := b.m.NextNote(); ok; _, ok = b.m.NextNote() {
+// stopProcess ends the worker's process. Its connections are reset, or stay open and silent where its machine vanishes. wk.mu
+// is held.
+func (wk *worker) stopProcess(vanish bool) {
+	wk.running, wk.vanished = false, vanish
+	if vanish {
+		wk.model.Kill(wk.clockMs())
+		for _, ok := wk.model.NextNote(); ok; _, ok = wk.model.NextNote() {
 		}
-		clear(b.visits)
+		clear(wk.postings)
 		return
 	}
-	b.m.Kill(b.clock())
-	b.settle()
-	b.breakAll(1)
+	wk.model.Kill(wk.clockMs())
+	wk.deliverNotes()
+	wk.resetConns(1)
 }
 
-// breakAll resets a part of its connections. The lock is held.
-func (b *box) breakAll(part float64) {
-	for c := range b.conns {
-		if part < 1 && b.rand.Float64() >= part {
+// resetConns resets a random share, from 0 to 1, of the worker's connections. wk.mu is held.
+func (wk *worker) resetConns(share float64) {
+	for c := range wk.conns {
+		if share < 1 && wk.random.Float64() >= share {
 			continue
 		}
-		delete(b.conns, c)
+		delete(wk.conns, c)
 		_ = c.SetLinger(0)
 		go c.TCPConn.Close()
 	}
 }
 
-// restart starts a process anew, cold.
-func (b *box) restart() {
-	b.mu.Lock()
-	if b.silent {
-		b.breakAll(1) // what was silent is reset when the machine is back
+// restart starts the worker's process again, cold.
+func (wk *worker) restart() {
+	wk.mu.Lock()
+	if wk.vanished {
+		wk.resetConns(1) // the machine is back and resets the connections that were silent
 	}
-	b.m.Restart(b.clock())
-	for _, ok := b.m.NextNote(); ok; _, ok = b.m.NextNote() {
+	wk.model.Restart(wk.clockMs())
+	for _, ok := wk.model.NextNote(); ok; _, ok = wk.model.NextNote() {
 	}
-	b.up, b.silent = true, false
-	b.mu.Unlock()
-	b.w.disc.tell(b, balance.Running)
+	wk.running, wk.vanished = true, false
+	wk.mu.Unlock()
+	wk.exp.discovery.announce(wk, balance.Running)
 }
 
-func (b *box) act(a script.Act) {
-	b.mu.Lock()
-	now := b.clock()
-	pick := func(while, usual float64) float64 {
-		if a.Begin {
-			return while
+// applyFault begins or ends a fault of this worker.
+func (wk *worker) applyFault(fault script.Act) {
+	wk.mu.Lock()
+	now := wk.clockMs()
+	choose := func(duringFault, otherwise float64) float64 {
+		if fault.Begin {
+			return duringFault
 		}
-		return usual
+		return otherwise
 	}
-	again := false
-	switch a.Do {
+	startAgain := false
+	switch fault.Do {
 	case "kill", "vanish":
-		if again = !a.Begin; a.Begin {
-			b.end(a.Do == "vanish")
+		if startAgain = !fault.Begin; fault.Begin {
+			wk.stopProcess(fault.Do == "vanish")
 		}
 	case "join":
-		again = true
+		startAgain = true
 	case "drain":
-		if again = !a.Begin; a.Begin && b.up {
-			b.m.Drain(now)
-			go b.w.disc.tell(b, balance.Draining)
-			start := b.m.Start
-			b.w.later(float64(b.w.p.Workers[b.Group].DrainFor), func() {
-				b.mu.Lock()
-				defer b.mu.Unlock()
-				if b.up && b.m.Draining && b.m.Start == start {
-					b.end(false)
-					go b.w.disc.tell(b, balance.Removed)
+		if startAgain = !fault.Begin; fault.Begin && wk.running {
+			wk.model.Drain(now)
+			go wk.exp.discovery.announce(wk, balance.Draining)
+			start := wk.model.Start
+			wk.exp.afterMs(float64(wk.exp.plan.Workers[wk.Group].DrainFor), func() {
+				wk.mu.Lock()
+				defer wk.mu.Unlock()
+				if wk.running && wk.model.Draining && wk.model.Start == start {
+					wk.stopProcess(false)
+					go wk.exp.discovery.announce(wk, balance.Removed)
 				}
 			})
-		} else if b.up {
-			b.end(false)
+		} else if wk.running {
+			wk.stopProcess(false)
 		}
 	case "pause":
-		b.m.Change(now, func() { b.m.Paused = a.Begin })
+		wk.model.Change(now, func() { wk.model.Paused = fault.Begin })
 	case "slow":
-		b.m.Change(now, func() { b.m.Slow = pick(a.Factor, 1) })
+		wk.model.Change(now, func() { wk.model.Slow = choose(fault.Factor, 1) })
 	case "neighbour":
-		b.m.Change(now, func() { b.m.Taken = pick(a.Factor, 0) })
+		wk.model.Change(now, func() { wk.model.Taken = choose(fault.Factor, 0) })
 	case "erring":
-		b.erring = pick(a.Factor, 0)
+		wk.failedShare = choose(fault.Factor, 0)
 	case "twice":
-		b.twice = pick(a.Factor, 0)
+		wk.repeatedShare = choose(fault.Factor, 0)
 	case "late":
-		b.late = pick(a.Factor, 0)
+		wk.lateShare = choose(fault.Factor, 0)
 	case "other":
-		b.other = pick(a.Factor, 0)
+		wk.wrongIDShare = choose(fault.Factor, 0)
 	case "reset":
-		if a.Begin {
-			b.breakAll(a.Factor)
+		if fault.Begin {
+			wk.resetConns(fault.Factor)
 		}
 	}
-	b.settle()
-	b.mu.Unlock()
-	if again {
-		b.restart()
+	wk.deliverNotes()
+	wk.mu.Unlock()
+	if startAgain {
+		wk.restart()
 	}
 }
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -16,140 +16,147 @@
 	"shalebeam/lab/load"
 )
 
-// client does one job: tries, waits, tries again, or leaves.
-func (w *world) client(j *load.Job) {
-	ctx, leave := context.WithCancel(w.ctx)
+// runClient runs the client of one job: it sends attempts, with pauses between them, until the job is over or the client
+// leaves.
+func (exp *experiment) runClient(j *load.Job) {
+	ctx, leave := context.WithCancel(exp.ctx)
 	defer leave()
-	if left := j.Leaves - w.now(); left < 1e8 {
+	// Ms; a client that never leaves has +Inf, which a time.Duration can't hold.
+	if left := j.Leaves - exp.nowMs(); left < 1e8 {
 		t := time.AfterFunc(time.Duration(left*float64(time.Millisecond)), leave)
 		defer t.Stop()
 	}
-	w.mu.Lock()
-	w.cancels[j] = leave
-	w.mu.Unlock()
+	exp.mu.Lock()
+	exp.cancelFuncs[j] = leave
+	exp.mu.Unlock()
 	for !j.Over {
-		got, stay := w.try(ctx, j)
-		again, ok := j.Answered(w.p, w.now(), got, stay)
-		if !ok {
+		outcome, retryAfterMs := exp.sendAttempt(ctx, j)
+		nextAttemptMs, retry := j.Answered(exp.plan, exp.nowMs(), outcome, retryAfterMs)
+		if !retry {
 			break
 		}
 		select {
-		case <-time.After(time.Duration((again - w.now()) * float64(time.Millisecond))):
+		case <-time.After(time.Duration((nextAttemptMs - exp.nowMs()) * float64(time.Millisecond))):
 		case <-ctx.Done():
 			j.Over, j.Got = true, load.Left
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.cancels, j)
-	w.open--
-	w.got.Over(w.p, j, w.now())
-	if w.opt.Outcome != nil {
-		w.opt.Outcome(j)
+	exp.mu.Lock()
+	defer exp.mu.Unlock()
+	delete(exp.cancelFuncs, j)
+	exp.openJobs--
+	exp.result.Over(exp.plan, j, exp.nowMs())
+	if exp.options.Outcome != nil {
+		exp.options.Outcome(j)
 	}
 }
 
-// front finds the scheduler that a try goes to, nil where none is taken for alive.
-func (w *world) front(j *load.Job) *node {
-	i := j.Front(w.seed, len(w.nodes), func(i int) (int, bool) {
-		n := w.nodes[i]
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		return n.zone, n.listed
+// pickScheduler returns the scheduler to which the front sends an attempt, nil where it takes none for alive.
+func (exp *experiment) pickScheduler(j *load.Job) *scheduler {
+	i := j.Front(exp.seed, len(exp.schedulers), func(i int) (int, bool) {
+		s := exp.schedulers[i]
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return s.zone, s.listedByFront
 	})
 	if i < 0 {
 		return nil
 	}
-	return w.nodes[i]
+	return exp.schedulers[i]
 }
 
-// heardLate is a client's connection: that the lab itself is late to read an answer is noted.
-type heardLate struct {
+// clientConn is a client's connection. It records when this process is late to read an answer.
+type clientConn struct {
 	*net.TCPConn
-	w *world
+	exp *experiment
 }
 
-func (c *heardLate) Read(p []byte) (int, error) {
+// Read reads, and records by how much later than the kernel received them this process read the bytes.
+func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n > 0 {
-		c.w.lateBy(since(c.TCPConn))
+		c.exp.recordLabDelay(msSinceLastReceive(c.TCPConn))
 	}
 	return n, err
 }
 
-func (w *world) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+// dial opens a connection of a client.
+func (exp *experiment) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if tcp, ok := c.(*net.TCPConn); ok {
-		return &heardLate{tcp, w}, nil
+		return &clientConn{tcp, exp}, nil
 	}
 	return c, err
 }
 
-// body goes with every job, so that requests are not all head.
-var body = strings.Repeat("part 4711, stainless, 2 mm\n", 8)
+// requestBody is the body of each request, so that requests do not consist of headers alone.
+var requestBody = strings.Repeat("part 4711, stainless, 2 mm\n", 8)
 
-// try sends one txn and waits for its answer.
-func (w *world) try(ctx context.Context, j *load.Job) (got string, stay float64) {
+// sendAttempt sends one txn and waits for its answer. It returns the outcome and the time in ms after which the scheduler
+// allows a retry, 0 where it names none.
+func (exp *experiment) sendAttempt(ctx context.Context, j *load.Job) (outcome string, retryAfterMs float64) {
 	ref := j.Ref()
-	w.mu.Lock()
-	w.jobs[ref] = j
-	w.mu.Unlock()
-	n := w.front(j)
-	if n == nil {
+	exp.mu.Lock()
+	exp.jobsByReference[ref] = j
+	exp.mu.Unlock()
+	s := exp.pickScheduler(j)
+	if s == nil {
 		return load.Refused, 0
 	}
-	time.Sleep(w.net.wait())
-	c, scheme := &w.p.Schemes[j.Scheme], j.Scheme
-	w.mu.Lock()
-	if w.twins {
-		scheme += len(w.p.Schemes)
+	time.Sleep(exp.network.drawDelay())
+	c, scheme := &exp.plan.Schemes[j.Scheme], j.Scheme
+	exp.mu.Lock()
+	if exp.useTwinSchemes {
+		scheme += len(exp.plan.Schemes)
 	}
-	w.mu.Unlock()
-	expiry := float64(c.Expiry)
-	until := w.now() + expiry
-	call, cancel := context.WithTimeout(ctx, time.Duration((expiry+1000)*float64(time.Millisecond)))
+	exp.mu.Unlock()
+	expiryMs := float64(c.Expiry)
+	expiresMs := exp.nowMs() + expiryMs
+	requestCtx, cancel := context.WithTimeout(ctx, time.Duration((expiryMs+1000)*float64(time.Millisecond)))
 	defer cancel()
-	wrote := false
-	call = httptrace.WithClientTrace(call, &httptrace.ClientTrace{WroteRequest: func(i httptrace.WroteRequestInfo) {
-		wrote = i.Err == nil
+	sent := false
+	requestCtx = httptrace.WithClientTrace(requestCtx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
+		sent = info.Err == nil
 	}})
-	r, err := http.NewRequestWithContext(call, "POST", "http://"+n.addr+"/"+w.rows[scheme].Name, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(requestCtx, "POST", "http://"+s.clientAddr+"/"+exp.schemeRows[scheme].Name,
+		strings.NewReader(requestBody))
 	if err != nil {
 		return load.Refused, 0
 	}
-	w.head(r, j, ref, expiry)
-	name := n.process()
-	w.note(func(at float64) { w.audit.Took(at, name, ref, scheme, until) })
-	a, err := n.client.Do(r)
+	exp.setHeaders(request, j, ref, expiryMs)
+	process := s.processName()
+	exp.recordEvent(func(at float64) { exp.auditor.Took(at, process, ref, scheme, expiresMs) })
+	response, err := s.httpClient.Do(request)
 	var result []byte
 	if err == nil {
-		result, err = io.ReadAll(a.Body)
-		a.Body.Close()
+		result, err = io.ReadAll(response.Body)
+		response.Body.Close()
 	}
 	if err != nil {
-		return w.broke(ctx, ref, err, wrote), 0
+		return exp.classifyFailure(ctx, ref, err, sent), 0
 	}
-	got = load.Reversed
-	switch a.StatusCode {
+	outcome = load.Reversed
+	switch response.StatusCode {
 	case 200:
-		got = load.Settled
+		outcome = load.Settled
 	case 429, 503:
-		got = load.Declined
+		outcome = load.Declined
 	}
-	if s, bad := strconv.ParseFloat(a.Header.Get("Retry-After"), 64); bad == nil {
-		stay = s * 1000
+	if seconds, parseErr := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); parseErr == nil {
+		retryAfterMs = seconds * 1000
 	}
-	w.note(func(at float64) { w.audit.Answered(at, name, ref, got, string(result)) })
-	if slow := float64(w.p.Clients.SlowRead); slow > 0 {
-		time.Sleep(time.Duration(slow * load.Rand(w.seed^uint64(j.No), "slow").Float64() * float64(time.Millisecond)))
+	exp.recordEvent(func(at float64) { exp.auditor.Answered(at, process, ref, outcome, string(result)) })
+	if maxReadMs := float64(exp.plan.Clients.SlowRead); maxReadMs > 0 {
+		time.Sleep(time.Duration(maxReadMs * load.Rand(exp.seed^uint64(j.No), "slow").Float64() * float64(time.Millisecond)))
 	}
-	return got, stay
+	return outcome, retryAfterMs
 }
 
-func (w *world) head(r *http.Request, j *load.Job, ref string, expiry float64) {
+// setHeaders sets the headers of an attempt; expiryMs is the time that the scheduler has for it.
+func (exp *experiment) setHeaders(r *http.Request, j *load.Job, ref string, expiryMs float64) {
 	set := r.Header.Set
 	set("Request-Id", ref)
-	set("Request-Timeout", strconv.FormatInt(int64(expiry), 10)+"m")
+	set("Request-Timeout", strconv.FormatInt(int64(expiryMs), 10)+"m")
 	if j.Key != "" {
 		set("Cookie", "sid="+j.Key)
 	}
@@ -165,23 +172,24 @@
 	if j.Slots > 1 {
 		set("Request-Info", fmt.Sprint("slots=", j.Slots))
 	}
-	if ts := w.p.Clients.Tenants; len(ts) > 0 {
-		set("Tenant", ts[j.Tenant].Name)
+	if tenants := exp.plan.Clients.Tenants; len(tenants) > 0 {
+		set("Tenant", tenants[j.Tenant].Name)
 	}
 }
 
-// broke says what became of a try that got no answer. Where its client left, or nothing was taken, nothing is
-// owed; where the connection ended, the auditor judges by how the scheduler's process ended.
-func (w *world) broke(ctx context.Context, ref string, err error, wrote bool) string {
-	// The scheduler learns of it a moment later.
-	withdraw := func() { w.noteAt(w.now()+50, func(at float64) { w.audit.Left(at, ref) }) }
+// classifyFailure returns the outcome of an attempt that got no answer. Where the client left, or the request did not reach
+// the scheduler, the auditor is told that no answer is owed. Where the connection broke, the auditor judges by how the
+// scheduler's process ended.
+func (exp *experiment) classifyFailure(ctx context.Context, ref string, err error, sent bool) string {
+	// Recorded later than it happened, because the scheduler learns of it with a delay.
+	withdraw := func() { exp.recordEventAt(exp.nowMs()+inTransitMs, func(at float64) { exp.auditor.Left(at, ref) }) }
 	switch {
 	case ctx.Err() != nil:
 		withdraw()
 		return load.Left
 	case errors.Is(err, context.DeadlineExceeded):
 		return load.Expired
-	case !wrote || errors.Is(err, syscall.ECONNREFUSED):
+	case !sent || errors.Is(err, syscall.ECONNREFUSED):
 		withdraw()
 		return load.Refused
 	}
--- a/lab/live/discovery.go
+++ b/lab/live/discovery.go
@@ -13,258 +13,271 @@
 	"shalebeam/lab/script"
 )
 
-// disc is discovery: a list with versions behind an address for each scheduler, by which it knows who asks. It
-// carries out a call after another, as in simulated time.
-type disc struct {
-	w       *world
-	mu      sync.Mutex
-	seq     int
-	log     []change
-	byName  map[string]*box
-	changed chan struct{} // closed when there is news, and made anew
-	down    bool
-	late    []change // while it was down
-	lag     float64
-	busy    time.Time
-	told    []map[string]float64 // by scheduler: the start of each worker that it was told of
-	places  []*place             // by scheduler: where it asks
+// discovery stands in for the discovery service: a list of workers with a version, at a separate address for each scheduler,
+// by which it knows who asks. As in the simulation, it handles one call after another at a limited rate.
+type discovery struct {
+	exp        *experiment
+	mu         sync.Mutex
+	version    int // of the last change
+	log        []workerChange
+	byName     map[string]*worker   // all workers
+	changed    chan struct{}        // closed and replaced when the list changes and when an outage begins or ends
+	down       bool                 // an outage is in force
+	deferred   []workerChange       // changes during the outage, applied at its end
+	extraLagMs float64              // added by faults to the plan's lag
+	busyUntil  time.Time            // when all calls so far will have been handled
+	toldStarts []map[string]float64 // by scheduler and worker: the worker's start time that the scheduler was last told
+	endpoints  []*endpoint          // by scheduler: where it calls
 }
 
-// place is an address at which one scheduler asks.
-type place struct {
-	server *http.Server
-	listen net.Listener
-	former bool
-	lines  map[*line]bool
+// endpoint is an address at which one scheduler calls discovery.
+type endpoint struct {
+	server   *http.Server
+	listener net.Listener
+	former   bool // the scheduler was told of another address
+	conns    map[*watchConn]bool
 }
 
-// line is a scheduler's connection there.
-type line struct {
-	at           *place
-	conn         net.Conn
-	on, mute     bool // a watch is on; it fell silent, and neither side knows
-	called, wait float64
+// watchConn is a scheduler's connection to an endpoint.
+type watchConn struct {
+	endpoint         *endpoint
+	conn             net.Conn
+	watching, muted  bool    // a watch is established; a fault has made it silent without closing the connection
+	calledMs, waitMs float64 // of the last call: its time in the run, and the longest wait that it allows
 }
 
-type lineKey struct{}
+// watchConnContextKey is the key of a request's connection in its context.
+type watchConnContextKey struct{}
 
-// formerFor is how long a former address goes on answering.
-const formerFor = 1500.0
+// formerEndpointMs is how long an endpoint goes on answering after its scheduler was told of another one, in ms.
+const formerEndpointMs = 1500.0
 
-type change struct {
-	seq   int
-	b     *box
-	state balance.State
-	start float64
+// workerChange is a change of a worker's entry in the list. startMs is when the worker's process last started, in wall-clock
+// ms, 0 where it has run since before the experiment.
+type workerChange struct {
+	version int
+	worker  *worker
+	state   balance.State
+	startMs float64
 }
 
-func (d *disc) init(w *world) {
-	*d = disc{w: w, byName: map[string]*box{}, changed: make(chan struct{}), seq: 1, places: make([]*place, w.p.Schedulers.Count)}
-	for range w.p.Schedulers.Count {
-		d.told = append(d.told, map[string]float64{})
+// init fills the list with all workers that run.
+func (d *discovery) init(exp *experiment) {
+	*d = discovery{exp: exp, byName: map[string]*worker{}, changed: make(chan struct{}), version: 1,
+		endpoints: make([]*endpoint, exp.plan.Schedulers.Count)}
+	for range exp.plan.Schedulers.Count {
+		d.toldStarts = append(d.toldStarts, map[string]float64{})
 	}
-	for _, b := range w.boxes {
-		d.byName[b.Name] = b
-		if b.up {
-			d.log = append(d.log, change{d.seq, b, balance.Running, 0})
+	for _, wk := range exp.workers {
+		d.byName[wk.Name] = wk
+		if wk.running {
+			d.log = append(d.log, workerChange{d.version, wk, balance.Running, 0})
 		}
 	}
-	if w.p.Discovery.Weights == "live" {
-		d.live()
+	if exp.plan.Discovery.Weights == "live" {
+		d.refreshWeights()
 	}
 }
 
-// live puts all weights in the list anew, now and then.
-func (d *disc) live() {
-	d.w.later(float64(d.w.p.Discovery.LiveEach), func() {
-		for _, b := range d.w.boxes {
-			b.mu.Lock()
-			running, start := b.up && !b.m.Draining, b.m.Start
-			b.mu.Unlock()
+// refreshWeights announces every running worker again at a regular interval, so that schedulers get its present weight.
+func (d *discovery) refreshWeights() {
+	d.exp.afterMs(float64(d.exp.plan.Discovery.LiveEach), func() {
+		for _, wk := range d.exp.workers {
+			wk.mu.Lock()
+			running, start := wk.running && !wk.model.Draining, wk.model.Start
+			wk.mu.Unlock()
 			if running {
-				d.add(b, balance.Running, start)
+				d.addChange(wk, balance.Running, start)
 			}
 		}
-		d.live()
+		d.refreshWeights()
 	})
 }
 
-func (d *disc) add(b *box, state balance.State, start float64) {
+// addChange applies a change, or defers it to the end of an outage.
+func (d *discovery) addChange(wk *worker, state balance.State, start float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.down {
-		d.late = append(d.late, change{0, b, state, start})
+		d.deferred = append(d.deferred, workerChange{0, wk, state, start})
 		return
 	}
-	d.change(b, state, start)
+	d.applyChangeLocked(wk, state, start)
 }
 
-// change takes a change that is known now. The lock is held.
-func (d *disc) change(b *box, state balance.State, start float64) {
-	d.seq++
-	seq := d.seq
-	d.log = append(d.log, change{seq, b, state, start})
-	d.w.note(func(at float64) { d.w.audit.Changed(at, seq, b.Name, state, start) })
+// applyChangeLocked adds a change to the list under a new version and wakes all waiting watches. d.mu is held.
+func (d *discovery) applyChangeLocked(wk *worker, state balance.State, start float64) {
+	d.version++
+	version := d.version
+	d.log = append(d.log, workerChange{version, wk, state, start})
+	d.exp.recordEvent(func(at float64) { d.exp.auditor.Changed(at, version, wk.Name, state, start) })
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// tell changes a worker's entry, after the lag.
-func (d *disc) tell(b *box, state balance.State) {
-	b.mu.Lock()
-	start := b.m.Start
-	b.mu.Unlock()
+// announce changes the state in a worker's entry, after the lag of discovery.
+func (d *discovery) announce(wk *worker, state balance.State) {
+	wk.mu.Lock()
+	start := wk.model.Start
+	wk.mu.Unlock()
 	d.mu.Lock()
-	lag := float64(d.w.p.Discovery.Lag) + d.lag
+	lag := float64(d.exp.plan.Discovery.Lag) + d.extraLagMs
 	d.mu.Unlock()
-	d.w.later(lag, func() { d.add(b, state, start) })
+	d.exp.afterMs(lag, func() { d.addChange(wk, state, start) })
 }
 
-// knows tells whether a scheduler was told of a worker's last start.
-func (d *disc) knows(sched int, worker string, start float64) bool {
+// wasToldStart tells whether a scheduler was told of a worker's last start.
+func (d *discovery) wasToldStart(schedulerNumber int, worker string, start float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.told[sched][worker] == start
+	return d.toldStarts[schedulerNumber][worker] == start
 }
 
-var healths = map[balance.State]string{balance.Running: "in_service", balance.Draining: "terminating",
+// healthByState is the value of the health field by the state of a worker.
+var healthByState = map[balance.State]string{balance.Running: "in_service", balance.Draining: "terminating",
 	balance.Removed: "terminated"}
 
-// entries makes the list's entries of changes, the last one of each worker, as one scheduler sees them. The
-// lock is held.
-func (d *disc) entries(sched, after int, whole bool) []map[string]any {
-	last := map[*box]change{}
-	var order []*box
+// entriesLocked returns entries as one scheduler sees them, one for each worker with its last change: those that changed after
+// a version or, where whole is true, all of the list, without removed workers. d.mu is held.
+func (d *discovery) entriesLocked(schedulerNumber, after int, whole bool) []map[string]any {
+	last := map[*worker]workerChange{}
+	var order []*worker
 	for _, c := range d.log {
-		if c.seq <= after && !whole {
+		if c.version <= after && !whole {
 			continue
 		}
-		if _, ok := last[c.b]; !ok {
-			order = append(order, c.b)
+		if _, ok := last[c.worker]; !ok {
+			order = append(order, c.worker)
 		}
-		last[c.b] = c
+		last[c.worker] = c
 	}
 	rows := []map[string]any{}
-	zones, kinds := d.w.p.Zones(), d.w.p.Kinds()
-	for _, b := range order {
-		c := last[b]
+	zones, kinds := d.exp.plan.Zones(), d.exp.plan.Kinds()
+	for _, wk := range order {
+		c := last[wk]
 		if whole && c.state == balance.Removed {
 			continue
 		}
-		weight := b.m.Cores * b.m.Speed
-		if d.w.p.Discovery.Weights == "live" {
-			b.mu.Lock()
-			weight /= 1 + float64(b.m.Holds())/b.m.Cores
-			b.mu.Unlock()
+		weight := wk.model.Cores * wk.model.Speed
+		if d.exp.plan.Discovery.Weights == "live" {
+			wk.mu.Lock()
+			weight /= 1 + float64(wk.model.Holds())/wk.model.Cores
+			wk.mu.Unlock()
 		}
-		rows = append(rows, map[string]any{"host": b.Name, "dial": b.addrs[sched], "site": zones[b.Zone],
-			"class": kinds[b.Kind], "block": b.Cell, "health": healths[c.state], "share": weight, "born_ms": c.start})
+		rows = append(rows, map[string]any{"host": wk.Name, "dial": wk.addrs[schedulerNumber], "site": zones[wk.Zone],
+			"class": kinds[wk.Kind], "block": wk.Cell, "health": healthByState[c.state], "share": weight, "born_ms": c.startMs})
 	}
 	return rows
 }
 
-// whole is the list as a scheduler's configuration brings it.
-func (d *disc) whole(sched int) []byte {
+// initialList returns the whole list as JSON for a scheduler's configuration, and tells the auditor that the scheduler's
+// process starts with it.
+func (d *discovery) initialList(schedulerNumber int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	rows := d.entries(sched, 0, true)
-	d.tellAudit(sched, rows)
-	name, seq := d.w.nodes[sched].process(), d.seq
-	d.w.note(func(at float64) { d.w.audit.Hears(at, name, seq) })
-	raw, err := json.Marshal(map[string]any{"seq": d.seq, "whole": true, "hosts": rows})
+	rows := d.entriesLocked(schedulerNumber, 0, true)
+	d.recordToldLocked(schedulerNumber, rows)
+	name, version := d.exp.schedulers[schedulerNumber].processName(), d.version
+	d.exp.recordEvent(func(at float64) { d.exp.auditor.Hears(at, name, version) })
+	raw, err := json.Marshal(map[string]any{"seq": d.version, "whole": true, "hosts": rows})
 	if err != nil {
 		return nil
 	}
 	return raw
 }
 
-// tellAudit notes what a scheduler is told. The lock is held.
-func (d *disc) tellAudit(sched int, rows []map[string]any) {
+// recordToldLocked records that a scheduler is told these entries. d.mu is held.
+func (d *discovery) recordToldLocked(schedulerNumber int, rows []map[string]any) {
 	states := map[string]balance.State{"in_service": balance.Running, "terminating": balance.Draining,
 		"terminated": balance.Removed}
-	name := d.w.nodes[sched].process()
+	name := d.exp.schedulers[schedulerNumber].processName()
 	for _, r := range rows {
 		worker, start, state := r["host"].(string), r["born_ms"].(float64), states[r["health"].(string)]
-		d.told[sched][worker] = start
-		d.w.note(func(at float64) { d.w.audit.Listed(at, name, worker, state, start) })
+		d.toldStarts[schedulerNumber][worker] = start
+		d.exp.recordEvent(func(at float64) { d.exp.auditor.Listed(at, name, worker, state, start) })
 	}
 }
 
-// open makes the address at which one scheduler asks, in place of a former one.
-func (d *disc) open(sched int) (string, error) {
+// openEndpoint opens an endpoint for a scheduler, in place of its former one if there is any, and returns the address.
+func (d *discovery) openEndpoint(schedulerNumber int) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	p := &place{listen: l, lines: map[*line]bool{}}
-	p.server = &http.Server{ErrorLog: quiet,
+	opened := &endpoint{listener: l, conns: map[*watchConn]bool{}}
+	opened.server = &http.Server{ErrorLog: discardLog,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, lineKey{}, &line{at: p, conn: c})
+			return context.WithValue(ctx, watchConnContextKey{}, &watchConn{endpoint: opened, conn: c})
 		},
-		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(sched, w, r) })}
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(schedulerNumber, w, r) })}
 	d.mu.Lock()
-	d.places[sched] = p
+	d.endpoints[schedulerNumber] = opened
 	d.mu.Unlock()
-	go p.server.Serve(l)
-	d.w.closers = append(d.w.closers, func() { p.server.Close() })
+	go opened.server.Serve(l)
+	d.exp.closers = append(d.exp.closers, func() { opened.server.Close() })
 	return l.Addr().String(), nil
 }
 
-// move tells a scheduler of another address. The former one takes no new connection, and answers for a while.
-func (d *disc) move(n *node) {
+// moveEndpoint gives a scheduler a new address of discovery. The former endpoint accepts no new connections, and goes on
+// answering on open ones for formerEndpointMs.
+func (d *discovery) moveEndpoint(s *scheduler) {
 	d.mu.Lock()
-	old := d.places[n.no]
+	old := d.endpoints[s.number]
 	d.mu.Unlock()
-	addr, err := d.open(n.no)
+	addr, err := d.openEndpoint(s.number)
 	if err != nil {
 		return
 	}
-	n.mu.Lock()
-	n.disc = addr
-	n.mu.Unlock()
-	name := n.process()
-	d.w.note(func(at float64) { d.w.audit.Moved(at, name) })
-	d.w.reload(n)
-	old.listen.Close()
+	s.mu.Lock()
+	s.discoveryAddr = addr
+	s.mu.Unlock()
+	name := s.processName()
+	d.exp.recordEvent(func(at float64) { d.exp.auditor.Moved(at, name) })
+	d.exp.reload(s)
+	old.listener.Close()
 	d.mu.Lock()
 	old.former = true
 	d.mu.Unlock()
-	d.w.later(formerFor, func() { old.server.Close() })
+	d.exp.afterMs(formerEndpointMs, func() { old.server.Close() })
 }
 
-// breaks breaks a scheduler's open watch: it falls silent, or is reset.
-func (d *disc) breaks(n *node, mute bool) {
+// breakWatch breaks the open watches of a scheduler: either they fall silent, or their connections are closed.
+func (d *discovery) breakWatch(s *scheduler, silently bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	name := n.process()
-	for l := range d.places[n.no].lines {
-		if !l.on || l.mute {
+	name := s.processName()
+	for conn := range d.endpoints[s.number].conns {
+		if !conn.watching || conn.muted {
 			continue
 		}
-		if called, wait := l.called, l.wait; mute {
-			l.mute = true
-			d.w.note(func(at float64) { d.w.audit.Muted(at, name, called, wait) })
+		if called, wait := conn.calledMs, conn.waitMs; silently {
+			conn.muted = true
+			d.exp.recordEvent(func(at float64) { d.exp.auditor.Muted(at, name, called, wait) })
 		} else {
-			l.conn.Close()
-			d.w.note(func(float64) { d.w.audit.Unwatched(name) })
+			conn.conn.Close()
+			d.exp.recordEvent(func(float64) { d.exp.auditor.Unwatched(name) })
 		}
 	}
 }
 
-// turn waits for this call's turn among all.
-func (d *disc) turn() {
+// waitForTurn waits until all earlier calls have been handled. Each call takes 1/Calls of a second, Calls being the plan's
+// rate.
+func (d *discovery) waitForTurn() {
 	d.mu.Lock()
-	each := time.Duration(float64(time.Second) / d.w.p.Discovery.Calls)
-	if now := time.Now(); d.busy.Before(now) {
-		d.busy = now
+	perCall := time.Duration(float64(time.Second) / d.exp.plan.Discovery.Calls)
+	if now := time.Now(); d.busyUntil.Before(now) {
+		d.busyUntil = now
 	}
-	d.busy = d.busy.Add(each)
-	wait := time.Until(d.busy)
+	d.busyUntil = d.busyUntil.Add(perCall)
+	wait := time.Until(d.busyUntil)
 	d.mu.Unlock()
 	time.Sleep(wait)
 }
 
-func (d *disc) serve(sched int, w http.ResponseWriter, r *http.Request) {
+// serve answers a scheduler's call for the list. A call with after=VERSION gets the changes since that version, others get the
+// whole list. The first call on a connection is answered at once; later ones with a version renew the watch as a long poll,
+// which waits up to wait_ms milliseconds for a change.
+func (d *discovery) serve(schedulerNumber int, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
 		return
@@ -272,25 +285,25 @@
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
 	whole := err != nil
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	over := time.After(time.Duration(wait) * time.Millisecond)
-	l, name := r.Context().Value(lineKey{}).(*line), d.w.nodes[sched].process()
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
+	conn, name := r.Context().Value(watchConnContextKey{}).(*watchConn), d.exp.schedulers[schedulerNumber].processName()
 	d.mu.Lock()
-	l.called, l.wait = d.w.now(), float64(wait)
-	renewal := l.on
-	l.at.lines[l] = true
+	conn.calledMs, conn.waitMs = d.exp.nowMs(), float64(wait)
+	renewal := conn.watching
+	conn.endpoint.conns[conn] = true
 	d.mu.Unlock()
 	defer func() {
 		d.mu.Lock()
-		delete(l.at.lines, l)
+		delete(conn.endpoint.conns, conn)
 		d.mu.Unlock()
 	}()
-	d.w.note(func(at float64) { d.w.audit.Asked(at, name, !renewal) })
+	d.exp.recordEvent(func(at float64) { d.exp.auditor.Asked(at, name, !renewal) })
 	if !renewal {
-		d.turn()
+		d.waitForTurn()
 	}
-	late := false // the network's delay is behind it
+	delayed := false // true once the network's delay was waited for
 	for {
-		for d.w.cut(script.Part{Kind: "schedulers", No: sched}, script.Part{Kind: "discovery"}) {
+		for d.exp.isCut(script.Part{Kind: "schedulers", No: schedulerNumber}, script.Part{Kind: "discovery"}) {
 			select {
 			case <-r.Context().Done():
 				return
@@ -298,42 +311,42 @@
 			}
 		}
 		d.mu.Lock()
-		if l.mute {
+		if conn.muted {
 			d.mu.Unlock()
 			<-r.Context().Done()
 			return
 		}
 		if d.down {
 			d.mu.Unlock()
-			d.w.note(func(float64) { d.w.audit.Unwatched(name) })
+			d.exp.recordEvent(func(float64) { d.exp.auditor.Unwatched(name) })
 			w.Header().Set("Connection", "close")
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		if whole || d.seq > after || !renewal {
-			if !late {
+		if whole || d.version > after || !renewal {
+			if !delayed {
 				d.mu.Unlock()
-				time.Sleep(d.w.net.wait())
-				late = true
+				time.Sleep(d.exp.network.drawDelay())
+				delayed = true
 				continue
 			}
-			rows, seq, former := d.entries(sched, after, whole), d.seq, l.at.former
-			d.tellAudit(sched, rows)
-			d.w.note(func(float64) { d.w.audit.Wrote(name, seq, former) })
-			l.on = true
+			rows, version, former := d.entriesLocked(schedulerNumber, after, whole), d.version, conn.endpoint.former
+			d.recordToldLocked(schedulerNumber, rows)
+			d.exp.recordEvent(func(float64) { d.exp.auditor.Wrote(name, version, former) })
+			conn.watching = true
 			d.mu.Unlock()
-			d.reply(w, seq, whole, rows)
+			d.reply(w, version, whole, rows)
 			return
 		}
 		changed := d.changed
 		d.mu.Unlock()
 		select {
 		case <-changed:
-		case <-over:
+		case <-timeout:
 			d.mu.Lock()
-			mute := l.mute
+			muted := conn.muted
 			d.mu.Unlock()
-			if !mute {
+			if !muted {
 				d.reply(w, after, false, []map[string]any{})
 				return
 			}
@@ -343,36 +356,39 @@
 	}
 }
 
-func (d *disc) reply(w http.ResponseWriter, seq int, whole bool, rows []map[string]any) {
-	_ = json.NewEncoder(w).Encode(map[string]any{"seq": seq, "whole": whole, "hosts": rows})
+// reply writes entries as the JSON answer to a call.
+func (d *discovery) reply(w http.ResponseWriter, version int, whole bool, rows []map[string]any) {
+	_ = json.NewEncoder(w).Encode(map[string]any{"seq": version, "whole": whole, "hosts": rows})
 }
 
-func (w *world) cut(a, b script.Part) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cutBetween(a, b)
+// isCut tells whether a network cut separates two parts.
+func (exp *experiment) isCut(a, b script.Part) bool {
+	exp.mu.Lock()
+	defer exp.mu.Unlock()
+	return exp.isCutLocked(a, b)
 }
 
-func (d *disc) act(a script.Act) {
+// applyFault begins or ends a fault of discovery.
+func (d *discovery) applyFault(fault script.Act) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch a.Do {
+	switch fault.Do {
 	case "lag":
-		if a.Begin {
-			d.lag += a.Factor
+		if fault.Begin {
+			d.extraLagMs += fault.Factor
 		} else {
-			d.lag -= a.Factor
+			d.extraLagMs -= fault.Factor
 		}
 	case "down":
-		d.down = a.Begin
-		d.w.note(func(at float64) { d.w.audit.Down(at, a.Begin) })
-		if !a.Begin {
-			for _, c := range d.late {
-				d.change(c.b, c.state, c.start)
+		d.down = fault.Begin
+		d.exp.recordEvent(func(at float64) { d.exp.auditor.Down(at, fault.Begin) })
+		if !fault.Begin {
+			for _, c := range d.deferred {
+				d.applyChangeLocked(c.worker, c.state, c.startMs)
 			}
-			d.late = nil
+			d.deferred = nil
 		}
-		close(d.changed) // watches end
+		close(d.changed) // wakes waiting watches: at the beginning of an outage they end
 		d.changed = make(chan struct{})
 	}
 }
--- a/lab/live/minded.go
+++ b/lab/live/minded.go
@@ -16,211 +16,216 @@
 	"shalebeam/lab/script"
 )
 
-// Schedulers whose processes somebody else starts and ends, as agents do: the lab watches them, deals them clients while they
-// say that they serve, and tells the auditor when a life of theirs begins and ends. A process that takes over from another
-// goes on with its life.
+// This file is for schedulers whose processes agents start and stop. The lab finds these processes, sends clients to a
+// scheduler while its health check succeeds, and tells the auditor when its incarnations begin and end. A process that takes
+// over from another one continues its incarnation.
 
 const (
-	scanEach   = 20 * time.Millisecond
-	healthEach = 30 * time.Millisecond
-	healthMost = 250 * time.Millisecond
+	processScanInterval = 20 * time.Millisecond
+	healthPollInterval  = 30 * time.Millisecond
+	healthTimeout       = 250 * time.Millisecond
 )
 
-// Minded is a scheduler that others run.
+// Minded is what an agent needs to know of a scheduler in order to run its processes.
 type Minded struct {
 	ID, Zone     string
-	Mgmt, Beside string // its second address, and the one of the process that takes over
-	Config       string
-	Dir          string // for its processes' $TMPDIR
+	Mgmt, Beside string // management addresses: of its process, and of a process that takes over from it
+	Config       string // path of its configuration
+	Dir          string // value of $TMPDIR for its processes
 }
 
-// Minders lists the schedulers as those who run them need to know them.
+// Minders lists the schedulers for the agents that run them.
 func (f *Fleet) Minders() (all []Minded) {
-	for _, n := range f.w.nodes {
-		all = append(all, Minded{n.name(), f.w.p.Schedulers.Zones[n.zone], n.mgmt, n.beside, n.path, f.w.dir})
+	for _, s := range f.exp.schedulers {
+		all = append(all, Minded{s.id(), f.exp.plan.Schedulers.Zones[s.zone], s.managementAddr, s.takeoverAddr, s.configPath, f.exp.dir})
 	}
 	return all
 }
 
-// mind watches all processes until the run is over.
-func (w *world) mind() {
-	for _, n := range w.nodes {
-		go n.look()
+// watchProcesses finds the processes of all schedulers in /proc, by the mark in their environment, until the run is over.
+func (exp *experiment) watchProcesses() {
+	for _, s := range exp.schedulers {
+		go s.pollHealth()
 	}
-	type seen struct {
-		of    string // the scheduler, "" for none of ours
-		looks int
+	type processRecord struct {
+		scheduler string // its ID, "" where it is no process of this run
+		checks    int    // how often its environment was read
 	}
-	known := map[int]seen{}
-	for w.ctx.Err() == nil {
-		time.Sleep(scanEach)
+	known := map[int]processRecord{}
+	for exp.ctx.Err() == nil {
+		time.Sleep(processScanInterval)
 		dirs, err := os.ReadDir("/proc")
 		if err != nil {
 			continue
 		}
-		here, now := map[string][]int{}, map[int]seen{}
+		pids, current := map[string][]int{}, map[int]processRecord{}
 		for _, d := range dirs {
 			pid, err := strconv.Atoi(d.Name())
 			if err != nil {
 				continue
 			}
-			x := known[pid]
-			if x.of == "" && x.looks < 5 { // between fork and exec it has its parent's environment
-				x.looks++
+			record := known[pid]
+			// Several times, because between fork and exec a process has its parent's environment.
+			if record.scheduler == "" && record.checks < 5 {
+				record.checks++
 				raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
-				if at := strings.Index(string(raw), w.opt.Mark); at >= 0 {
-					what, _, _ := strings.Cut(string(raw[at+len(w.opt.Mark):]), "\x00")
-					if part := strings.Split(what, "|"); len(part) == 4 {
-						x.of = part[1]
+				if at := strings.Index(string(raw), exp.options.Mark); at >= 0 {
+					fields, _, _ := strings.Cut(string(raw[at+len(exp.options.Mark):]), "\x00")
+					if field := strings.Split(fields, "|"); len(field) == 4 {
+						record.scheduler = field[1]
 					}
 				}
 			}
-			if x.of != "" {
+			if record.scheduler != "" {
 				raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 				if err != nil || strings.Contains(string(raw), ") Z ") {
 					continue
 				}
-				here[x.of] = append(here[x.of], pid)
+				pids[record.scheduler] = append(pids[record.scheduler], pid)
 			}
-			now[pid] = x
+			current[pid] = record
 		}
-		known = now
-		for _, n := range w.nodes {
-			n.processes(here[n.name()])
+		known = current
+		for _, s := range exp.schedulers {
+			s.setProcesses(pids[s.id()])
 		}
 	}
 }
 
-// processes takes which there are of a scheduler now.
-func (n *node) processes(pids []int) {
-	n.mu.Lock()
-	was := len(n.pids)
-	if n.pids = pids; len(pids) > 0 {
-		n.last = pids
+// setProcesses updates the present processes of a scheduler and records the beginning or end of an incarnation.
+func (s *scheduler) setProcesses(pids []int) {
+	s.mu.Lock()
+	was := len(s.pids)
+	if s.pids = pids; len(pids) > 0 {
+		s.lastPids = pids
 	}
-	killed := n.killed || len(pids) == 0 && was > 0 && !n.drained()
+	killed := s.killed || len(pids) == 0 && was > 0 && !s.wasToldToStop()
 	switch {
 	case was == 0 && len(pids) > 0:
-		n.lives.Add(1)
-		n.killed = false
+		s.incarnation.Add(1)
+		s.killed = false
 	case was > 0 && len(pids) == 0:
-		name := n.process()
-		n.mu.Unlock()
-		n.w.died(n, name, killed, nil)
+		name := s.processName()
+		s.mu.Unlock()
+		s.exp.processEnded(s, name, killed, nil)
 		return
 	}
-	n.mu.Unlock()
+	s.mu.Unlock()
 }
 
-// drained tells whether the last processes of a scheduler were told to stop.
-func (n *node) drained() bool {
-	return len(n.last) > 0 && !slices.ContainsFunc(n.last, func(pid int) bool { return !n.w.opt.Told(pid) })
+// wasToldToStop tells whether agents have told all of the last processes of a scheduler to stop. s.mu is held.
+func (s *scheduler) wasToldToStop() bool {
+	return len(s.lastPids) > 0 && !slices.ContainsFunc(s.lastPids, func(pid int) bool { return !s.exp.options.Told(pid) })
 }
 
-func (n *node) log() string {
-	if n.w.opt.Mark == "" {
-		return filepath.Join(n.w.dir, n.name()+".log")
+// logPath returns the path of the scheduler's log, "" where an agent has not created it yet.
+func (s *scheduler) logPath() string {
+	if s.exp.options.Mark == "" {
+		return filepath.Join(s.exp.dir, s.id()+".log")
 	}
-	all, _ := filepath.Glob(filepath.Join(n.w.opt.Logs, "*", n.name()+".log"))
+	all, _ := filepath.Glob(filepath.Join(s.exp.options.Logs, "*", s.id()+".log"))
 	if len(all) == 0 {
 		return ""
 	}
 	return all[0]
 }
 
-// look asks a scheduler after its health as a front does, and keeps whether it served.
-func (n *node) look() {
-	client := &http.Client{Timeout: healthMost, Transport: &http.Transport{DisableKeepAlives: true}}
-	for n.w.ctx.Err() == nil {
-		ctx, stop := context.WithTimeout(n.w.ctx, healthMost)
-		q, _ := http.NewRequestWithContext(ctx, "GET", "http://"+n.addr+"/_health", nil)
-		serves := false
-		if r, err := client.Do(q); err == nil {
-			_, _ = io.Copy(io.Discard, r.Body)
-			r.Body.Close()
-			serves = r.StatusCode == 200
+// pollHealth checks a scheduler's health at regular intervals as a front does, keeps the results, and lists the scheduler at
+// the front or, after the front's lag, no longer.
+func (s *scheduler) pollHealth() {
+	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for s.exp.ctx.Err() == nil {
+		ctx, stop := context.WithTimeout(s.exp.ctx, healthTimeout)
+		request, _ := http.NewRequestWithContext(ctx, "GET", "http://"+s.clientAddr+"/_health", nil)
+		healthy := false
+		if response, err := client.Do(request); err == nil {
+			_, _ = io.Copy(io.Discard, response.Body)
+			response.Body.Close()
+			healthy = response.StatusCode == 200
 		}
 		stop()
-		n.mu.Lock()
-		if n.serves, n.looks = serves, append(n.looks[max(0, len(n.looks)-1):], serves); serves {
-			n.listed, n.fell = true, false
+		s.mu.Lock()
+		if s.healthy, s.recentHealth = healthy, append(s.recentHealth[max(0, len(s.recentHealth)-1):], healthy); healthy {
+			s.listedByFront, s.failedByFault = true, false
 		}
-		n.mu.Unlock()
-		if !serves {
-			n.w.later(float64(n.w.p.Clients.FrontLag), func() {
-				n.mu.Lock()
-				n.listed = n.serves
-				n.mu.Unlock()
+		s.mu.Unlock()
+		if !healthy {
+			s.exp.afterMs(float64(s.exp.plan.Clients.FrontLag), func() {
+				s.mu.Lock()
+				s.listedByFront = s.healthy
+				s.mu.Unlock()
 			})
 		}
-		time.Sleep(healthEach)
+		time.Sleep(healthPollInterval)
 	}
 }
 
-// Standing is how a scheduler stands by the lab's own look.
+// Standing is the state of a scheduler as the lab's own health checks show it.
 type Standing struct {
 	ID, Zone string
 	Out      bool // it does not serve
-	Fell     bool // through a fault, not by will
+	Fell     bool // if it is out, a fault is the reason and not an operator
 }
 
-// Truth is how all schedulers stand now: by two looks in a row, as one may meet a process that is just taken over from.
+// Truth returns the state of all schedulers. A scheduler counts as out after two failed health checks in a row, because a
+// single check may meet a process from which another one is taking over.
 func (f *Fleet) Truth() (all []Standing) {
-	for _, n := range f.w.nodes {
-		n.mu.Lock()
-		out := len(n.looks) == 2 && !slices.Contains(n.looks, true)
-		fell := n.fell || n.killed
-		if out && !fell && !n.will {
-			n.will = n.drained() // else it ended by itself, or stands still
+	for _, s := range f.exp.schedulers {
+		s.mu.Lock()
+		out := len(s.recentHealth) == 2 && !slices.Contains(s.recentHealth, true)
+		failed := s.failedByFault || s.killed
+		if out && !failed && !s.stoppedByOperator {
+			s.stoppedByOperator = s.wasToldToStop() // otherwise it ended by itself or is paused
 		}
-		if n.will = n.will && out; !n.will { // by will it is out until it serves again, not until another process starts
-			fell = true
+		// A stop by an operator lasts until the scheduler serves again, not until another process starts.
+		if s.stoppedByOperator = s.stoppedByOperator && out; !s.stoppedByOperator {
+			failed = true
 		}
-		n.mu.Unlock()
-		all = append(all, Standing{n.name(), f.w.p.Schedulers.Zones[n.zone], out, fell})
+		s.mu.Unlock()
+		all = append(all, Standing{s.id(), f.exp.plan.Schedulers.Zones[s.zone], out, failed})
 	}
 	return all
 }
 
-// Pids lists the processes of each scheduler.
+// Pids lists the process IDs of each scheduler, in ascending order.
 func (f *Fleet) Pids() map[string][]int {
 	all := map[string][]int{}
-	for _, n := range f.w.nodes {
-		n.mu.Lock()
-		all[n.name()] = slices.Sorted(slices.Values(n.pids))
-		n.mu.Unlock()
+	for _, s := range f.exp.schedulers {
+		s.mu.Lock()
+		all[s.id()] = slices.Sorted(slices.Values(s.pids))
+		s.mu.Unlock()
 	}
 	return all
 }
 
-// Bad has so large a part of all workers' answers fail, from now on.
-func (f *Fleet) Bad(part float64) {
-	for _, b := range f.w.boxes {
-		b.act(script.Act{Do: "erring", Begin: part > 0, Factor: part})
+// Bad makes a share of all workers' answers fail, from 0 to 1, from now on.
+func (f *Fleet) Bad(share float64) {
+	for _, wk := range f.exp.workers {
+		wk.applyFault(script.Act{Do: "erring", Begin: share > 0, Factor: share})
 	}
 }
 
-// Renew ends a worker and starts it anew, cold, as the site's own command does.
-func (f *Fleet) Renew(id string, gone time.Duration) {
-	for _, b := range f.w.boxes {
-		if b.Name == id {
-			b.act(script.Act{Do: "kill", Begin: true})
-			time.Sleep(gone)
-			b.act(script.Act{Do: "kill"})
+// Renew ends a worker's process and starts it again, cold, after the given down time, as the site's own restart command does.
+func (f *Fleet) Renew(id string, downTime time.Duration) {
+	for _, wk := range f.exp.workers {
+		if wk.Name == id {
+			wk.applyFault(script.Act{Do: "kill", Begin: true})
+			time.Sleep(downTime)
+			wk.applyFault(script.Act{Do: "kill"})
 		}
 	}
 }
 
-// signalAll sends a signal to all processes of a scheduler that others run.
-func (n *node) signalAll(s syscall.Signal) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, pid := range n.pids {
-		_ = syscall.Kill(pid, s)
+// signalProcesses sends a signal to all processes of a scheduler that agents run, and tells whether there were any.
+func (s *scheduler) signalProcesses(sig syscall.Signal) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, pid := range s.pids {
+		_ = syscall.Kill(pid, sig)
 	}
-	if len(n.pids) > 0 && (s == syscall.SIGKILL || s == syscall.SIGSTOP) {
-		n.fell = true
-		n.killed = n.killed || s == syscall.SIGKILL
+	if len(s.pids) > 0 && (sig == syscall.SIGKILL || sig == syscall.SIGSTOP) {
+		s.failedByFault = true
+		s.killed = s.killed || sig == syscall.SIGKILL
 	}
-	return len(n.pids) > 0
+	return len(s.pids) > 0
 }
--- a/lab/live/node.go
+++ b/lab/live/node.go
@@ -23,9 +23,10 @@
 	"shalebeam/lab/plan"
 )
 
-// settings is the settings object of a scheduler, times in microseconds, as README.md has it.
-func settings(p *plan.Plan, me int, phase plan.Phase) map[string]any {
-	us := func(s plan.Span) int64 { return int64(float64(s) * 1000) }
+// schedulerSettings returns the settings object of a scheduler's configuration, in the form that README.md describes. Its
+// times are in microseconds. number is the scheduler's.
+func schedulerSettings(p *plan.Plan, number int, phase plan.Phase) map[string]any {
+	micros := func(s plan.Span) int64 { return int64(float64(s) * 1000) }
 	var schemes, orgs []map[string]any
 	var kinds []int
 	effects := map[balance.Effect]string{balance.Repeatable: "retryable", balance.Referenced: "dedup",
@@ -34,7 +35,7 @@
 	for _, i := range p.In(phase) {
 		c := p.Schemes[i%len(p.Schemes)]
 		schemes = append(schemes, map[string]any{"name": rows[i].Name, "effect": effects[rows[i].Effect], "key_scope": c.Group,
-			"window": us(c.Window), "sla_time": us(c.SLA), "aim_stretch": c.Stretch, "expiry": us(c.Expiry),
+			"window": micros(c.Window), "sla_time": micros(c.SLA), "aim_stretch": c.Stretch, "expiry": micros(c.Expiry),
 			"gain": c.Gain, "tardy_gain": c.Late})
 		kinds = append(kinds, slices.Index(p.Kinds(), c.Kind))
 	}
@@ -42,56 +43,60 @@
 		orgs = append(orgs, map[string]any{"name": t.Name, "quota_per_s": t.Quota})
 	}
 	s, c := &p.Schedulers, &p.Cold
-	all := map[string]any{"my_number": me, "peers_total": s.Count, "zone": me % len(s.Zones), "tick": us(s.Tick),
+	all := map[string]any{"my_number": number, "peers_total": s.Count, "zone": number % len(s.Zones), "tick": micros(s.Tick),
 		"surplus_gain": s.OverShare, "weights": p.Discovery.Weights, "zones": p.Zones(), "kinds": p.Kinds(),
 		"schemes": schemes, "orgs": orgs,
 		"domain": map[string]any{"class_kind": kinds, "tells_start": true, "report_x0": "free slots"},
 		"policy_limits": map[string]any{"max_postings": p.PostsIn(phase), "parallel_tries": s.Copies, "cancel": s.Cancels,
-			"max_retry_after": us(s.Advice), "retry_after": s.Advice > 0, "peers": s.Peers, "probes": s.Probes,
-			"conn_idle": us(s.Idle), "connect_timeout": us(s.Dial)},
-		"guarantees": map[string]any{"cold_from": c.From, "cold": us(c.For), "fall": us(c.Fall),
-			"fall_multiple": c.Times, "must_ask_in": us(p.Discovery.MustAsk)},
+			"max_retry_after": micros(s.Advice), "retry_after": s.Advice > 0, "peers": s.Peers, "probes": s.Probes,
+			"conn_idle": micros(s.Idle), "connect_timeout": micros(s.Dial)},
+		"guarantees": map[string]any{"cold_from": c.From, "cold": micros(c.For), "fall": micros(c.Fall),
+			"fall_multiple": c.Times, "must_ask_in": micros(p.Discovery.MustAsk)},
 		"fees": map[string]any{"peer": s.PeerPrice}}
-	for _, w := range p.Workers {
-		if w.ReportsEach > 0 {
+	for _, group := range p.Workers {
+		if group.ReportsEach > 0 {
 			all["report"] = map[string]any{"fields": []string{"x0"}}
 		}
 	}
 	return all
 }
 
-// node is one scheduler's process.
-type node struct {
-	w     *world
-	no    int
-	zone  int
-	addr  string
-	peer  string
-	mgmt  string
-	disc  string // its own address of discovery, by which that knows who asks
-	path  string
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{} // of the present process
-	known []byte
-	// listed: the front deals it clients; killed: its process was ended by force, and what it owed is excused.
-	listed, killed bool
-	starts         int
-	lives          atomic.Int32
-	staffing       sync.Mutex // calls at its second address
-	most           int        // the most memory seen, in kB
-	client         *http.Client
-	// Of one that others run: see minded.go.
-	beside       string
-	pids, last   []int // now, and when there last were some
-	serves, fell bool
-	will         bool // it was told to end, and does not serve since
-	looks        []bool
+// scheduler is one scheduler and its process. Where agents run the processes there may be several at a time (see Mark in
+// Options).
+type scheduler struct {
+	exp            *experiment
+	number         int
+	zone           int
+	clientAddr     string // for clients
+	peerAddr       string // for messages from peers, UDP
+	managementAddr string
+	discoveryAddr  string // an address of discovery for this scheduler alone, by which discovery knows who asks
+	configPath     string
+	mu             sync.Mutex
+	cmd            *exec.Cmd
+	ended          chan struct{} // closed when the present process has ended
+	initialList    []byte        // the list of workers in the configuration, JSON
+	// listedByFront: the front sends clients to it. killed: its process was killed, which excuses it from answering the txns
+	// that it had taken.
+	listedByFront, killed bool
+	configWrites          int          // part of the seed of the next configuration
+	incarnation           atomic.Int32 // number of the present process; a process that takes over from another one keeps it
+	operatorCalls         sync.Mutex   // held during a call at the management address
+	maxMemoryKB           int          // the most memory that any of its processes was seen to hold
+	httpClient            *http.Client
+	// The following are used where agents run the processes.
+	takeoverAddr           string // management address of a process that takes over from the present one
+	pids, lastPids         []int  // the present processes; the last ones that were seen
+	healthy, failedByFault bool   // the last health check succeeded; it was killed or paused since one last did
+	stoppedByOperator      bool   // it was told to stop, and no health check has succeeded since
+	recentHealth           []bool // results of the last two health checks
 }
 
-var ports sync.Map
+// assignedPorts are the TCP ports that freeAddress has tried.
+var assignedPorts sync.Map
 
-func freeAddr(network string) (string, error) {
+// freeAddress returns an address on loopback at which nothing listens; network is tcp or udp.
+func freeAddress(network string) (string, error) {
 	if network == "udp" {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
@@ -100,11 +105,13 @@
 		defer c.Close()
 		return c.LocalAddr().String(), nil
 	}
-	// Below the ports that the system deals out by itself: one of those may be another connection's by the time that the
-	// program listens there. None is dealt out twice here: a day of forty schedulers has hundreds.
-	for range 100 {
-		port := 12000 + rand.IntN(20000)
-		if _, dealt := ports.LoadOrStore(port, true); dealt {
+	// TCP ports are taken from below the kernel's range for outgoing connections: a port of that range may belong to another
+	// connection by the time the program listens on it. No port is returned twice in a process, as a run with forty schedulers
+	// uses hundreds.
+	const firstPort, ports, tries = 12000, 20000, 100
+	for range tries {
+		port := firstPort + rand.IntN(ports)
+		if _, tried := assignedPorts.LoadOrStore(port, true); tried {
 			continue
 		}
 		if l, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", port)); err == nil {
@@ -112,84 +119,89 @@
 			return l.Addr().String(), nil
 		}
 	}
-	return "", fmt.Errorf("no port is free")
+	return "", fmt.Errorf("no free TCP port found on 127.0.0.1 in %d tries from %d to %d", tries, firstPort, firstPort+ports-1)
 }
 
-// FreeAddr is an address on loopback that nobody listens at.
-func FreeAddr() (string, error) { return freeAddr("tcp") }
+// FreeAddr returns a TCP address on loopback at which nothing listens.
+func FreeAddr() (string, error) { return freeAddress("tcp") }
 
-// write writes the configuration for the next start. The limits leave room for all that a small day can have open: at
-// the bound on clients what comes can only be reset, and the auditor would call it lost.
-func (n *node) write() error {
-	n.starts++
-	seed := load.Rand(n.w.seed, fmt.Sprint("scheduler", n.no, "start", n.starts)).Uint64()
-	c := map[string]any{"name": n.name(), "listen": n.addr, "discovery": n.disc,
+// writeConfig writes the configuration for the next start or reload. The limits leave room for everything that a small
+// experiment has open at once: at the limit on client connections the scheduler can only reset new ones, and the auditor would
+// report their txns as lost.
+func (s *scheduler) writeConfig() error {
+	s.configWrites++
+	seed := load.Rand(s.exp.seed, fmt.Sprint("scheduler", s.number, "start", s.configWrites)).Uint64()
+	c := map[string]any{"name": s.id(), "listen": s.clientAddr, "discovery": s.discoveryAddr,
 		"seed":   strconv.FormatUint(seed, 16),
 		"limits": map[string]any{"cores": 1, "memory_mb": 384, "sockets": 4096},
-		"known":  json.RawMessage(n.known), "settings": settings(n.w.p, n.no, n.w.phaseNow())}
-	if n.w.opt.Mark == "" {
-		c["mgmt"] = n.mgmt
+		"known":  json.RawMessage(s.initialList), "settings": schedulerSettings(s.exp.plan, s.number, s.exp.currentPhase())}
+	if s.exp.options.Mark == "" {
+		c["mgmt"] = s.managementAddr
 	}
-	if n.w.opt.Agent != nil {
-		c["agent"] = n.w.opt.Agent(n.no)
+	if s.exp.options.Agent != nil {
+		c["agent"] = s.exp.options.Agent(s.number)
 	}
-	if n.w.p.Schedulers.Peers {
-		c["peer_listen"], c["peers"], c["peers_all"] = n.peer, n.w.relay.addrs, n.w.relay.all
+	if s.exp.plan.Schedulers.Peers {
+		c["peer_listen"], c["peers"], c["peers_all"] = s.peerAddr, s.exp.relay.schedulerAddrs, s.exp.relay.broadcastAddr
 	}
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(n.path, raw, 0o600)
+	return os.WriteFile(s.configPath, raw, 0o600)
 }
 
-func (n *node) name() string { return fmt.Sprint("s", n.no) }
+// id returns the scheduler's ID.
+func (s *scheduler) id() string { return fmt.Sprint("s", s.number) }
 
-// process names the present process to the auditor: what a former one owed is not this one's.
-func (n *node) process() string { return fmt.Sprintf("s%d.%d", n.no, n.lives.Load()) }
+// processName names the present process for the auditor, so that txns which a former process had taken are not charged to this
+// one.
+func (s *scheduler) processName() string {
+	return fmt.Sprintf("s%d.%d", s.number, s.incarnation.Load())
+}
 
-// start runs the program and, once it says that it serves, has the front deal it clients.
-func (n *node) start() error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.cmd != nil || n.w.ctx.Err() != nil || n.w.opt.Mark != "" {
+// start starts the program and, once its health check succeeds, has the front send clients to it.
+func (s *scheduler) start() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cmd != nil || s.exp.ctx.Err() != nil || s.exp.options.Mark != "" {
 		return nil
 	}
-	n.lives.Add(1)
-	n.known = n.w.disc.whole(n.no)
-	if err := n.write(); err != nil {
+	s.incarnation.Add(1)
+	s.initialList = s.exp.discovery.initialList(s.number)
+	if err := s.writeConfig(); err != nil {
 		return err
 	}
-	cmd := exec.Command(n.w.program, "serve", "--config", n.path)
+	cmd := exec.Command(s.exp.program, "serve", "--config", s.configPath)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	log, err := os.OpenFile(filepath.Join(n.w.dir, n.name()+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(s.exp.dir, s.id()+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	cmd.Stderr, cmd.Stdout = log, log
-	cmd.Env = append(append(os.Environ(), "TMPDIR="+n.w.dir), n.w.opt.Env...)
+	cmd.Env = append(append(os.Environ(), "TMPDIR="+s.exp.dir), s.exp.options.Env...)
 	if err := cmd.Start(); err != nil {
 		log.Close()
-		return fmt.Errorf("%s: %w", n.w.program, err)
+		return fmt.Errorf("%s: %w", s.exp.program, err)
 	}
-	ended, process := make(chan struct{}), n.process()
-	n.cmd, n.ended, n.killed = cmd, ended, false
+	ended, process := make(chan struct{}), s.processName()
+	s.cmd, s.ended, s.killed = cmd, ended, false
 	go func() {
 		err := cmd.Wait()
 		log.Close()
-		n.mu.Lock()
-		killed := n.killed
-		n.cmd = nil
-		n.mu.Unlock()
-		n.w.died(n, process, killed, err)
+		s.mu.Lock()
+		killed := s.killed
+		s.cmd = nil
+		s.mu.Unlock()
+		s.exp.processEnded(s, process, killed, err)
 		close(ended)
 	}()
 	go func() {
-		for n.w.ctx.Err() == nil {
-			if r, err := n.client.Get("http://" + n.addr + "/_health"); err == nil {
+		for s.exp.ctx.Err() == nil {
+			if r, err := s.httpClient.Get("http://" + s.clientAddr + "/_health"); err == nil {
 				r.Body.Close()
 				if r.StatusCode == 200 {
-					n.w.list(n, true)
+					s.exp.setListed(s, true)
 					return
 				}
 			}
@@ -203,69 +215,70 @@
 	return nil
 }
 
-// staff makes one call at the second address, again until it is heard: from the yes on a worker is out, and from
-// the call on it may be in use again.
-func (n *node) staff(worker string, out bool) {
+// setWorkerWithdrawn tells a scheduler, at its management address, that operators took a worker out of service or put it back.
+// It repeats the call until it succeeds, the run is over or the worker's state has changed again. For the auditor a worker is
+// out of service from the successful answer on, and may be used again from the call that puts it back.
+func (s *scheduler) setWorkerWithdrawn(worker string, out bool) {
 	call := "up"
 	if out {
 		call = "down"
 	}
-	// One after the other: a yes that came late would be noted behind the call back that undid it.
-	n.staffing.Lock()
-	defer n.staffing.Unlock()
-	for n.w.ctx.Err() == nil && n.w.isOut(worker) == out {
+	// One call at a time: otherwise a success that is noticed late would be recorded after the call that undoes it.
+	s.operatorCalls.Lock()
+	defer s.operatorCalls.Unlock()
+	for s.exp.ctx.Err() == nil && s.exp.isWithdrawn(worker) == out {
 		if !out {
-			n.w.note(func(at float64) { n.w.audit.Staffed(at, n.name(), worker, false) })
+			s.exp.recordEvent(func(at float64) { s.exp.auditor.Staffed(at, s.id(), worker, false) })
 		}
-		r, err := n.client.Post("http://"+n.mgmt+"/ops/workers/"+call, "text/plain", strings.NewReader(worker))
+		response, err := s.httpClient.Post("http://"+s.managementAddr+"/ops/workers/"+call, "text/plain", strings.NewReader(worker))
 		if err == nil {
-			r.Body.Close()
-			if r.StatusCode == 200 && out {
-				n.w.note(func(at float64) { n.w.audit.Staffed(at, n.name(), worker, true) })
+			response.Body.Close()
+			if response.StatusCode == 200 && out {
+				s.exp.recordEvent(func(at float64) { s.exp.auditor.Staffed(at, s.id(), worker, true) })
 			}
-			if r.StatusCode == 200 {
+			if response.StatusCode == 200 {
 				return
 			}
 		}
 		select {
 		case <-time.After(50 * time.Millisecond):
-		case <-n.w.ctx.Done():
+		case <-s.exp.ctx.Done():
 		}
 	}
 }
 
-// signal sends one to the process, if there is any.
-func (n *node) signal(s syscall.Signal) bool {
-	if n.w.opt.Mark != "" {
-		return n.signalAll(s)
+// signal sends a signal to the process and tells whether there was one to send it to.
+func (s *scheduler) signal(sig syscall.Signal) bool {
+	if s.exp.options.Mark != "" {
+		return s.signalProcesses(sig)
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.cmd == nil {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cmd == nil {
 		return false
 	}
-	n.killed = n.killed || s == syscall.SIGKILL
-	return n.cmd.Process.Signal(s) == nil
+	s.killed = s.killed || sig == syscall.SIGKILL
+	return s.cmd.Process.Signal(sig) == nil
 }
 
-// wait waits for the present process to end, if there is one.
-func (n *node) wait() {
-	n.mu.Lock()
-	ended := n.ended
-	n.mu.Unlock()
+// waitEnded waits for the present process to end, if there is one.
+func (s *scheduler) waitEnded() {
+	s.mu.Lock()
+	ended := s.ended
+	s.mu.Unlock()
 	if ended != nil {
 		<-ended
 	}
 }
 
-// memory reads the most memory that the process has held, in kB.
-func (n *node) memory() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.cmd == nil {
+// readMaxMemory updates the most memory that the process has held, in kB, from its peak resident set size.
+func (s *scheduler) readMaxMemory() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cmd == nil {
 		return
 	}
-	f, err := os.Open(fmt.Sprintf("/proc/%d/status", n.cmd.Process.Pid))
+	f, err := os.Open(fmt.Sprintf("/proc/%d/status", s.cmd.Process.Pid))
 	if err != nil {
 		return
 	}
@@ -273,62 +286,64 @@
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		var kb int
 		if _, err := fmt.Sscanf(lines.Text(), "VmHWM: %d kB", &kb); err == nil {
-			n.most = max(n.most, kb)
+			s.maxMemoryKB = max(s.maxMemoryKB, kb)
 		}
 	}
 }
 
-// relay carries datagrams among schedulers: each sees the others under addresses of the relay's.
+// relay passes datagrams on among schedulers, with the network's losses and delays. Each scheduler sends to the broadcast
+// address, and sees the datagrams of another one as sent from an address that the relay has for that one.
 type relay struct {
-	w     *world
-	all   string
-	addrs []string // of each scheduler, as the others see it
-	each  []*net.UDPConn
-	to    []*net.UDPAddr
-	from  map[string]int // by a scheduler's own address
+	exp             *experiment
+	broadcastAddr   string         // what is sent here goes to all other schedulers
+	schedulerAddrs  []string       // by scheduler: its address as its peers see it
+	conns           []*net.UDPConn // by scheduler: the socket with that address
+	targets         []*net.UDPAddr // by scheduler: its own address
+	schedulerByAddr map[string]int // number of a scheduler by its own address
 }
 
-func (r *relay) open(w *world) error {
-	r.w, r.from = w, map[string]int{}
+// open opens the relay's sockets and passes datagrams on until they are closed.
+func (r *relay) open(exp *experiment) error {
+	r.exp, r.schedulerByAddr = exp, map[string]int{}
 	listen := func() (*net.UDPConn, error) {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err == nil {
-			w.closers = append(w.closers, func() { c.Close() })
+			exp.closers = append(exp.closers, func() { conn.Close() })
 		}
-		return c, err
+		return conn, err
 	}
-	all, err := listen()
+	broadcast, err := listen()
 	if err != nil {
 		return err
 	}
-	r.all = all.LocalAddr().String()
-	for i, n := range w.nodes {
-		c, err := listen()
+	r.broadcastAddr = broadcast.LocalAddr().String()
+	for i, s := range exp.schedulers {
+		conn, err := listen()
 		if err != nil {
 			return err
 		}
-		to, err := net.ResolveUDPAddr("udp", n.peer)
+		target, err := net.ResolveUDPAddr("udp", s.peerAddr)
 		if err != nil {
 			return err
 		}
-		r.addrs, r.each, r.to = append(r.addrs, c.LocalAddr().String()), append(r.each, c), append(r.to, to)
-		r.from[n.peer] = i
+		r.schedulerAddrs, r.conns, r.targets = append(r.schedulerAddrs, conn.LocalAddr().String()), append(r.conns, conn), append(r.targets, target)
+		r.schedulerByAddr[s.peerAddr] = i
 	}
 	go func() {
-		b := make([]byte, 2048)
+		buffer := make([]byte, 2048)
 		for {
-			k, from, err := all.ReadFromUDP(b)
+			size, from, err := broadcast.ReadFromUDP(buffer)
 			if err != nil {
 				return
 			}
-			i, ok := r.from[from.String()]
+			i, ok := r.schedulerByAddr[from.String()]
 			if !ok {
 				continue
 			}
-			body := append([]byte{}, b[:k]...)
-			for j := range r.each {
-				if j != i && !w.net.lost() {
-					time.AfterFunc(w.net.wait(), func() { _, _ = r.each[i].WriteToUDP(body, r.to[j]) })
+			body := append([]byte{}, buffer[:size]...)
+			for j := range r.conns {
+				if j != i && !exp.network.drawLost() {
+					time.AfterFunc(exp.network.drawDelay(), func() { _, _ = r.conns[i].WriteToUDP(body, r.targets[j]) })
 				}
 			}
 		}
--- a/lab/live/pace.go
+++ b/lab/live/pace.go
@@ -20,26 +20,26 @@
 	"time"
 )
 
-// Pace measures how many txns a second one scheduler's process carries, closed loop: each connection asks again
-// as soon as it has its answer, and workers answer at once. Beside them stand txns that stay open, as those
-// cost nothing only where nothing goes through all of them.
+// Pace measures the throughput of one scheduler process, in txns a second, with a closed loop: each connection sends its next
+// request as soon as it has an answer, and the workers answer at once. Meanwhile further txns stay open without an answer: they
+// cost nothing only where the scheduler never goes through all open txns, so the figure shows whether it does.
 type Pace struct {
-	Program string
-	Workers int
-	Conns   int
-	Open    int
-	For     time.Duration
+	Program string        // path of the shalebeam program
+	Workers int           // number of worker stand-ins
+	Conns   int           // connections in the closed loop
+	Open    int           // txns that stay open
+	For     time.Duration // how long is measured, after one second of warm-up
 }
 
-// paceConfig is the scheduler's configuration: its workers, and limits that do not bind.
-func (c *Pace) config(listen, disc string, workers []string) ([]byte, error) {
+// config returns the scheduler's configuration as JSON, with these addresses of workers and with limits too high to be reached.
+func (c *Pace) config(listen, discovery string, workers []string) ([]byte, error) {
 	var hosts []map[string]any
 	for i, a := range workers {
 		hosts = append(hosts, map[string]any{"host": fmt.Sprint("w", i), "dial": a, "site": "a", "class": "k",
 			"health": "in_service", "share": 1, "born_ms": 0})
 	}
 	known := map[string]any{"seq": 1, "whole": true, "hosts": hosts}
-	return json.Marshal(map[string]any{"name": "s0", "listen": listen, "discovery": disc, "seed": "1",
+	return json.Marshal(map[string]any{"name": "s0", "listen": listen, "discovery": discovery, "seed": "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 2048, "sockets": 16384}, "known": known,
 		"settings": map[string]any{"my_number": 0, "peers_total": 1, "tick": 2000, "zones": []string{"a"},
 			"kinds": []string{"k"}, "domain": map[string]any{"tells_start": true},
@@ -50,7 +50,7 @@
 				"sla_time": 30000000}}}})
 }
 
-// Run plays one round and returns txns a second.
+// Run starts a scheduler with its workers and discovery, measures once, and returns the throughput in txns a second.
 func (c *Pace) Run(ctx context.Context) (float64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -66,23 +66,23 @@
 			return 0, err
 		}
 		defer l.Close()
-		go accept(ctx, l)
+		go serveWorker(ctx, l)
 		workers = append(workers, l.Addr().String())
 	}
-	listen, err := freeAddr("tcp")
+	listen, err := freeAddress("tcp")
 	if err != nil {
 		return 0, err
 	}
-	disc, err := net.Listen("tcp", "127.0.0.1:0")
+	discovery, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return 0, err
 	}
-	defer disc.Close()
-	raw, err := c.config(listen, disc.Addr().String(), workers)
+	defer discovery.Close()
+	raw, err := c.config(listen, discovery.Addr().String(), workers)
 	if err != nil {
 		return 0, err
 	}
-	go http.Serve(disc, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	go http.Serve(discovery, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") != "" {
 			select {
 			case <-ctx.Done():
@@ -103,13 +103,14 @@
 	}
 	defer cmd.Wait()
 	defer cmd.Process.Kill()
-	if err := awaits(ctx, listen); err != nil {
+	if err := waitForHealth(ctx, listen); err != nil {
 		return 0, err
 	}
-	return c.load(ctx, listen)
+	return c.measureRate(ctx, listen)
 }
 
-func awaits(ctx context.Context, addr string) error {
+// waitForHealth waits until a scheduler's health check succeeds.
+func waitForHealth(ctx context.Context, addr string) error {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end) && ctx.Err() == nil; {
 		if r, err := http.Get("http://" + addr + "/_health"); err == nil {
 			r.Body.Close()
@@ -119,15 +120,16 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return fmt.Errorf("the scheduler does not serve")
+	return fmt.Errorf("scheduler on %s did not answer /_health with status 200 within 10 s, or the run was cancelled before", addr)
 }
 
-// load asks until the time is over, a second of warming up not counted.
-func (c *Pace) load(ctx context.Context, addr string) (float64, error) {
+// measureRate sends requests for one second of warm-up and then for c.For, and returns the txns a second of the latter. A txn that
+// fails or is not settled makes it return an error.
+func (c *Pace) measureRate(ctx context.Context, addr string) (float64, error) {
 	var done, failed atomic.Int64
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
-	ask := func(id string, once bool) {
+	sendRequests := func(id string, leaveOpen bool) {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			failed.Add(1)
@@ -142,11 +144,11 @@
 			if _, err := conn.Write(req); err != nil {
 				return
 			}
-			if once {
+			if leaveOpen {
 				<-stop
 				return
 			}
-			if err := answer(r); err != nil {
+			if err := readAnswer(r); err != nil {
 				select {
 				case <-stop:
 				default:
@@ -158,10 +160,10 @@
 		}
 	}
 	for i := range c.Open {
-		wg.Go(func() { ask(fmt.Sprint("open", i), true) })
+		wg.Go(func() { sendRequests(fmt.Sprint("open", i), true) })
 	}
 	for i := range c.Conns {
-		wg.Go(func() { ask(fmt.Sprint("c", i), false) })
+		wg.Go(func() { sendRequests(fmt.Sprint("c", i), false) })
 	}
 	pause := func(d time.Duration) {
 		select {
@@ -170,19 +172,19 @@
 		}
 	}
 	pause(time.Second)
-	from, at := done.Load(), time.Now()
+	doneBefore, start := done.Load(), time.Now()
 	pause(c.For)
-	rate := float64(done.Load()-from) / time.Since(at).Seconds()
+	rate := float64(done.Load()-doneBefore) / time.Since(start).Seconds()
 	close(stop)
 	wg.Wait()
 	if n := failed.Load(); n > 0 {
-		return 0, fmt.Errorf("%d connections failed", n)
+		return 0, fmt.Errorf("%d of %d connections failed, expected none", n, c.Conns+c.Open)
 	}
 	return rate, ctx.Err()
 }
 
-// answer reads one answer, which must be a settled one.
-func answer(r *bufio.Reader) error {
+// readAnswer reads one response and returns an error unless its status is 200, which means that the txn was settled.
+func readAnswer(r *bufio.Reader) error {
 	length, status := 0, ""
 	for first := true; ; first = false {
 		line, err := r.ReadString('\n')
@@ -204,13 +206,14 @@
 		return err
 	}
 	if !strings.HasPrefix(status, "HTTP/1.1 200") {
-		return fmt.Errorf("%s", status)
+		return fmt.Errorf("got status line %q, expected HTTP/1.1 200", status)
 	}
 	return nil
 }
 
-// accept serves a worker's connections: each request is answered at once, but those that are to stay open.
-func accept(ctx context.Context, l net.Listener) {
+// serveWorker serves a worker's connections. It answers each request at once, except that a request whose ID begins with "open" gets
+// only the state started.
+func serveWorker(ctx context.Context, l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -222,7 +225,7 @@
 			defer stop()
 			r := bufio.NewReader(conn)
 			for {
-				id, err := request(r)
+				id, err := readRequest(r)
 				if err != nil {
 					return
 				}
@@ -238,7 +241,8 @@
 	}
 }
 
-func request(r *bufio.Reader) (id string, err error) {
+// readRequest reads one request with a body of four bytes and returns its Request-Id.
+func readRequest(r *bufio.Reader) (id string, err error) {
 	for {
 		line, err := r.ReadSlice('\n')
 		if err != nil {
--- a/lab/live/world.go
+++ b/lab/live/world.go
@@ -1,9 +1,9 @@
-// Package live plays an experiment in real time on loopback sockets, against real processes of the program:
-// workers and discovery are real listeners, clients real connections, and schedulers are really killed,
-// stopped and reloaded. Parts and faults are those of simulated time, drawn from the same seed.
+// Package live runs an experiment plan in real time on loopback sockets, against real processes of the scheduler program.
+// Workers and discovery are stand-ins behind real listeners, clients use real connections, and schedulers are really killed,
+// stopped and reloaded. The model of a worker and the faults are those of the simulation, drawn from the same seed.
 //
-// What differs from simulated time is said in docs/lab.md; above all, a machine that vanished still has its
-// connections accepted by the system, and says nothing on them.
+// docs/lab.md lists the differences from the simulation. The main one: the kernel still accepts connections for a worker that
+// has vanished, and nothing is ever sent on them.
 package live
 
 import (
@@ -33,708 +33,753 @@
 	"shalebeam/lab/tally"
 )
 
-// quiet drops what net/http says of connections that faults broke.
-var quiet = log.New(io.Discard, "", 0)
+// discardLog drops the messages of net/http about connections that faults broke.
+var discardLog = log.New(io.Discard, "", 0)
 
 const (
-	answerIn = 250.0 // beyond the expiry: real machines pause
-	givenUp  = 250.0
+	lateAnswerLimitMs  = 250.0 // after its expiry a txn may be answered this late, because real machines pause
+	stuckAnswerLimitMs = 250.0 // a txn for which nothing more can be done must be answered within this time
+
+	drainGraceMarginMs = 50.0 // added to discovery's grace time after the announcement of a drain
+	inTransitMs        = 50.0 // an event at one end of a connection may take so long to be noticed at the other end
+
+	minLabDelayMs    = 5.0  // shorter delays of this process are not recorded
+	labDelayMarginMs = 50.0 // a recorded delay also counts for spans that end or begin this close to it
+
+	maintenanceRestartMs = 100.0 // from the beginning of a worker's maintenance to its restart
+	stopNoticeMs         = 300.0 // from the signal to stop a scheduler until the front sends it no more clients
 )
 
-// Options are what a run needs beside the plan.
+// Options are the settings of a run that are not part of the plan.
 type Options struct {
-	Program  string // the shalebeam program
-	Dir      string // for configurations and logs; empty: a temporary one, taken away afterwards
-	Keep     string // the txn whose history is kept
+	Program string // path of the shalebeam program
+	Dir     string // for configurations and logs; empty: a temporary directory, removed after the run
+	Keep    string // reference of the txn whose history is kept
+	// Progress is called once a second with the share of the plan's length that has passed, from 0 to 1.
 	Progress func(done float64)
-	Tell     func(text string)     // faults and ends of processes, in words
-	Serving  func(front, a string) // once all schedulers serve: an address of one, and a scheme
-	Outcome  func(j *load.Job)     // each job that is over
-	Guests   bool                  // workers also serve what did not come by the plan
-	Agent    func(no int) string   // the address of a scheduler's agent, for its configuration
-	Env      []string              // more of the schedulers' environment
-	// Fleet is called once all schedulers serve; what it returns is waited for before they are ended.
+	// Tell is called with a line of text for each begin and end of a fault and each end of a process.
+	Tell func(text string)
+	// Serving is called once all schedulers serve, with the address of one of them for clients and the name of a scheme.
+	Serving func(addr, scheme string)
+	Outcome func(j *load.Job) // called for each job that has ended
+	Guests  bool              // workers also serve requests that are not part of the plan
+	// Agent returns the address of a scheduler's agent, for the scheduler's configuration.
+	Agent func(number int) string
+	Env   []string // additional environment variables of the schedulers, as NAME=value
+	// Fleet is called once all schedulers serve. The run calls the function that it returns, which may wait, before it ends
+	// the schedulers.
 	Fleet func(f *Fleet) (wait func())
-	// Mark is what stands in the environment of schedulers that others start, before "|ID|...": the lab starts none then.
-	// Logs holds a folder for each of those others with its schedulers' logs; Begin has them begin, once all is prepared.
+	// Mark is set where agents start the processes of the schedulers; the lab then starts none. The environment of each
+	// process contains Mark, followed by "|ID|" and two further fields, and so shows which scheduler it belongs to. Logs is a
+	// directory with one subdirectory for each agent, in which its schedulers' logs are. Begin makes the agents start the
+	// schedulers; it is called once all configurations are written.
 	Mark, Logs string
 	Begin      func(f *Fleet) error
-	Told       func(pid int) bool // whether those others told a process to end
+	Told       func(pid int) bool // tells whether an agent has asked a process to stop
 }
 
-// Fleet is a running day, for those who act on it from outside the plan.
-type Fleet struct{ w *world }
+// Fleet gives access to a running experiment, for callers that act on it beyond what the plan says.
+type Fleet struct{ exp *experiment }
 
-// Member is a scheduler as others reach it.
+// Member is a scheduler: its ID, its zone, its management address and the path of its log.
 type Member struct{ ID, Zone, Mgmt, Log string }
 
 // Schedulers lists the schedulers.
 func (f *Fleet) Schedulers() (all []Member) {
-	for _, n := range f.w.nodes {
-		all = append(all, Member{n.name(), f.w.p.Schedulers.Zones[n.zone], n.mgmt, n.log()})
+	for _, s := range f.exp.schedulers {
+		all = append(all, Member{s.id(), f.exp.plan.Schedulers.Zones[s.zone], s.managementAddr, s.logPath()})
 	}
 	return all
 }
 
-// Workers lists the workers with their zones.
+// Workers returns the zone of each worker by the worker's name.
 func (f *Fleet) Workers() map[string]string {
 	all := map[string]string{}
-	for _, b := range f.w.boxes {
-		all[b.Name] = f.w.p.Zones()[b.Zone]
+	for _, wk := range f.exp.workers {
+		all[wk.Name] = f.exp.plan.Zones()[wk.Zone]
 	}
 	return all
 }
 
-// Out tells the auditor that from now on no scheduler may send anything new to a worker, or that each may again.
+// Out tells the auditor that from now on no scheduler may send new postings to a worker, or, where out is false, that all may
+// again.
 func (f *Fleet) Out(worker string, out bool) {
-	for _, n := range f.w.nodes {
-		f.w.note(func(at float64) { f.w.audit.Staffed(at, n.name(), worker, out) })
+	for _, s := range f.exp.schedulers {
+		f.exp.recordEvent(func(at float64) { f.exp.auditor.Staffed(at, s.id(), worker, out) })
 	}
 }
 
-// Kill ends a scheduler by force and starts it again after a time, from nothing: what it kept of who is out goes with its
-// machine. Stop has it stand still for so long.
-func (f *Fleet) Kill(no int, again time.Duration) {
-	n := f.w.nodes[no]
-	if f.w.opt.Mark != "" {
-		n.signal(syscall.SIGKILL)
-		return // its agent starts it again
+// Kill sends SIGKILL to the processes of a scheduler. Unless agents run them, it starts the scheduler again after a delay, as
+// on a new machine: the file in which it had stored which workers are out of service is removed.
+func (f *Fleet) Kill(number int, downTime time.Duration) {
+	s := f.exp.schedulers[number]
+	if f.exp.options.Mark != "" {
+		s.signal(syscall.SIGKILL)
+		return // the agent starts it again
 	}
-	if n.signal(syscall.SIGKILL) {
-		time.AfterFunc(again, func() {
-			_ = os.Remove(filepath.Join(f.w.dir, "shalebeam-"+strings.ReplaceAll(n.addr, ":", "-")+".out"))
-			_ = n.start()
+	if s.signal(syscall.SIGKILL) {
+		time.AfterFunc(downTime, func() {
+			_ = os.Remove(filepath.Join(f.exp.dir, "shalebeam-"+strings.ReplaceAll(s.clientAddr, ":", "-")+".out"))
+			_ = s.start()
 		})
 	}
 }
 
-// Late has discovery tell each change by so many ms later, for as long.
-func (f *Fleet) Late(ms float64, long time.Duration) {
-	f.w.disc.act(script.Act{Do: "lag", Begin: true, Factor: ms})
-	time.AfterFunc(long, func() { f.w.disc.act(script.Act{Do: "lag", Factor: ms}) })
+// Late makes discovery announce each change ms milliseconds later, for the given duration.
+func (f *Fleet) Late(ms float64, duration time.Duration) {
+	f.exp.discovery.applyFault(script.Act{Do: "lag", Begin: true, Factor: ms})
+	time.AfterFunc(duration, func() { f.exp.discovery.applyFault(script.Act{Do: "lag", Factor: ms}) })
 }
 
-func (f *Fleet) Stop(no int, still time.Duration) {
-	n := f.w.nodes[no]
-	if from, name := f.w.now(), n.process(); n.signal(syscall.SIGSTOP) {
-		time.AfterFunc(still, func() {
-			f.w.note(func(at float64) { f.w.audit.Stood(name, from, at) }) // before what it does then
-			n.signal(syscall.SIGCONT)
+// Stop pauses a scheduler's processes with SIGSTOP and resumes them with SIGCONT after the given duration.
+func (f *Fleet) Stop(number int, duration time.Duration) {
+	s := f.exp.schedulers[number]
+	if from, name := f.exp.nowMs(), s.processName(); s.signal(syscall.SIGSTOP) {
+		time.AfterFunc(duration, func() {
+			// Recorded before the events that follow SIGCONT.
+			f.exp.recordEvent(func(at float64) { f.exp.auditor.Stood(name, from, at) })
+			s.signal(syscall.SIGCONT)
 		})
 	}
 }
 
-// world is one run.
-type world struct {
-	p       *plan.Plan
-	seed    uint64
-	opt     Options
-	program string
-	dir     string
-	ctx     context.Context
-	stop    context.CancelFunc
-	begun   atomic.Pointer[time.Time] // read by discovery before it is set anew
-	disc    disc
-	relay   relay
-	net     network
-	nodes   []*node
-	boxes   []*box
-	closers []func()
-	audit   *audit.Auditor
-	got     *tally.Result
-	mu      sync.Mutex
-	jobs    map[string]*load.Job // by reference of each try
-	counts  map[string]int       // postings of a txn that came to workers
-	events  []heard
-	cancels map[*load.Job]context.CancelFunc
-	cuts    []*script.Cut
-	healed  *sync.Cond
-	open    int
-	waiting sync.WaitGroup
-	rows    []balance.SchemeRow // all schemes and their twins
-	phase   plan.Phase          // of a retune
-	twins   bool                // clients use the schemes' twins
-	out     map[string]int      // workers that staff took out, how many times
-	crashed error
-	lates   [][2]float64 // when this process ran late, and by how much
-}
-
-// heard is something for the auditor, which is told all in order of time once the run is over: parts see
-// things at slightly different times, and a connection's end later than what follows from it.
-type heard struct {
-	at float64
-	do func(at float64)
-}
-
-func (w *world) now() float64 {
-	return float64(time.Since(*w.begun.Load())) / float64(time.Millisecond)
-}
-func (w *world) wall() float64 { return float64(time.Now().UnixNano()) / 1e6 }
-
-func (w *world) note(do func(at float64)) { w.noteAt(w.now(), do) }
-
-func (w *world) noteAt(at float64, do func(at float64)) {
-	w.mu.Lock()
-	w.events = append(w.events, heard{at, do})
-	w.mu.Unlock()
-}
-
-// network adds what the plan says to what loopback costs.
+// experiment is one run of a plan.
+type experiment struct {
+	plan            *plan.Plan
+	seed            uint64
+	options         Options
+	program         string
+	dir             string
+	ctx             context.Context
+	stop            context.CancelFunc
+	startTime       atomic.Pointer[time.Time] // replaced once all schedulers serve; atomic, because discovery reads it before that
+	discovery       discovery
+	relay           relay
+	network         network
+	schedulers      []*scheduler
+	workers         []*worker
+	closers         []func()
+	auditor         *audit.Auditor
+	result          *tally.Result
+	mu              sync.Mutex
+	jobsByReference map[string]*load.Job             // by the reference of each attempt
+	postingCounts   map[string]int                   // by txn: postings that workers received
+	auditEvents     []auditEvent                     // in the order in which they were recorded
+	cancelFuncs     map[*load.Job]context.CancelFunc // each makes the job's client leave
+	networkCuts     []*script.Cut                    // those in force
+	cutsChanged     *sync.Cond                       // signalled when a cut ends
+	openJobs        int                              // jobs whose clients are still running
+	clients         sync.WaitGroup                   // running clients
+	schemeRows      []balance.SchemeRow              // all schemes, followed by their twins
+	settingsPhase   plan.Phase                       // of a change of settings at run time: which schemes schedulers are given
+	useTwinSchemes  bool                             // clients send their txns under the twins of the schemes
+	withdrawals     map[string]int                   // by worker: how many maintenances have it out of service
+	crashErr        error
+	labDelays       [][2]float64 // when this process ran late and by how much, both in ms
+}
+
+// auditEvent is a call to the auditor. The calls are made once the run is over, sorted by time, because parts of the lab
+// observe events at slightly different times, and a worker sees the end of a connection later than events that follow from it.
+type auditEvent struct {
+	atMs   float64
+	report func(at float64)
+}
+
+// nowMs returns the time since the start of the run, in ms.
+func (exp *experiment) nowMs() float64 {
+	return float64(time.Since(*exp.startTime.Load())) / float64(time.Millisecond)
+}
+
+// wallClockMs returns the wall-clock time in ms since 1970.
+func (exp *experiment) wallClockMs() float64 { return float64(time.Now().UnixNano()) / 1e6 }
+
+// recordEvent queues a call to the auditor with the present time.
+func (exp *experiment) recordEvent(report func(at float64)) { exp.recordEventAt(exp.nowMs(), report) }
+
+// recordEventAt queues a call to the auditor with a time in ms of the run.
+func (exp *experiment) recordEventAt(at float64, report func(at float64)) {
+	exp.mu.Lock()
+	exp.auditEvents = append(exp.auditEvents, auditEvent{at, report})
+	exp.mu.Unlock()
+}
+
+// network adds the delays and losses of the plan and of faults to what the loopback interface has.
 type network struct {
-	w     *world
-	mu    sync.Mutex
-	r     *rand.Rand
-	more  float64
-	lossy float64
+	exp          *experiment
+	mu           sync.Mutex
+	random       *rand.Rand
+	extraDelayMs float64 // through faults
+	extraLoss    float64 // through faults: the probability that a message is lost
 }
 
-func (n *network) lost() bool {
+// drawLost draws at random whether a message is lost.
+func (n *network) drawLost() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.r.Float64() < 1-(1-n.w.p.Network.Loss)*(1-n.lossy)
+	return n.random.Float64() < 1-(1-n.exp.plan.Network.Loss)*(1-n.extraLoss)
 }
 
-// wait is how long a message is under way.
-func (n *network) wait() time.Duration {
+// drawDelay draws at random how long a message is in transit. Each loss adds the time until the message is sent again.
+func (n *network) drawDelay() time.Duration {
 	ms := 0.0
-	for n.lost() {
-		ms += float64(n.w.p.Network.Resend)
+	for n.drawLost() {
+		ms += float64(n.exp.plan.Network.Resend)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	ms += float64(n.w.p.Network.Delay) + n.more + float64(n.w.p.Network.Jitter)*n.r.Float64()
+	ms += float64(n.exp.plan.Network.Delay) + n.extraDelayMs + float64(n.exp.plan.Network.Jitter)*n.random.Float64()
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// whole waits until no cut lies between a worker and the scheduler at the other end.
-func (w *world) whole(c *conn) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for w.cutBetween(script.Part{Kind: "workers", No: c.b.no}, script.Part{Kind: "schedulers", No: c.sched}) {
-		w.healed.Wait()
+// waitForLink blocks while a network cut separates a worker from the scheduler at the other end of a connection.
+func (exp *experiment) waitForLink(conn *workerConn) {
+	exp.mu.Lock()
+	defer exp.mu.Unlock()
+	for exp.isCutLocked(script.Part{Kind: "workers", No: conn.worker.number}, script.Part{Kind: "schedulers", No: conn.schedulerNumber}) {
+		exp.cutsChanged.Wait()
 	}
 }
 
-func (w *world) phaseNow() plan.Phase {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.phase
+// currentPhase returns which schemes schedulers are given now.
+func (exp *experiment) currentPhase() plan.Phase {
+	exp.mu.Lock()
+	defer exp.mu.Unlock()
+	return exp.settingsPhase
 }
 
-func (w *world) isOut(worker string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.out[worker] > 0
+// isWithdrawn tells whether operators have a worker out of service.
+func (exp *experiment) isWithdrawn(worker string) bool {
+	exp.mu.Lock()
+	defer exp.mu.Unlock()
+	return exp.withdrawals[worker] > 0
 }
 
-func (w *world) cutBetween(a, b script.Part) bool {
-	return slices.ContainsFunc(w.cuts, func(c *script.Cut) bool { return c.Between(a, b) })
+// isCutLocked tells whether a network cut separates two parts. exp.mu is held.
+func (exp *experiment) isCutLocked(a, b script.Part) bool {
+	return slices.ContainsFunc(exp.networkCuts, func(cut *script.Cut) bool { return cut.Between(a, b) })
 }
 
-// later has something happen after so many milliseconds, unless the run is over by then.
-func (w *world) later(ms float64, do func()) {
+// afterMs calls a function after a delay in ms, unless the run is over by then.
+func (exp *experiment) afterMs(ms float64, do func()) {
 	time.AfterFunc(time.Duration(ms*float64(time.Millisecond)), func() {
-		if w.ctx.Err() == nil {
+		if exp.ctx.Err() == nil {
 			do()
 		}
 	})
 }
 
-func (w *world) job(ref string) *load.Job {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.jobs[ref]
+// jobByReference returns the job of an attempt, nil where the reference is unknown.
+func (exp *experiment) jobByReference(ref string) *load.Job {
+	exp.mu.Lock()
+	defer exp.mu.Unlock()
+	return exp.jobsByReference[ref]
 }
 
-// posted numbers a posting that came to a worker whole and tells the auditor.
-func (w *world) posted(came float64, sched int, b *box, ref string) int {
-	w.mu.Lock()
-	no := w.counts[ref]
-	w.counts[ref]++
-	w.got.Postings++
-	w.mu.Unlock()
-	name := w.nodes[sched].process()
-	w.noteAt(came, func(at float64) { w.audit.Posted(at, name, ref, no, b.Name, b.Zone, b.Cell) })
-	return no
+// recordPosting counts a posting that a worker has received whole, tells the auditor of it, and returns its number among the
+// postings of its txn, from 0.
+func (exp *experiment) recordPosting(arrivedMs float64, schedulerNumber int, wk *worker, ref string) int {
+	exp.mu.Lock()
+	number := exp.postingCounts[ref]
+	exp.postingCounts[ref]++
+	exp.result.Postings++
+	exp.mu.Unlock()
+	name := exp.schedulers[schedulerNumber].processName()
+	exp.recordEventAt(arrivedMs, func(at float64) { exp.auditor.Posted(at, name, ref, number, wk.Name, wk.Zone, wk.Cell) })
+	return number
 }
 
-// noteOf tells the auditor of a posting.
-func (w *world) noteOf(v *visit, do func(at float64)) {
-	if !v.guest {
-		w.note(do)
+// recordPostingEvent queues a call to the auditor about a posting that is part of the plan.
+func (exp *experiment) recordPostingEvent(post *posting, report func(at float64)) {
+	if !post.isGuest {
+		exp.recordEvent(report)
 	}
 }
 
-// guest makes a job of a request that did not come by the plan: somebody's own, with curl, say.
-func (w *world) guest(r *http.Request) *load.Job {
+// guestJob makes a job of a request that is not part of the plan, for example one that a user sent with curl. The first
+// element of its path is the scheme; it returns nil where the plan has no such scheme.
+func (exp *experiment) guestJob(r *http.Request) *load.Job {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	i := slices.IndexFunc(w.p.Schemes, func(c plan.Scheme) bool { return c.Name == first })
+	i := slices.IndexFunc(exp.plan.Schemes, func(c plan.Scheme) bool { return c.Name == first })
 	if i < 0 {
 		return nil
 	}
-	return &load.Job{Scheme: i, Work: w.p.Schemes[i].Cost.Expect(), Slots: w.p.Schemes[i].Slots}
+	return &load.Job{Scheme: i, Work: exp.plan.Schemes[i].Cost.Expect(), Slots: exp.plan.Schemes[i].Slots}
 }
 
-func (w *world) ended(v *visit, how balance.Outcome, before float64) {
-	if v.guest {
+// recordPostingEnd tells the auditor of the outcome of a posting, as of beforeMs ago but not before it arrived.
+func (exp *experiment) recordPostingEnd(post *posting, outcome balance.Outcome, beforeMs float64) {
+	if post.isGuest {
 		return
 	}
-	w.noteAt(max(w.now()-before, v.at), func(at float64) { w.audit.Ended(at, v.ref, v.no, how) })
+	exp.recordEventAt(max(exp.nowMs()-beforeMs, post.arrivedMs), func(at float64) { exp.auditor.Ended(at, post.reference, post.number, outcome) })
 }
 
-// Play plays a plan with a seed. When ctx is done it stops early, and the result says so.
+// Play runs a plan with a seed. When ctx is done it stops early and marks the result as partial.
 func Play(ctx context.Context, p *plan.Plan, seed uint64, opt Options) (*tally.Result, error) {
-	w := &world{p: p, seed: seed, opt: opt, program: opt.Program, dir: opt.Dir,
-		got: tally.New(p, "adus", "sockets", seed), jobs: map[string]*load.Job{}, counts: map[string]int{},
-		cancels: map[*load.Job]context.CancelFunc{}, rows: p.Rows(), out: map[string]int{}}
-	begun := time.Now()
-	w.begun.Store(&begun)
-	w.healed = sync.NewCond(&w.mu)
-	w.net = network{w: w, r: load.Rand(seed, "network")}
-	w.ctx, w.stop = context.WithCancel(ctx)
-	defer w.close()
-	if w.dir == "" {
+	exp := &experiment{plan: p, seed: seed, options: opt, program: opt.Program, dir: opt.Dir,
+		result: tally.New(p, "adus", "sockets", seed), jobsByReference: map[string]*load.Job{}, postingCounts: map[string]int{},
+		cancelFuncs: map[*load.Job]context.CancelFunc{}, schemeRows: p.Rows(), withdrawals: map[string]int{}}
+	created := time.Now()
+	exp.startTime.Store(&created)
+	exp.cutsChanged = sync.NewCond(&exp.mu)
+	exp.network = network{exp: exp, random: load.Rand(seed, "network")}
+	exp.ctx, exp.stop = context.WithCancel(ctx)
+	defer exp.close()
+	if exp.dir == "" {
 		dir, err := os.MkdirTemp("", "beamlab-")
 		if err != nil {
 			return nil, err
 		}
-		w.dir = dir
+		exp.dir = dir
 		defer os.RemoveAll(dir)
 	}
-	if err := os.MkdirAll(w.dir, 0o755); err != nil {
+	if err := os.MkdirAll(exp.dir, 0o755); err != nil {
 		return nil, err
 	}
-	if err := w.build(); err != nil {
+	if err := exp.build(); err != nil {
 		return nil, err
 	}
-	if err := w.ready(); err != nil {
+	if err := exp.waitUntilServing(); err != nil {
 		return nil, err
 	}
 	serving := time.Now()
-	w.begun.Store(&serving)
+	exp.startTime.Store(&serving)
 	wait := func() {}
 	if opt.Fleet != nil {
-		wait = opt.Fleet(&Fleet{w})
+		wait = opt.Fleet(&Fleet{exp})
 	}
-	w.run(ctx)
+	exp.playJobs(ctx)
 	wait()
-	w.finish(ctx.Err() != nil)
-	return w.got, w.crashed
+	exp.finish(ctx.Err() != nil)
+	return exp.result, exp.crashErr
 }
 
-// watchSelf notes when this process, or its machine, ran late: a day of many processes may have no core for it.
-func (w *world) watchSelf() {
-	const each = 2 * time.Millisecond
-	for at := time.Now(); w.ctx.Err() == nil; at = time.Now() {
-		time.Sleep(each)
-		w.lateBy(float64(time.Since(at)-each) / 1e6)
+// watchLabDelay records when this process was scheduled late, as on a machine that runs many processes and has no core free
+// for it. The auditor makes allowance for these delays.
+func (exp *experiment) watchLabDelay() {
+	const interval = 2 * time.Millisecond
+	for at := time.Now(); exp.ctx.Err() == nil; at = time.Now() {
+		time.Sleep(interval)
+		exp.recordLabDelay(float64(time.Since(at)-interval) / 1e6)
 	}
 }
 
-func (w *world) lateBy(late float64) {
-	if late > 5 {
-		now := w.now()
-		w.mu.Lock()
-		w.lates = append(w.lates, [2]float64{now, late})
-		w.mu.Unlock()
+// recordLabDelay records by how many ms this process ran late, unless that is at most minLabDelayMs.
+func (exp *experiment) recordLabDelay(delayMs float64) {
+	if delayMs > minLabDelayMs {
+		now := exp.nowMs()
+		exp.mu.Lock()
+		exp.labDelays = append(exp.labDelays, [2]float64{now, delayMs})
+		exp.mu.Unlock()
 	}
 }
 
-// late is the most that it was late by in a span, told with w.mu held.
-func (w *world) late(from, to float64) (most float64) {
-	for _, l := range w.lates {
-		if l[0] > from-50 && l[0]-l[1] < to+50 {
-			most = max(most, l[1])
+// maxLabDelayMs returns the longest delay in ms that was recorded for any part of a span, widened by labDelayMarginMs at both
+// ends. exp.mu is held.
+func (exp *experiment) maxLabDelayMs(from, to float64) (longest float64) {
+	for _, delay := range exp.labDelays {
+		if delay[0] > from-labDelayMarginMs && delay[0]-delay[1] < to+labDelayMarginMs {
+			longest = max(longest, delay[1])
 		}
 	}
-	return most
+	return longest
 }
 
-func (w *world) close() {
-	w.stop()
-	w.mu.Lock()
-	w.cuts = nil
-	w.healed.Broadcast()
-	w.mu.Unlock()
-	for _, n := range w.nodes {
-		n.signal(syscall.SIGKILL)
+// close kills all processes, ends network cuts so that nothing waits for them, and closes all listeners.
+func (exp *experiment) close() {
+	exp.stop()
+	exp.mu.Lock()
+	exp.networkCuts = nil
+	exp.cutsChanged.Broadcast()
+	exp.mu.Unlock()
+	for _, s := range exp.schedulers {
+		s.signal(syscall.SIGKILL)
 	}
-	for _, n := range w.nodes {
-		n.wait()
+	for _, s := range exp.schedulers {
+		s.waitEnded()
 	}
-	for _, f := range w.closers {
+	for _, f := range exp.closers {
 		f()
 	}
 }
 
-// build makes all parts and starts the schedulers.
-func (w *world) build() error {
-	p := w.p
-	// Whether two postings are out together can't be judged here: a worker sees a connection's end too late.
-	terms := audit.Terms{Copies: true, MaxPosts: p.Schedulers.MaxPosts, AnswerIn: answerIn,
-		Grace: float64(p.Discovery.Grace) + 50, GivenUp: givenUp, SentIn: hungUp, Keep: w.opt.Keep,
-		Late: w.late}
-	go w.watchSelf()
-	terms.Schemes = w.rows
-	if w.opt.Mark == "" && p.Discovery.Mode != "push" { // else others start processes, and the lab does not see when
+// build creates all stand-ins and starts the schedulers, or has agents start them.
+func (exp *experiment) build() error {
+	p := exp.plan
+	// Parallel postings are allowed here even where the plan forbids them: a worker sees the end of a connection too late for
+	// the lab to judge whether two postings were outstanding at the same time.
+	terms := audit.Terms{Copies: true, MaxPosts: p.Schedulers.MaxPosts, AnswerIn: lateAnswerLimitMs,
+		Grace: float64(p.Discovery.Grace) + drainGraceMarginMs, GivenUp: stuckAnswerLimitMs, SentIn: hangUpDelayMs, Keep: exp.options.Keep,
+		Late: exp.maxLabDelayMs}
+	go exp.watchLabDelay()
+	terms.Schemes = exp.schemeRows
+	// Where agents start the processes, the lab does not see exactly when they start.
+	if exp.options.Mark == "" && p.Discovery.Mode != "push" {
 		terms.MustAsk = float64(p.Discovery.MustAsk)
 	}
-	w.audit = audit.New(terms)
-	marks, saves := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
+	exp.auditor = audit.New(terms)
+	keyShelves, checkpointShelves := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
 	meanWork := p.MeanWork()
-	for i, b := range p.Boxes() {
-		x := &box{w: w, no: i, Box: b, m: machine.New(p.Spec(b.Group, meanWork)), up: p.Workers[b.Group].Joins == 0,
-			rand: load.Rand(w.seed, "worker"+b.Name), visits: map[*machine.Job]*visit{}, conns: map[*conn]bool{},
-			marks: map[balance.Group]*machine.Shelf{}}
-		x.m.Change(w.wall(), func() {})
-		x.reports = [2]float64{float64(x.m.Slots), float64(x.m.Slots)}
-		if saves[b.Cell] == nil {
-			saves[b.Cell] = machine.NewShelf()
-		}
-		x.m.Saves = saves[b.Cell]
+	for i, box := range p.Boxes() {
+		wk := &worker{exp: exp, number: i, Box: box, model: machine.New(p.Spec(box.Group, meanWork)), running: p.Workers[box.Group].Joins == 0,
+			random: load.Rand(exp.seed, "worker"+box.Name), postings: map[*machine.Job]*posting{}, conns: map[*workerConn]bool{},
+			idempotencyKeys: map[balance.Group]*machine.Shelf{}}
+		wk.model.Change(exp.wallClockMs(), func() {})
+		wk.freeSlotReadings = [2]float64{float64(wk.model.Slots), float64(wk.model.Slots)}
+		if checkpointShelves[box.Cell] == nil {
+			checkpointShelves[box.Cell] = machine.NewShelf()
+		}
+		wk.model.Saves = checkpointShelves[box.Cell]
 		for g, key := range map[balance.Group]string{balance.GroupAll: "all",
-			balance.GroupZone: fmt.Sprint("zone", b.Zone), balance.GroupCell: fmt.Sprint("cell", b.Cell)} {
-			if marks[key] == nil {
-				marks[key] = machine.NewShelf()
+			balance.GroupZone: fmt.Sprint("zone", box.Zone), balance.GroupCell: fmt.Sprint("cell", box.Cell)} {
+			if keyShelves[key] == nil {
+				keyShelves[key] = machine.NewShelf()
 			}
-			x.marks[g] = marks[key]
+			wk.idempotencyKeys[g] = keyShelves[key]
 		}
-		if err := x.open(); err != nil {
+		if err := wk.listen(); err != nil {
 			return err
 		}
-		w.boxes = append(w.boxes, x)
+		exp.workers = append(exp.workers, wk)
 	}
-	w.disc.init(w)
+	exp.discovery.init(exp)
 	for i := range p.Schedulers.Count {
-		n := &node{w: w, no: i, zone: i % len(p.Schedulers.Zones), path: filepath.Join(w.dir, fmt.Sprint("s", i, ".json")),
-			client: &http.Client{Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 100, IdleConnTimeout: 20 * time.Second}}}
+		s := &scheduler{exp: exp, number: i, zone: i % len(p.Schedulers.Zones), configPath: filepath.Join(exp.dir, fmt.Sprint("s", i, ".json")),
+			httpClient: &http.Client{Transport: &http.Transport{DialContext: exp.dial, MaxIdleConnsPerHost: 100, IdleConnTimeout: 20 * time.Second}}}
 		var err error
-		if n.addr, err = freeAddr("tcp"); err != nil {
+		if s.clientAddr, err = freeAddress("tcp"); err != nil {
 			return err
 		}
-		if n.peer, err = freeAddr("udp"); err != nil {
+		if s.peerAddr, err = freeAddress("udp"); err != nil {
 			return err
 		}
-		if n.mgmt, err = freeAddr("tcp"); err != nil {
+		if s.managementAddr, err = freeAddress("tcp"); err != nil {
 			return err
 		}
-		if n.beside, err = freeAddr("tcp"); err != nil {
+		if s.takeoverAddr, err = freeAddress("tcp"); err != nil {
 			return err
 		}
-		if n.disc, err = w.disc.open(i); err != nil {
+		if s.discoveryAddr, err = exp.discovery.openEndpoint(i); err != nil {
 			return err
 		}
-		w.nodes = append(w.nodes, n)
+		exp.schedulers = append(exp.schedulers, s)
 	}
-	if err := w.relay.open(w); err != nil {
+	if err := exp.relay.open(exp); err != nil {
 		return err
 	}
-	if w.opt.Mark != "" {
-		for i, n := range w.nodes {
-			if n.known = w.disc.whole(i); n.known == nil {
-				return fmt.Errorf("no list for %s", n.name())
+	if exp.options.Mark != "" {
+		for i, s := range exp.schedulers {
+			if s.initialList = exp.discovery.initialList(i); s.initialList == nil {
+				return fmt.Errorf("could not encode the initial list of workers for scheduler %s", s.id())
 			}
-			if err := n.write(); err != nil {
+			if err := s.writeConfig(); err != nil {
 				return err
 			}
 		}
-		go w.mind()
-		return w.opt.Begin(&Fleet{w})
+		go exp.watchProcesses()
+		return exp.options.Begin(&Fleet{exp})
 	}
-	for _, n := range w.nodes {
-		if err := n.start(); err != nil {
+	for _, s := range exp.schedulers {
+		if err := s.start(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ready waits until all schedulers serve.
-func (w *world) ready() error {
+// waitUntilServing waits until all schedulers serve, for at most 20 s.
+func (exp *experiment) waitUntilServing() error {
 	for end := time.Now().Add(20 * time.Second); ; {
 		all := true
-		for _, n := range w.nodes {
-			n.mu.Lock()
-			all = all && n.listed
-			n.mu.Unlock()
+		for _, s := range exp.schedulers {
+			s.mu.Lock()
+			all = all && s.listedByFront
+			s.mu.Unlock()
 		}
 		if all {
 			return nil
 		}
-		w.mu.Lock()
-		err := w.crashed // which also ends the run
-		w.mu.Unlock()
-		if err = cmp.Or(err, w.ctx.Err()); err != nil {
+		exp.mu.Lock()
+		err := exp.crashErr // takes precedence over the error of exp.ctx, which a crash cancels too
+		exp.mu.Unlock()
+		if err = cmp.Or(err, exp.ctx.Err()); err != nil {
 			return err
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not all schedulers serve after 20 s; their logs are in %s", w.dir)
+			return fmt.Errorf("not all schedulers serve after 20 s; their logs are in %s", exp.dir)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// list tells the front that a scheduler takes clients, or no more.
-func (w *world) list(n *node, listed bool) {
-	n.mu.Lock()
-	n.listed = listed
-	n.mu.Unlock()
+// setListed sets whether the front sends clients to a scheduler.
+func (exp *experiment) setListed(s *scheduler, listed bool) {
+	s.mu.Lock()
+	s.listedByFront = listed
+	s.mu.Unlock()
 }
 
-// died takes the end of a process. One that nobody asked for is a crash.
-func (w *world) died(n *node, process string, killed bool, err error) {
-	if w.ctx.Err() != nil {
+// processEnded records the end of a scheduler's process. One that ended with an error and was not killed by the lab has
+// crashed, which ends the run. The front notices the end only after its lag.
+func (exp *experiment) processEnded(s *scheduler, process string, killed bool, err error) {
+	if exp.ctx.Err() != nil {
 		return
 	}
 	if err != nil && !killed {
-		w.mu.Lock()
-		w.crashed = cmp.Or(w.crashed, fmt.Errorf("%s crashed: %w", n.name(), err))
-		w.mu.Unlock()
-		w.stop()
-	}
-	// An answer that it wrote may still be on its way to its client.
-	w.noteAt(w.now()+50, func(at float64) { w.audit.Died(at, process, killed) })
-	w.later(float64(w.p.Clients.FrontLag), func() {
-		n.mu.Lock()
-		if n.cmd == nil {
-			n.listed = false
-		}
-		n.mu.Unlock()
+		exp.mu.Lock()
+		exp.crashErr = cmp.Or(exp.crashErr, fmt.Errorf("%s crashed: %w", s.id(), err))
+		exp.mu.Unlock()
+		exp.stop()
+	}
+	// Recorded later than it was noticed, because an answer that the process wrote may still be in transit to its client.
+	exp.recordEventAt(exp.nowMs()+inTransitMs, func(at float64) { exp.auditor.Died(at, process, killed) })
+	exp.afterMs(float64(exp.plan.Clients.FrontLag), func() {
+		s.mu.Lock()
+		if s.cmd == nil {
+			s.listedByFront = false
+		}
+		s.mu.Unlock()
 	})
-	if w.opt.Tell != nil {
-		w.opt.Tell(n.name() + " has ended")
+	if exp.options.Tell != nil {
+		exp.options.Tell(s.id() + " has ended")
 	}
 }
 
-// run sends all jobs at their times and plays the faults.
-func (w *world) run(ctx context.Context) {
-	for _, a := range script.Play(w.p, w.seed) {
-		w.later(a.At, func() { w.act(a) })
+// playJobs starts a client for each job at its time and applies the faults. It returns when all clients are done.
+func (exp *experiment) playJobs(ctx context.Context) {
+	for _, fault := range script.Play(exp.plan, exp.seed) {
+		exp.afterMs(fault.At, func() { exp.applyFault(fault) })
 	}
-	if w.opt.Serving != nil {
-		w.opt.Serving(w.nodes[0].addr, w.p.Schemes[0].Name)
+	if exp.options.Serving != nil {
+		exp.options.Serving(exp.schedulers[0].clientAddr, exp.plan.Schemes[0].Name)
 	}
-	look := time.NewTicker(time.Second)
-	defer look.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	go func() {
 		for {
 			select {
-			case <-w.ctx.Done():
+			case <-exp.ctx.Done():
 				return
-			case <-look.C:
-				w.look()
+			case <-ticker.C:
+				exp.sample()
 			}
 		}
 	}()
-	stream := load.NewStream(w.p, w.seed)
-	for j, ok := stream.Next(); ok && w.ctx.Err() == nil; j, ok = stream.Next() {
+	stream := load.NewStream(exp.plan, exp.seed)
+	for j, ok := stream.Next(); ok && exp.ctx.Err() == nil; j, ok = stream.Next() {
 		select {
-		case <-time.After(time.Duration((j.At - w.now()) * float64(time.Millisecond))):
-		case <-w.ctx.Done():
+		case <-time.After(time.Duration((j.At - exp.nowMs()) * float64(time.Millisecond))):
+		case <-exp.ctx.Done():
 			continue
 		}
-		w.mu.Lock()
-		w.got.Came(j)
-		w.open++
-		w.mu.Unlock()
-		w.waiting.Go(func() { w.client(j) })
+		exp.mu.Lock()
+		exp.result.Came(j)
+		exp.openJobs++
+		exp.mu.Unlock()
+		exp.clients.Go(func() { exp.runClient(j) })
 	}
 	done := make(chan struct{})
-	go func() { w.waiting.Wait(); close(done) }()
+	go func() { exp.clients.Wait(); close(done) }()
 	select {
 	case <-done:
-		if ctx.Err() == nil && w.ctx.Err() == nil {
-			time.Sleep(500 * time.Millisecond) // what is wrong may still show
+		if ctx.Err() == nil && exp.ctx.Err() == nil {
+			time.Sleep(500 * time.Millisecond) // violations may still show up shortly after the last answer
 		}
-	case <-w.ctx.Done():
+	case <-exp.ctx.Done():
 		<-done
 	}
 }
 
-func (w *world) look() {
+// sample records the number of open jobs, the capacity of the workers and the memory of the schedulers, and reports progress.
+// It is called once a second.
+func (exp *experiment) sample() {
 	capacity := 0.0
-	for _, b := range w.boxes {
-		b.mu.Lock()
-		if b.up {
-			capacity += b.m.Capacity(b.clock()) * b.m.Speed * b.m.Slow
+	for _, wk := range exp.workers {
+		wk.mu.Lock()
+		if wk.running {
+			capacity += wk.model.Capacity(wk.clockMs()) * wk.model.Speed * wk.model.Slow
 		}
-		b.mu.Unlock()
+		wk.mu.Unlock()
 	}
-	for _, n := range w.nodes {
-		n.memory()
+	for _, s := range exp.schedulers {
+		s.readMaxMemory()
 	}
-	w.mu.Lock()
-	w.got.Look(w.now(), w.open, capacity)
-	w.mu.Unlock()
-	if w.opt.Progress != nil {
-		w.opt.Progress(min(w.now()/float64(w.p.Length), 1))
+	exp.mu.Lock()
+	exp.result.Look(exp.nowMs(), exp.openJobs, capacity)
+	exp.mu.Unlock()
+	if exp.options.Progress != nil {
+		exp.options.Progress(min(exp.nowMs()/float64(exp.plan.Length), 1))
 	}
 }
 
-func (w *world) finish(partial bool) {
-	at := w.now()
-	for _, b := range w.boxes {
-		b.mu.Lock()
-		b.m.Advance(b.clock())
-		w.got.Busy += b.m.Busy() / b.m.Speed / max(at*min(b.m.Cores, float64(b.m.Slots)), 1) / float64(len(w.boxes))
-		b.mu.Unlock()
+// finish passes all recorded events to the auditor, sorted by time, and completes the result.
+func (exp *experiment) finish(partial bool) {
+	at := exp.nowMs()
+	for _, wk := range exp.workers {
+		wk.mu.Lock()
+		wk.model.Advance(wk.clockMs())
+		exp.result.Busy += wk.model.Busy() / wk.model.Speed / max(at*min(wk.model.Cores, float64(wk.model.Slots)), 1) / float64(len(exp.workers))
+		wk.mu.Unlock()
 	}
-	w.got.Busy = math.Round(w.got.Busy*1e4) / 1e4
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	slices.SortStableFunc(w.events, func(a, b heard) int { return cmp.Compare(a.at, b.at) })
-	for _, e := range w.events {
-		e.do(e.at)
+	exp.result.Busy = math.Round(exp.result.Busy*1e4) / 1e4
+	exp.mu.Lock()
+	defer exp.mu.Unlock()
+	slices.SortStableFunc(exp.auditEvents, func(a, b auditEvent) int { return cmp.Compare(a.atMs, b.atMs) })
+	for _, e := range exp.auditEvents {
+		e.report(e.atMs)
 	}
-	if w.got.Partial = partial; !partial {
-		w.audit.Close(at)
+	if exp.result.Partial = partial; !partial {
+		exp.auditor.Close(at)
 	}
-	for _, n := range w.nodes {
-		w.got.Memory = max(w.got.Memory, n.most)
+	for _, s := range exp.schedulers {
+		exp.result.Memory = max(exp.result.Memory, s.maxMemoryKB)
 	}
-	w.got.Close(w.audit, at)
+	exp.result.Close(exp.auditor, at)
 }
 
-// act carries out a fault.
-func (w *world) act(a script.Act) {
-	if w.opt.Tell != nil {
+// applyFault begins or ends a fault.
+func (exp *experiment) applyFault(fault script.Act) {
+	if exp.options.Tell != nil {
 		word := "ends"
-		if a.Begin {
+		if fault.Begin {
 			word = "begins"
 		}
-		w.opt.Tell(fmt.Sprintf("%s %s on %s %d", a.Do, word, a.Kind, a.Part))
+		exp.options.Tell(fmt.Sprintf("%s %s on %s %d", fault.Do, word, fault.Kind, fault.Part))
 	}
-	switch a.Kind {
+	switch fault.Kind {
 	case "workers":
-		if b := w.boxes[a.Part]; a.Do == "maintain" {
-			w.maintain(b, a.Begin)
+		if wk := exp.workers[fault.Part]; fault.Do == "maintain" {
+			exp.maintain(wk, fault.Begin)
 		} else {
-			b.act(a)
+			wk.applyFault(fault)
 		}
 	case "schedulers":
-		w.actOnNode(w.nodes[a.Part], a)
+		exp.applySchedulerFault(exp.schedulers[fault.Part], fault)
 	case "discovery":
-		w.disc.act(a)
+		exp.discovery.applyFault(fault)
 	case "network":
-		w.mu.Lock()
-		if a.Cut != nil && a.Begin {
-			w.cuts = append(w.cuts, a.Cut)
-		} else if a.Cut != nil {
-			w.cuts = slices.DeleteFunc(w.cuts, func(c *script.Cut) bool { return c == a.Cut })
-			w.healed.Broadcast()
-		}
-		w.mu.Unlock()
+		exp.mu.Lock()
+		if fault.Cut != nil && fault.Begin {
+			exp.networkCuts = append(exp.networkCuts, fault.Cut)
+		} else if fault.Cut != nil {
+			exp.networkCuts = slices.DeleteFunc(exp.networkCuts, func(cut *script.Cut) bool { return cut == fault.Cut })
+			exp.cutsChanged.Broadcast()
+		}
+		exp.mu.Unlock()
 		sign := -1.0
-		if a.Begin {
+		if fault.Begin {
 			sign = 1
 		}
-		w.net.mu.Lock()
-		switch a.Do {
+		exp.network.mu.Lock()
+		switch fault.Do {
 		case "delay":
-			w.net.more += sign * a.Factor
+			exp.network.extraDelayMs += sign * fault.Factor
 		case "lossy":
-			w.net.lossy = max(0, w.net.lossy+sign*a.Factor)
+			exp.network.extraLoss = max(0, exp.network.extraLoss+sign*fault.Factor)
 		}
-		w.net.mu.Unlock()
+		exp.network.mu.Unlock()
 	case "settings":
-		w.mu.Lock()
-		if a.Do == "twins" {
-			w.twins = a.Begin
+		exp.mu.Lock()
+		if fault.Do == "twins" {
+			exp.useTwinSchemes = fault.Begin
 		} else {
-			w.phase = plan.Phase(a.Part)
-			for _, n := range w.nodes {
-				go w.reload(n)
+			exp.settingsPhase = plan.Phase(fault.Part)
+			for _, s := range exp.schedulers {
+				go exp.reload(s)
 			}
 		}
-		w.mu.Unlock()
+		exp.mu.Unlock()
 	case "clients":
-		if a.Do == "cancel" && a.Begin {
-			w.massCancel(a)
+		if fault.Do == "cancel" && fault.Begin {
+			exp.cancelJobs(fault)
 		}
 	}
 }
 
-func (w *world) reload(n *node) {
-	n.mu.Lock()
-	err := n.write()
-	n.mu.Unlock()
+// reload writes a scheduler's configuration anew and has its process read it (SIGHUP).
+func (exp *experiment) reload(s *scheduler) {
+	s.mu.Lock()
+	err := s.writeConfig()
+	s.mu.Unlock()
 	if err == nil {
-		n.signal(syscall.SIGHUP)
+		s.signal(syscall.SIGHUP)
 	}
 }
 
-// maintain has staff take a worker out at every scheduler, or put it back; it restarts meanwhile. A scheduler that
-// is down is told once it is back.
-func (w *world) maintain(b *box, begin bool) {
-	w.mu.Lock()
+// maintain begins or ends the maintenance of a worker: operators take it out of service at every scheduler, or put it back.
+// Its process restarts shortly after the maintenance began. A scheduler that is down is told once it serves again.
+func (exp *experiment) maintain(wk *worker, begin bool) {
+	exp.mu.Lock()
 	if begin {
-		w.out[b.Name]++
+		exp.withdrawals[wk.Name]++
 	} else {
-		w.out[b.Name]--
+		exp.withdrawals[wk.Name]--
 	}
-	turns := begin && w.out[b.Name] == 1 || !begin && w.out[b.Name] == 0
-	w.mu.Unlock()
+	changed := begin && exp.withdrawals[wk.Name] == 1 || !begin && exp.withdrawals[wk.Name] == 0
+	exp.mu.Unlock()
 	if begin {
-		w.later(100, func() {
-			b.act(script.Act{Do: "kill", Begin: true})
-			b.act(script.Act{Do: "kill"})
+		exp.afterMs(maintenanceRestartMs, func() {
+			wk.applyFault(script.Act{Do: "kill", Begin: true})
+			wk.applyFault(script.Act{Do: "kill"})
 		})
 	}
-	if !turns {
+	if !changed {
 		return
 	}
-	for _, n := range w.nodes {
-		go n.staff(b.Name, begin)
+	for _, s := range exp.schedulers {
+		go s.setWorkerWithdrawn(wk.Name, begin)
 	}
 }
 
-func (w *world) actOnNode(n *node, a script.Act) {
+// applySchedulerFault begins or ends a fault of a scheduler.
+func (exp *experiment) applySchedulerFault(s *scheduler, fault script.Act) {
 	switch {
-	case (a.Do == "kill" || a.Do == "clock") && a.Begin:
-		n.signal(syscall.SIGKILL)
-		if a.Do == "clock" { // clocks can't be set here: what is left of it is the restart
-			w.restart(n)
+	case (fault.Do == "kill" || fault.Do == "clock") && fault.Begin:
+		s.signal(syscall.SIGKILL)
+		if fault.Do == "clock" { // the clock of a single process can't be set here, so only the restart takes place
+			exp.restartScheduler(s)
 		}
-	case a.Do == "stop" && a.Begin:
-		if n.signal(syscall.SIGTERM) {
-			w.later(300, func() { w.list(n, false) })
+	case fault.Do == "stop" && fault.Begin:
+		if s.signal(syscall.SIGTERM) {
+			exp.afterMs(stopNoticeMs, func() { exp.setListed(s, false) })
 		}
-	case a.Do == "reload" && a.Begin:
-		w.reload(n)
-	case a.Do == "move" && a.Begin:
-		w.disc.move(n)
-	case (a.Do == "mute" || a.Do == "unwatch") && a.Begin:
-		w.disc.breaks(n, a.Do == "mute")
-	case a.Do == "kill" || a.Do == "stop":
-		w.restart(n)
+	case fault.Do == "reload" && fault.Begin:
+		exp.reload(s)
+	case fault.Do == "move" && fault.Begin:
+		exp.discovery.moveEndpoint(s)
+	case (fault.Do == "mute" || fault.Do == "unwatch") && fault.Begin:
+		exp.discovery.breakWatch(s, fault.Do == "mute")
+	case fault.Do == "kill" || fault.Do == "stop":
+		exp.restartScheduler(s)
 	}
 }
 
-// restart starts a scheduler anew once its former process has ended.
-func (w *world) restart(n *node) {
+// restartScheduler starts a scheduler again once its former process has ended.
+func (exp *experiment) restartScheduler(s *scheduler) {
 	go func() {
-		n.wait()
-		if err := n.start(); err != nil && w.ctx.Err() == nil {
-			w.mu.Lock()
-			w.crashed = cmp.Or(w.crashed, err)
-			w.mu.Unlock()
-			w.stop()
+		s.waitEnded()
+		if err := s.start(); err != nil && exp.ctx.Err() == nil {
+			exp.mu.Lock()
+			exp.crashErr = cmp.Or(exp.crashErr, err)
+			exp.mu.Unlock()
+			exp.stop()
 		}
 	}()
 }
 
-func (w *world) massCancel(a script.Act) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// cancelJobs makes the clients of a random share of all open jobs leave at the same time.
+func (exp *experiment) cancelJobs(fault script.Act) {
+	exp.mu.Lock()
+	defer exp.mu.Unlock()
 	var open []*load.Job
-	for j := range w.cancels {
+	for j := range exp.cancelFuncs {
 		open = append(open, j)
 	}
 	slices.SortFunc(open, func(a, b *load.Job) int { return a.No - b.No })
-	r := load.Rand(a.Seed, "cancel")
+	r := load.Rand(fault.Seed, "cancel")
 	for _, j := range open {
-		if r.Float64() < a.Factor {
-			w.cancels[j]()
+		if r.Float64() < fault.Factor {
+			exp.cancelFuncs[j]()
 		}
 	}
 }
