--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -2,6 +2,9 @@
 // Workers and discovery are stand-ins behind real listeners, clients use real connections, and schedulers are really killed,
 // stopped and reloaded. The model of a worker and the faults are those of the simulation, drawn from the same seed.
 //
+// Comments call this process the lab. It also plays the front, which chooses a scheduler for each attempt of a client among
+// those that it takes for alive, and staff, here called operators, who take workers out of service.
+//
 // docs/lab.md lists the differences from the simulation. The main one: the kernel still accepts connections for a worker that
 // has vanished, and nothing is ever sent on them.
 package live
@@ -696,7 +699,7 @@
 	}
 }
 
-// reload writes a scheduler's configuration anew and has its process read it (SIGHUP).
+// reload writes a scheduler's configuration again and has its process read it (SIGHUP).
 func (exp *experiment) reload(s *scheduler) {
 	s.mu.Lock()
 	err := s.writeConfig()
