--- a/lab/council/council.go
+++ b/lab/council/council.go
@@ -1,6 +1,10 @@
-// Package council plays the fleet's record in simulated time, by seed: the shipped voters, terms, duties and tellers, with
-// disks that lie, clocks that are off, links that lose, hold and cut, and processes that die or stand still. Schedulers are
-// models that keep the highest number they have seen, as scheduler/fleet.go does.
+// Package council simulates the fleet's replicated record and its agents in simulated time, from a seed. It runs the
+// production code of packages quorum and fleet (voters, leases, claims and the calls that tell schedulers which workers are
+// out) under injected faults: disks that acknowledge syncs without keeping the data, clocks that run fast or slow, links
+// that lose, delay or cut messages, and processes that crash or pause. Schedulers are models that remember the highest
+// fence (fencing token) they have seen, as scheduler/fleet.go does.
+//
+// A matter is what one agent at a time owns under a lease: a zone's workers ("zone/ZONE") or an operation ("op/ID").
 package council
 
 import (
@@ -20,850 +24,917 @@
 	"shalebeam/quorum"
 )
 
-// Options are one run's.
+// Options configures one run.
 type Options struct {
 	Seed       uint64
 	Voters     int
 	Agents     int
 	Schedulers int
-	For        float64 // ms that faults come; as long again is then played without
-	Bug        string
-	Ops        bool // agents run the schedulers, and one operation is carried
-	Workers    int  // of it
-	Calm       bool // no faults, and nothing wrong with what is released
+	// For is how long, in ms, faults are injected. The run then goes on without faults for as long again and recoveryMS, or
+	// until afterOperationMS after its operation has ended.
+	For     float64
+	Bug     string // name of a bug planted in the tested code, "" for none
+	Ops     bool   // agents run the schedulers' processes, and an operation (release, restart, drain, maintain) is executed
+	Workers int    // workers that take part in the operation; used with Ops only
+	Calm    bool   // no faults and no halts; the operation is a release of a program that works
 }
 
-// Result is what came of a run.
+// Result summarizes a run.
 type Result struct {
-	Breaks   []string
-	Changes  int // answered yes
-	Owners   int // changes of owner
-	Refused  int // late calls that a scheduler refused
-	Replaced int // voters whose disk was found out
-	Left     int // operations that end halted, with the reason, for a person
-	Letters  int
-	Calls    int     // at agents, for operations
-	Most     int     // out by will together
-	Ended    float64 // ms of the run at which the operation was over
-	Least    float64 // ms that its schedulers need at the least, within the limits
-	Digest   uint32  // of all that happened: the same for the same seed
-}
-
+	Breaks   []string // violated invariants; the run stops once there is one
+	Changes  int      // commands to take a worker out or back in that were acknowledged
+	Owners   int      // claims that succeeded, each of which makes an agent the owner of a matter
+	Refused  int      // calls that a scheduler refused because of their fence, scheduler start or change number
+	Replaced int      // voters that were replaced because their disk lacked data that they had acknowledged
+	Left     int      // operations that ended halted with a reason and need an operator
+	Letters  int      // messages that voters sent to each other
+	Calls    int      // calls at agents that operations made
+	Most     int      // most members that were out at once because of the operation, not of a fault
+	Ended    float64  // simulated time in ms at which the operation had ended, 0 if it had not
+	Least    float64  // lower bound in ms for the operation's duration under its limits
+	Digest   uint32   // CRC-32 of the traced events: the same for the same seed
+}
+
+// event is a function that runs at a point of simulated time; sequence orders events of the same time.
 type event struct {
-	at float64
-	no int
-	do func()
+	atMS     float64
+	sequence int
+	run      func()
 }
 
-type events []event
+// eventQueue implements heap.Interface: the earliest event comes first.
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].no < e[j].no
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].atMS < e[j].atMS || e[i].atMS == e[j].atMS && e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	*e = (*e)[:last]
 	return x
 }
 
-// clock is a process's own: it runs at its rate from some origin.
-type clock struct{ rate, origin float64 }
+// clock is a process's own clock: it starts at originMS and advances rate ms for each ms of simulated time.
+type clock struct{ rate, originMS float64 }
 
-func (c clock) at(now float64) float64 { return c.origin + now*c.rate }
+// read returns what the clock shows, in ms, at the simulated time nowMS.
+func (c clock) read(nowMS float64) float64 { return c.originMS + nowMS*c.rate }
 
+// voter is one replica of the record. When it is replaced, the same struct becomes the new voter.
 type voter struct {
-	id      uint64
-	node    *quorum.Node
-	disk    *quorum.Memory
-	clock   clock
-	still   float64 // until when it stands still
-	join    bool
-	replace uint64
-	going   bool   // a new one is about to come in its place
-	seen    uint64 // the command after which its record was last looked at
-	waits   map[string]func(fleet.Answer)
-	kept    []quorum.Letter // that came while it stood still
-}
-
-type owner struct {
-	id     string
-	zone   string
-	start  int
-	clock  clock
-	up     bool
-	still  float64
-	duty   *fleet.Duty
-	has    map[string]*charge
-	rec    *fleet.Record
-	number uint64
-	busy   map[string]bool
-	stirs  bool // it sees to its duties soon
-}
-
-type charge struct {
-	hold    *fleet.Hold
-	teller  *fleet.Teller
-	carrier *fleet.Carrier
-	zone    string
-	calls   int
-}
-
-func (c *charge) passed() bool { return c.teller != nil && c.teller.Passed > 0 }
-
-type target struct {
+	id                 uint64
+	node               *quorum.Node
+	disk               *quorum.Memory
+	clock              clock
+	pausedUntilMS      float64                       // simulated time; the process does nothing before it
+	joining            bool                          // it joins an existing group of voters
+	replacedID         uint64                        // the voter whose place it took, 0 for none
+	replacementPending bool                          // a new voter is about to take its place
+	lastCheckedCommand uint64                        // number of the command after which its record was last checked
+	pendingAnswers     map[string]func(fleet.Answer) // callbacks by "CALLER NUMBER" of a proposed command
+	heldMessages       []quorum.Letter               // messages that arrived during a pause
+}
+
+// simAgent is one agent: the production decisions of package fleet on a simulated process.
+type simAgent struct {
+	id                string
+	zone              string
+	startCount        int // starts so far; callbacks of an earlier start are dropped by it
+	clock             clock
+	up                bool
+	pausedUntilMS     float64 // simulated time; the process does nothing before it
+	duty              *fleet.Duty
+	owned             map[string]*ownership // by matter
+	record            *fleet.Record         // the record as it last read it; shared between agents, not to be changed
+	lastCommandNumber uint64
+	commandPending    map[string]bool // by matter, or by the name that sendCommand was given
+	wakeScheduled     bool            // an update is scheduled within wakeDelayMS
+}
+
+// ownership is what an agent keeps for a matter that it owns. notifier and zone are set for a zone's matter,
+// operationRunner for an operation's.
+type ownership struct {
+	lease           *fleet.Hold
+	notifier        *fleet.Teller
+	operationRunner *fleet.Carrier
+	zone            string
+	openCalls       int // calls at schedulers that have neither been answered nor timed out
+}
+
+// superseded tells whether a scheduler has named a higher fence, so that another agent must own the matter by now.
+func (o *ownership) superseded() bool { return o.notifier != nil && o.notifier.Passed > 0 }
+
+// simScheduler models how a scheduler treats the calls of agents.
+type simScheduler struct {
 	fleet.Member
-	start int
-	high  map[string]uint64
-	out   map[string]string
-	last  map[string]uint64 // the fleet's last change of each worker
-}
-
-type world struct {
-	o       Options
-	r       *rand.Rand
-	now     float64
-	turn    int
-	queue   events
-	voters  []*voter
-	owners  []*owner
-	targets []*target
-	got     Result
-	log     uint32
-	cut     map[string]bool
-	loss    float64
-	first   map[uint64]string
-	nextID  uint64
-	applied map[uint64]uint32 // the record's bytes after each command, of whoever applied it first
-	yes     map[string]uint64 // commands that were answered yes
-	healed  bool
-	victim  int
-	spoilt  bool
-	starts  uint64
-	newsNo  uint64 // of the record that agents were last told of
-	heard   *fleet.Record
-	heardOf *fleet.Record
-	ops     *machines // nil: none of it
-	term    float64   // of claims: shorter than it takes to choose a leader, or longer
+	startCount   int               // starts so far; a call meant for another start is refused
+	highestFence map[string]uint64 // by matter
+	outWorkers   map[string]string // the matter under which each worker is out
+	lastChange   map[string]uint64 // by worker: the number of the newest change on record that it was told
+}
+
+// simulation is the state of one run.
+type simulation struct {
+	options         Options
+	random          *rand.Rand
+	nowMS           float64 // simulated time
+	sequence        int     // of the last scheduled event; also makes the callers of commands unique
+	queue           eventQueue
+	voters          []*voter
+	agents          []*simAgent
+	schedulers      []*simScheduler
+	result          Result
+	checksum        uint32            // CRC-32 of the events traced so far
+	disconnected    map[string]bool   // processes ("v1", "a0") that can neither send nor receive
+	lossProbability float64           // of each message
+	initialVoters   map[uint64]string // names by id
+	lastVoterID     uint64            // the last id given to a replacement
+	recordChecksums map[uint64]uint32 // by command number: CRC-32 of the record after that command
+	acknowledged    map[string]uint64 // by caller: the number of a command that was acknowledged
+	faultsEnded     bool
+	diskFaultVoter  int           // index of the one voter whose disk may become faulty
+	diskFaulty      bool          // its disk has become faulty and the voter was not replaced since
+	voterStarts     uint64        // starts of all voters so far, to tell one start from another
+	notifiedCommand uint64        // number of the newest command that agents were woken for
+	recordCopy      *fleet.Record // the copy that sharedCopy last made
+	copiedRecord    *fleet.Record // the record that it was made of
+	ops             *operations   // nil without Options.Ops
+	leaseTermMS     float64       // by seed either shorter or longer than a leader election takes
 }
 
 const (
-	step = 50.0 // between two looks of an agent at its duties
-	soon = 5.0  // after news
+	agentTickMS            = 50.0    // between two updates of each process
+	wakeDelayMS            = 5.0     // from news (a new record, an answer) to an extra update of an agent
+	startupMS              = 3000.0  // from the start of a run to the first fault, worker change and operation
+	recoveryMS             = 30000.0 // added to the time without faults at the end of a run
+	afterOperationMS       = 15000.0 // that a run goes on after its operation has ended
+	memberStepsMS          = 6000.0  // allowed for taking one member out and back again
+	resubmitMS             = 300.0   // between two attempts to submit a command
+	replaceRetryMS         = 500.0   // between two attempts to put a replacement voter on record
+	replacementStartMS     = 2000.0  // from noticing that a voter has lost data to the start of its replacement
+	agentCommandTimeoutMS  = 3000.0
+	changeTimeoutMS        = 8000.0 // of a command to take a worker out or in
+	schedulerCallTimeoutMS = 1000.0
+	noTimeoutMS            = 1e9 // longer than any run
+
+	maxRegisteredAgents = 300 // agents beyond that are not put on record
 )
 
-// Play plays one run. The agreement draws its times from the system's own source of chance, which stands for the time of
-// the run under the seed as well: so one process plays one run at a time.
-func Play(o Options) *Result {
-	own := cryptorand.Reader
+// Play simulates one run and returns its result. The raft library draws its election timeouts from crypto/rand.Reader,
+// which is replaced by a generator seeded with Options.Seed for the duration of the run: a process can therefore simulate
+// only one run at a time.
+func Play(options Options) *Result {
+	systemRandom := cryptorand.Reader
 	var seed [32]byte
-	binary.BigEndian.PutUint64(seed[:], o.Seed)
+	binary.BigEndian.PutUint64(seed[:], options.Seed)
 	cryptorand.Reader = rand.NewChaCha8(seed)
-	defer func() { cryptorand.Reader = own }()
-	w := &world{o: o, r: rand.New(rand.NewPCG(o.Seed, 11)), cut: map[string]bool{}, first: map[uint64]string{},
-		applied: map[uint64]uint32{}, yes: map[string]uint64{}, nextID: 100}
-	if w.term = 1000; o.Seed%4 < 2 {
-		w.term = 4000
-	}
-	for i := range o.Voters {
-		w.first[uint64(i+1)] = fmt.Sprint("v", i+1)
-	}
-	for i := range o.Voters {
-		v := &voter{id: uint64(i + 1), disk: quorum.NewMemory(), clock: w.clock(), waits: map[string]func(fleet.Answer){}}
-		w.voters = append(w.voters, v)
-		w.open(v)
-	}
-	for i := range o.Agents {
-		a := &owner{id: fmt.Sprint("a", i), zone: []string{"a", "b", "c"}[i%3], clock: w.clock()}
-		w.owners = append(w.owners, a)
-		w.begin(a)
-	}
-	for i := range o.Schedulers {
-		w.targets = append(w.targets, &target{Member: fleet.Member{ID: fmt.Sprint("s", i), Kind: "scheduler",
-			Zone: []string{"a", "b"}[i%2], Addr: fmt.Sprint("s", i)}, high: map[string]uint64{}, out: map[string]string{}, last: map[string]uint64{}})
-	}
-	if o.Ops {
-		w.ops = newMachines(w)
-		w.ops.init()
-	}
-	w.victim = w.r.IntN(o.Voters)
-	w.members()
-	w.later(0, w.tick)
-	if !o.Calm {
-		w.later(3000, w.fault)
-	}
-	w.later(3000, w.client)
-	for len(w.queue) > 0 && len(w.got.Breaks) == 0 {
-		e := heap.Pop(&w.queue).(event)
-		if w.now = e.at; w.now > w.most() || w.ops != nil && w.ops.ended > 0 && w.now > w.ops.ended+15000 {
+	defer func() { cryptorand.Reader = systemRandom }()
+	sim := &simulation{options: options, random: rand.New(rand.NewPCG(options.Seed, 11)), disconnected: map[string]bool{},
+		initialVoters: map[uint64]string{}, recordChecksums: map[uint64]uint32{}, acknowledged: map[string]uint64{}, lastVoterID: 100}
+	if sim.leaseTermMS = 1000; options.Seed%4 < 2 {
+		sim.leaseTermMS = 4000
+	}
+	for i := range options.Voters {
+		sim.initialVoters[uint64(i+1)] = fmt.Sprint("v", i+1)
+	}
+	for i := range options.Voters {
+		v := &voter{id: uint64(i + 1), disk: quorum.NewMemory(), clock: sim.newClock(), pendingAnswers: map[string]func(fleet.Answer){}}
+		sim.voters = append(sim.voters, v)
+		sim.openVoter(v)
+	}
+	for i := range options.Agents {
+		agent := &simAgent{id: fmt.Sprint("a", i), zone: []string{"a", "b", "c"}[i%3], clock: sim.newClock()}
+		sim.agents = append(sim.agents, agent)
+		sim.startAgent(agent)
+	}
+	for i := range options.Schedulers {
+		sim.schedulers = append(sim.schedulers, &simScheduler{Member: fleet.Member{ID: fmt.Sprint("s", i), Kind: "scheduler",
+			Zone: []string{"a", "b"}[i%2], Addr: fmt.Sprint("s", i)}, highestFence: map[string]uint64{}, outWorkers: map[string]string{},
+			lastChange: map[string]uint64{}})
+	}
+	if options.Ops {
+		sim.ops = newOperations(sim)
+		sim.ops.initialize()
+	}
+	sim.diskFaultVoter = sim.random.IntN(options.Voters)
+	sim.registerMembers()
+	sim.schedule(0, sim.tick)
+	if !options.Calm {
+		sim.schedule(startupMS, sim.injectFault)
+	}
+	sim.schedule(startupMS, sim.changeWorkers)
+	for len(sim.queue) > 0 && len(sim.result.Breaks) == 0 {
+		e := heap.Pop(&sim.queue).(event)
+		if sim.nowMS = e.atMS; sim.nowMS > sim.maxDurationMS() ||
+			sim.ops != nil && sim.ops.endedMS > 0 && sim.nowMS > sim.ops.endedMS+afterOperationMS {
 			break
 		}
-		if !w.healed && w.now > 3000+o.For {
-			w.heal()
+		if !sim.faultsEnded && sim.nowMS > startupMS+options.For {
+			sim.endFaults()
 		}
-		e.do()
+		e.run()
 	}
-	w.end()
-	if w.ops != nil {
-		w.got.Calls, w.got.Most, w.got.Ended, w.got.Least = w.ops.Calls, w.ops.Most, w.ops.ended, w.ops.least()
+	sim.checkFinalState()
+	if sim.ops != nil {
+		sim.result.Calls, sim.result.Most = sim.ops.agentCalls, sim.ops.maxOut
+		sim.result.Ended, sim.result.Least = sim.ops.endedMS, sim.ops.lowerBoundMS()
 	}
-	w.got.Digest = w.log
-	return &w.got
+	sim.result.Digest = sim.checksum
+	return &sim.result
 }
 
-// most is how long a run may go on after its faults.
-func (w *world) most() float64 {
-	most := 3000 + 2*w.o.For + 30000
-	if w.ops != nil { // one after the other, there and back, at worst
-		most += 6000*float64(min(len(w.targets), 40)+len(w.ops.workers)) + w.ops.want.WaveMost // a wave may use up its time first
+// maxDurationMS returns the simulated time, in ms, at which a run ends at the latest.
+func (sim *simulation) maxDurationMS() float64 {
+	maxMS := startupMS + 2*sim.options.For + recoveryMS
+	if sim.ops != nil {
+		// In the worst case members are taken out and brought back one after the other, after a wave has used up its time limit.
+		maxMS += memberStepsMS*float64(min(len(sim.schedulers), 40)+len(sim.ops.workers)) + sim.ops.requested.WaveMost
 	}
-	return most
+	return maxMS
 }
 
-func (w *world) clock() clock {
-	return clock{0.9 + 0.2*w.r.Float64(), 1e6 * w.r.Float64()}
+// newClock draws a clock that is at most 10 % fast or slow.
+func (sim *simulation) newClock() clock {
+	return clock{0.9 + 0.2*sim.random.Float64(), 1e6 * sim.random.Float64()}
 }
 
-func (w *world) later(ms float64, do func()) {
-	w.turn++
-	heap.Push(&w.queue, event{w.now + ms, w.turn, do})
+// schedule has run called after delayMS of simulated time.
+func (sim *simulation) schedule(delayMS float64, run func()) {
+	sim.sequence++
+	heap.Push(&sim.queue, event{sim.nowMS + delayMS, sim.sequence, run})
 }
 
-func (w *world) note(format string, args ...any) {
-	w.log = crc32.Update(w.log, crc32.IEEETable, fmt.Appendf(nil, "%.3f "+format, append([]any{w.now}, args...)...))
+// traceEvent adds an event and its time to the run's digest.
+func (sim *simulation) traceEvent(format string, args ...any) {
+	sim.checksum = crc32.Update(sim.checksum, crc32.IEEETable, fmt.Appendf(nil, "%.3f "+format, append([]any{sim.nowMS}, args...)...))
 }
 
-func (w *world) broke(format string, args ...any) {
-	w.got.Breaks = append(w.got.Breaks, fmt.Sprintf("%.0f ms: ", w.now)+fmt.Sprintf(format, args...))
+// reportViolation adds a violated invariant to the result, which ends the run.
+func (sim *simulation) reportViolation(format string, args ...any) {
+	sim.result.Breaks = append(sim.result.Breaks, fmt.Sprintf("%.0f ms: ", sim.nowMS)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) open(v *voter) {
-	w.starts++
-	n, err := quorum.Open(quorum.Options{ID: v.id, Voters: w.first, Join: v.join, Replaces: v.replace, Disk: v.disk,
-		Start: w.starts, Bug: w.o.Bug})
-	if v.node, v.kept = n, nil; err != nil {
-		w.broke("voter %d does not start: %v", v.id, err)
+// openVoter starts a voter from what its disk has.
+func (sim *simulation) openVoter(v *voter) {
+	sim.voterStarts++
+	node, err := quorum.Open(quorum.Options{ID: v.id, Voters: sim.initialVoters, Join: v.joining, Replaces: v.replacedID, Disk: v.disk,
+		Start: sim.voterStarts, Bug: sim.options.Bug})
+	if v.node, v.heldMessages = node, nil; err != nil {
+		sim.reportViolation("voter %d does not start: %v", v.id, err)
 	}
 }
 
-func (w *world) begin(a *owner) {
-	a.start++
-	a.up, a.rec, a.has, a.busy = true, fleet.NewRecord(), map[string]*charge{}, map[string]bool{}
-	a.duty = fleet.NewDuty(a.id, fmt.Sprint(a.start), w.term)
-	a.duty.Hurry = w.o.Bug == "new-leader-hurries"
-	if w.ops != nil && len(w.ops.all) > 0 {
-		w.ops.start(a)
+// startAgent starts an agent, which then owns nothing and has an empty record.
+func (sim *simulation) startAgent(agent *simAgent) {
+	agent.startCount++
+	agent.up, agent.record, agent.owned, agent.commandPending = true, fleet.NewRecord(), map[string]*ownership{}, map[string]bool{}
+	agent.duty = fleet.NewDuty(agent.id, fmt.Sprint(agent.startCount), sim.leaseTermMS)
+	agent.duty.Hurry = sim.options.Bug == "new-leader-hurries"
+	if sim.ops != nil && len(sim.ops.hosts) > 0 {
+		sim.ops.restoreAgent(agent)
 	}
 }
 
-// members puts all on record, from the lab's own hand.
-func (w *world) members() {
-	var all []fleet.Member
-	for _, a := range w.owners[:min(len(w.owners), 300)] {
-		all = append(all, fleet.Member{ID: a.id, Kind: "agent", Zone: a.zone, Addr: a.id})
+// registerMembers submits the commands that put agents, schedulers and workers on record.
+func (sim *simulation) registerMembers() {
+	var members []fleet.Member
+	for _, agent := range sim.agents[:min(len(sim.agents), maxRegisteredAgents)] {
+		members = append(members, fleet.Member{ID: agent.id, Kind: "agent", Zone: agent.zone, Addr: agent.id})
 	}
-	for _, t := range w.targets {
-		all = append(all, t.Member)
+	for _, scheduler := range sim.schedulers {
+		members = append(members, scheduler.Member)
 	}
-	if w.ops != nil {
-		for _, id := range slices.Sorted(maps.Keys(w.ops.workers)) {
-			x := w.ops.workers[id]
-			all = append(all, fleet.Member{ID: id, Kind: "worker", Zone: x.zone, Addr: "worker/" + id, Agent: x.a.id, Capacity: 1})
+	if sim.ops != nil {
+		for _, id := range slices.Sorted(maps.Keys(sim.ops.workers)) {
+			worker := sim.ops.workers[id]
+			members = append(members, fleet.Member{ID: id, Kind: "worker", Zone: worker.zone, Addr: "worker/" + id,
+				Agent: worker.agent.id, Capacity: 1})
 		}
 	}
-	for _, m := range all {
-		w.ask("lab", fleet.Command{Caller: "lab" + m.ID, Number: 1, Do: "member", Member: &m}, 1e9, func(fleet.Answer) {})
+	for _, member := range members {
+		sim.submit("lab", fleet.Command{Caller: "lab" + member.ID, Number: 1, Do: "member", Member: &member}, noTimeoutMS,
+			func(fleet.Answer) {})
 	}
 }
 
-// link tells whether something gets through, and how long it takes.
-func (w *world) link(from, to string) (ms float64, ok bool) {
-	if w.cut[from] || w.cut[to] || w.r.Float64() < w.loss {
+// drawDelay draws whether a message from one process to another is delivered, and after how many ms.
+func (sim *simulation) drawDelay(from, to string) (delayMS float64, delivered bool) {
+	if sim.disconnected[from] || sim.disconnected[to] || sim.random.Float64() < sim.lossProbability {
 		return 0, false
 	}
-	ms = 0.2 + 2*w.r.Float64()
-	if w.loss > 0 && w.r.IntN(20) == 0 {
-		ms += 4000 * w.r.Float64() // it lay somewhere
+	delayMS = 0.2 + 2*sim.random.Float64()
+	if sim.lossProbability > 0 && sim.random.IntN(20) == 0 {
+		delayMS += 4000 * sim.random.Float64() // while messages get lost, 1 in 20 is held up in the network
 	}
-	return ms, true
+	return delayMS, true
 }
 
-// ask sends a command to whoever leads, again until something comes of it or its time is over.
-func (w *world) ask(from string, c fleet.Command, most float64, then func(fleet.Answer)) {
-	c.V = fleet.FormOf(&c)
-	raw, _ := json.Marshal(c)
-	key, over, until := fmt.Sprint(c.Caller, " ", c.Number), false, w.now+most
-	var try func()
-	try = func() {
-		if over || w.now > until {
+// submit sends a command to every voter that takes itself for the leader, and again every resubmitMS until an answer has
+// come or timeoutMS is over. onAnswer is called once, or never.
+func (sim *simulation) submit(from string, command fleet.Command, timeoutMS float64, onAnswer func(fleet.Answer)) {
+	command.V = fleet.FormOf(&command)
+	raw, _ := json.Marshal(command)
+	key, answered, untilMS := fmt.Sprint(command.Caller, " ", command.Number), false, sim.nowMS+timeoutMS
+	var attempt func()
+	attempt = func() {
+		if answered || sim.nowMS > untilMS {
 			return
 		}
-		for _, v := range w.voters {
+		for _, v := range sim.voters {
 			if _, leads := v.node.Leader(); !leads || v.node.Err() != nil {
 				continue
 			}
-			if ms, ok := w.link(from, fmt.Sprint("v", v.id)); ok {
+			if delayMS, ok := sim.drawDelay(from, fmt.Sprint("v", v.id)); ok {
 				node := v.node
-				w.later(ms, func() {
-					if v.node != node || v.still > w.now {
+				sim.schedule(delayMS, func() {
+					if v.node != node || v.pausedUntilMS > sim.nowMS {
 						return
 					}
-					v.waits[key] = func(a fleet.Answer) {
-						if ms, ok := w.link(fmt.Sprint("v", v.id), from); ok {
-							w.later(ms, func() {
-								if !over {
-									over = true
-									then(a)
+					v.pendingAnswers[key] = func(answer fleet.Answer) {
+						if delayMS, ok := sim.drawDelay(fmt.Sprint("v", v.id), from); ok {
+							sim.schedule(delayMS, func() {
+								if !answered {
+									answered = true
+									onAnswer(answer)
 								}
 							})
 						}
 					}
-					_ = node.Propose(v.clock.at(w.now), raw)
-					w.work(v)
+					_ = node.Propose(v.clock.read(sim.nowMS), raw)
+					sim.advanceVoter(v)
 				})
 			}
 		}
-		w.later(300, try)
+		sim.schedule(resubmitMS, attempt)
 	}
-	try()
+	attempt()
 }
 
-// tick has every process do what is due.
-func (w *world) tick() {
-	for _, v := range w.voters {
-		if v.still <= w.now {
-			for _, l := range v.kept {
-				_ = v.node.Step(v.clock.at(w.now), l)
+// tick updates every process and checks the invariants.
+func (sim *simulation) tick() {
+	for _, v := range sim.voters {
+		if v.pausedUntilMS <= sim.nowMS {
+			for _, message := range v.heldMessages {
+				_ = v.node.Step(v.clock.read(sim.nowMS), message)
 			}
-			v.kept = nil
+			v.heldMessages = nil
 			_ = v.node.Tick()
-			w.work(v)
+			sim.advanceVoter(v)
 		}
-		if v.node.Behind() && !v.going {
-			w.replace(v)
+		if v.node.Behind() && !v.replacementPending {
+			sim.replaceVoter(v)
 		}
 	}
-	lead := w.leader()
-	if w.ops != nil {
-		if w.ops.tick(); w.healed && lead != nil && w.ops.ended == 0 {
-			w.ops.settle(lead.node.Record)
+	leader := sim.leader()
+	if sim.ops != nil {
+		if sim.ops.tick(); sim.faultsEnded && leader != nil && sim.ops.endedMS == 0 {
+			sim.ops.finishOperations(leader.node.Record)
 		}
 	}
-	for i, a := range w.owners {
-		// A tenth of them asks at each tick, those that own something always.
-		if len(a.has) > 0 || w.ops != nil || i%10 == int(w.now/step)%10 {
-			w.sees(a, lead)
+	for i, agent := range sim.agents {
+		// In runs without operations an agent that owns nothing is updated at every tenth tick only.
+		if len(agent.owned) > 0 || sim.ops != nil || i%10 == int(sim.nowMS/agentTickMS)%10 {
+			sim.updateAgent(agent, leader)
 		}
 	}
-	w.judge()
-	w.later(step, w.tick)
+	sim.checkInvariants()
+	sim.schedule(agentTickMS, sim.tick)
 }
 
-// sees has an agent hear the record and do what is due.
-func (w *world) sees(a *owner, lead *voter) {
-	if !a.up || a.still > w.now {
+// updateAgent gives an agent the leader's record, if it is connected, and has it do what is due.
+func (sim *simulation) updateAgent(agent *simAgent, leader *voter) {
+	if !agent.up || agent.pausedUntilMS > sim.nowMS {
 		return
 	}
-	if lead != nil && !w.cut[a.id] && lead.still <= w.now && a.rec.No != lead.node.Record.No {
-		a.rec = w.copy(lead.node.Record) // one that is cut off goes on with what it heard last
+	if leader != nil && !sim.disconnected[agent.id] && leader.pausedUntilMS <= sim.nowMS &&
+		agent.record.No != leader.node.Record.No {
+		agent.record = sim.sharedCopy(leader.node.Record) // a disconnected agent goes on with the record it read last
 	}
-	if w.duties(a); w.ops != nil {
-		w.ops.agent(a)
+	if sim.runDuties(agent); sim.ops != nil {
+		sim.ops.superviseProcesses(agent)
 	}
 }
 
-// stir has an agent do so soon, as agent.Agent does after news.
-func (w *world) stir(a *owner) {
-	if !a.stirs {
-		a.stirs = true
-		w.later(soon, func() {
-			a.stirs = false
-			w.sees(a, w.leader())
+// wakeAgent schedules an extra update of an agent after wakeDelayMS, as agent.Agent does when it has heard something new.
+func (sim *simulation) wakeAgent(agent *simAgent) {
+	if !agent.wakeScheduled {
+		agent.wakeScheduled = true
+		sim.schedule(wakeDelayMS, func() {
+			agent.wakeScheduled = false
+			sim.updateAgent(agent, sim.leader())
 		})
 	}
 }
 
-// copy is the record as it is now, one copy for all who hear it.
-func (w *world) copy(r *fleet.Record) *fleet.Record {
-	if w.heard == nil || w.heardOf != r || w.heard.No != r.No {
-		w.heard, w.heardOf = r.Clone(), r
+// sharedCopy returns a copy of the record as it is now. Agents that read the same state share one copy.
+func (sim *simulation) sharedCopy(record *fleet.Record) *fleet.Record {
+	if sim.recordCopy == nil || sim.copiedRecord != record || sim.recordCopy.No != record.No {
+		sim.recordCopy, sim.copiedRecord = record.Clone(), record
 	}
-	return w.heard
+	return sim.recordCopy
 }
 
-func (w *world) leader() *voter {
-	for _, v := range w.voters {
-		if _, leads := v.node.Leader(); leads && v.node.Err() == nil && v.still <= w.now {
+// leader returns the first voter that takes itself for the leader, has not stopped and is not paused, nil if there is none.
+func (sim *simulation) leader() *voter {
+	for _, v := range sim.voters {
+		if _, leads := v.node.Leader(); leads && v.node.Err() == nil && v.pausedUntilMS <= sim.nowMS {
 			return v
 		}
 	}
 	return nil
 }
 
-func (w *world) work(v *voter) {
-	if err := v.node.Work(v.clock.at(w.now)); err != nil && !v.node.Behind() && !errors.Is(err, quorum.ErrReplaced) {
-		w.broke("voter %d stopped: %v", v.id, err)
+// advanceVoter has a voter write to its disk and apply commands, sends its messages, wakes the agents that own something
+// when its record has changed, and passes on the answers to commands.
+func (sim *simulation) advanceVoter(v *voter) {
+	if err := v.node.Work(v.clock.read(sim.nowMS)); err != nil && !v.node.Behind() && !errors.Is(err, quorum.ErrReplaced) {
+		sim.reportViolation("voter %d stopped: %v", v.id, err)
 	}
-	for l, ok := v.node.NextLetter(); ok; l, ok = v.node.NextLetter() {
-		w.got.Letters++
-		if ms, ok := w.link(fmt.Sprint("v", l.From), fmt.Sprint("v", l.To)); ok {
-			w.later(ms, func() { w.deliver(l) })
+	for message, ok := v.node.NextLetter(); ok; message, ok = v.node.NextLetter() {
+		sim.result.Letters++
+		if delayMS, ok := sim.drawDelay(fmt.Sprint("v", message.From), fmt.Sprint("v", message.To)); ok {
+			sim.schedule(delayMS, func() { sim.deliver(message) })
 		}
 	}
-	if _, leads := v.node.Leader(); leads && v.node.Record.No > w.newsNo {
-		w.newsNo = v.node.Record.No
-		for _, a := range w.owners {
-			if len(a.has) > 0 && !w.cut[a.id] {
-				w.stir(a)
+	if _, leads := v.node.Leader(); leads && v.node.Record.No > sim.notifiedCommand {
+		sim.notifiedCommand = v.node.Record.No
+		for _, agent := range sim.agents {
+			if len(agent.owned) > 0 && !sim.disconnected[agent.id] {
+				sim.wakeAgent(agent)
 			}
 		}
 	}
-	for d, ok := v.node.NextDone(); ok; d, ok = v.node.NextDone() {
-		key := fmt.Sprint(d.Caller, " ", d.Number)
-		if then := v.waits[key]; then != nil {
-			delete(v.waits, key)
-			then(d.Answer)
+	for done, ok := v.node.NextDone(); ok; done, ok = v.node.NextDone() {
+		key := fmt.Sprint(done.Caller, " ", done.Number)
+		if onAnswer := v.pendingAnswers[key]; onAnswer != nil {
+			delete(v.pendingAnswers, key)
+			onAnswer(done.Answer)
 		}
 	}
 }
 
-func (w *world) deliver(l quorum.Letter) {
-	for _, v := range w.voters {
+// deliver hands a message to the voter that it is addressed to. One for a voter that was replaced is dropped; but if it asks
+// what that voter has seen acknowledged, the process of the replacement answers in its name that it has lost data, and who
+// votes now.
+func (sim *simulation) deliver(message quorum.Letter) {
+	for _, v := range sim.voters {
 		switch {
-		case v.id == l.To && v.still > w.now:
-			v.kept = append(v.kept, l)
-		case v.id == l.To:
-			_ = v.node.Step(v.clock.at(w.now), l)
-			w.work(v)
-		case l.Ask != 0 && l.To == v.replace:
-			w.deliver(quorum.Letter{From: l.To, To: l.From, Told: l.Ask, Behind: true, Voters: v.node.Record.Voters,
+		case v.id == message.To && v.pausedUntilMS > sim.nowMS:
+			v.heldMessages = append(v.heldMessages, message)
+		case v.id == message.To:
+			_ = v.node.Step(v.clock.read(sim.nowMS), message)
+			sim.advanceVoter(v)
+		case message.Ask != 0 && message.To == v.replacedID:
+			sim.deliver(quorum.Letter{From: message.To, To: message.From, Told: message.Ask, Behind: true, Voters: v.node.Record.Voters,
 				VotersNo: v.node.Record.VotersNo})
 		}
 	}
 }
 
-// duties is an agent's work, as agent.Agent does it.
-func (w *world) duties(a *owner) {
-	now := a.clock.at(w.now)
-	for _, name := range slices.Sorted(maps.Keys(a.has)) {
-		c := a.has[name]
-		if !c.hold.Holds(now) || c.passed() || a.rec.Matters[name].Fence > c.hold.Fence {
-			w.note("lost %s %s", a.id, name)
-			delete(a.has, name)
+// runDuties does an agent's work for the matters that it owns, and claims or passes on others, as agent.Agent does.
+func (sim *simulation) runDuties(agent *simAgent) {
+	localNowMS := agent.clock.read(sim.nowMS)
+	for _, matterName := range slices.Sorted(maps.Keys(agent.owned)) {
+		owned := agent.owned[matterName]
+		if !owned.lease.Holds(localNowMS) || owned.superseded() || agent.record.Matters[matterName].Fence > owned.lease.Fence {
+			sim.traceEvent("lost %s %s", agent.id, matterName)
+			delete(agent.owned, matterName)
 			continue
 		}
-		if m := a.rec.Matters[name]; m.Wanted != "" && m.Wanted != a.id && m.Owner == a.duty.Owner {
-			if c.calls == 0 && !a.busy[name] {
-				delete(a.has, name)
-				w.send(a, name, fleet.Command{Do: "leave", Matter: name, Owner: a.duty.Owner, Fence: c.hold.Fence}, nil)
+		if matter := agent.record.Matters[matterName]; matter.Wanted != "" && matter.Wanted != agent.id && matter.Owner == agent.duty.Owner {
+			if owned.openCalls == 0 && !agent.commandPending[matterName] {
+				delete(agent.owned, matterName)
+				sim.sendCommand(agent, matterName, fleet.Command{Do: "leave", Matter: matterName, Owner: agent.duty.Owner,
+					Fence: owned.lease.Fence}, nil)
 			}
 			continue
 		}
-		if c.carrier != nil {
-			if c.carrier.Follow(now, a.rec); c.carrier.Over() && a.rec.Matters[name].Owner == a.duty.Owner {
-				if !a.busy[name] {
-					delete(a.has, name)
-					w.send(a, name, fleet.Command{Do: "leave", Matter: name, Owner: a.duty.Owner, Fence: c.hold.Fence}, nil)
+		if owned.operationRunner != nil {
+			if owned.operationRunner.Follow(localNowMS, agent.record); owned.operationRunner.Over() &&
+				agent.record.Matters[matterName].Owner == agent.duty.Owner {
+				if !agent.commandPending[matterName] {
+					delete(agent.owned, matterName)
+					sim.sendCommand(agent, matterName, fleet.Command{Do: "leave", Matter: matterName, Owner: agent.duty.Owner,
+						Fence: owned.lease.Fence}, nil)
 				}
 				continue
 			}
 		} else {
-			c.teller.Follow(now, a.rec, c.zone)
+			owned.notifier.Follow(localNowMS, agent.record, owned.zone)
 		}
-		if !a.busy[name] && c.hold.NextRenewal(now, c.teller != nil && c.teller.Urgent()) {
-			renewal := fleet.Command{Do: "renew", Matter: name, Owner: a.duty.Owner, Fence: c.hold.Fence}
-			if c.teller != nil {
-				var whole bool
-				if renewal.Seen, whole = c.teller.Report(now); whole {
+		if !agent.commandPending[matterName] && owned.lease.NextRenewal(localNowMS, owned.notifier != nil && owned.notifier.Urgent()) {
+			renewal := fleet.Command{Do: "renew", Matter: matterName, Owner: agent.duty.Owner, Fence: owned.lease.Fence}
+			if owned.notifier != nil {
+				var complete bool
+				if renewal.Seen, complete = owned.notifier.Report(localNowMS); complete {
 					renewal.To = fleet.Whole
 				}
 			}
-			w.send(a, name, renewal,
-				func(got fleet.Answer) { c.hold.Renewed(got.Done) })
+			sim.sendCommand(agent, matterName, renewal,
+				func(answer fleet.Answer) { owned.lease.Renewed(answer.Done) })
 		}
-		if c.carrier != nil {
-			w.ops.carries(a, now, name, c)
+		if owned.operationRunner != nil {
+			sim.ops.driveOperation(agent, localNowMS, matterName, owned)
 			continue
 		}
-		for call, ok := c.teller.Next(now); ok; call, ok = c.teller.Next(now) {
-			w.call(a, c, call)
-		}
-	}
-	if c, ok := a.duty.NextClaim(now, a.rec, w.absent()); ok && a.has[c.Matter] == nil && !a.busy[c.Matter] {
-		w.send(a, c.Matter, c, func(got fleet.Answer) {
-			if got.Done {
-				w.note("owned %s %s %d", a.id, c.Matter, got.Fence)
-				w.got.Owners++
-				h := fleet.Held(now, got.Fence, w.term)
-				for _, o := range w.owners {
-					// One that stood still may learn of its claim when its term is over: it holds nothing then.
-					if !h.Holds(a.clock.at(w.now)) {
+		for call, ok := owned.notifier.Next(localNowMS); ok; call, ok = owned.notifier.Next(localNowMS) {
+			sim.callScheduler(agent, owned, call)
+		}
+	}
+	if command, ok := agent.duty.NextClaim(localNowMS, agent.record, sim.absentAgents()); ok && agent.owned[command.Matter] == nil &&
+		!agent.commandPending[command.Matter] {
+		sim.sendCommand(agent, command.Matter, command, func(answer fleet.Answer) {
+			if answer.Done {
+				sim.traceEvent("owned %s %s %d", agent.id, command.Matter, answer.Fence)
+				sim.result.Owners++
+				lease := fleet.Held(localNowMS, answer.Fence, sim.leaseTermMS)
+				for _, other := range sim.agents {
+					// An agent that was paused may learn that its claim succeeded only after the lease has run out: it
+					// holds nothing then, and there is no conflict.
+					if !lease.Holds(agent.clock.read(sim.nowMS)) {
 						break
 					}
-					if h := o.has[c.Matter]; o != a && o.up && o.still <= w.now && h != nil && h.hold.Holds(o.clock.at(w.now)) {
-						w.broke("%s claimed %s, and %s still held it", a.id, c.Matter, o.id)
+					if otherOwned := other.owned[command.Matter]; other != agent && other.up && other.pausedUntilMS <= sim.nowMS &&
+						otherOwned != nil && otherOwned.lease.Holds(other.clock.read(sim.nowMS)) {
+						sim.reportViolation("%s claimed %s, and %s still held it", agent.id, command.Matter, other.id)
 					}
 				}
-				own := &charge{hold: h}
-				if id, isOp := strings.CutPrefix(c.Matter, "op/"); isOp {
-					own.carrier = fleet.NewCarrier(id, a.duty.Owner, got.Fence)
-					own.carrier.Bug = w.o.Bug
+				newOwned := &ownership{lease: lease}
+				if id, isOp := strings.CutPrefix(command.Matter, "op/"); isOp {
+					newOwned.operationRunner = fleet.NewCarrier(id, agent.duty.Owner, answer.Fence)
+					newOwned.operationRunner.Bug = sim.options.Bug
 				} else {
-					own.teller, own.zone = fleet.NewTeller(c.Matter, got.Fence), c.Matter[len("zone/"):]
-					if own.teller.Bug = w.o.Bug; w.ops != nil {
-						own.teller.Holds = func(i fleet.Intent) bool { return w.ops.doers[a.id].Holds(a.rec, i) }
+					newOwned.notifier, newOwned.zone = fleet.NewTeller(command.Matter, answer.Fence), command.Matter[len("zone/"):]
+					if newOwned.notifier.Bug = sim.options.Bug; sim.ops != nil {
+						newOwned.notifier.Holds = func(intent fleet.Intent) bool {
+							return sim.ops.stepExecutors[agent.id].Holds(agent.record, intent)
+						}
 					}
 				}
-				a.has[c.Matter] = own
+				agent.owned[command.Matter] = newOwned
 			}
 		})
 	}
-	if c, ok := a.duty.NextPass(now, a.rec, w.absent()); ok && !a.busy[c.Matter] {
-		w.send(a, c.Matter, c, nil)
+	if command, ok := agent.duty.NextPass(localNowMS, agent.record, sim.absentAgents()); ok && !agent.commandPending[command.Matter] {
+		sim.sendCommand(agent, command.Matter, command, nil)
 	}
 }
 
-func (w *world) absent() map[string]bool {
+// absentAgents returns the agents that are down, disconnected or paused. It stands for what a leader tells agents about
+// those it has not heard from.
+func (sim *simulation) absentAgents() map[string]bool {
 	gone := map[string]bool{}
-	for _, a := range w.owners {
-		if !a.up || w.cut[a.id] || a.still > w.now {
-			gone[a.id] = true
+	for _, agent := range sim.agents {
+		if !agent.up || sim.disconnected[agent.id] || agent.pausedUntilMS > sim.nowMS {
+			gone[agent.id] = true
 		}
 	}
 	return gone
 }
 
-func (w *world) send(a *owner, name string, c fleet.Command, then func(fleet.Answer)) {
-	a.number++
-	start := a.start
-	c.Caller, c.Number, a.busy[name] = fmt.Sprint(a.duty.Owner, "/", name), a.number, true
-	w.later(3000, func() {
-		if a.start == start {
-			delete(a.busy, name) // nobody said what came of it
+// sendCommand submits an agent's command. Until it is answered or has timed out, commandPending is true for matterName.
+// onAnswer may be nil; it is not called if the agent was restarted in between.
+func (sim *simulation) sendCommand(agent *simAgent, matterName string, command fleet.Command, onAnswer func(fleet.Answer)) {
+	agent.lastCommandNumber++
+	startCount := agent.startCount
+	command.Caller, command.Number = fmt.Sprint(agent.duty.Owner, "/", matterName), agent.lastCommandNumber
+	agent.commandPending[matterName] = true
+	sim.schedule(agentCommandTimeoutMS, func() {
+		if agent.startCount == startCount {
+			delete(agent.commandPending, matterName) // no answer came: the command may or may not have been applied
 		}
 	})
-	w.ask(a.id, c, 3000, func(got fleet.Answer) {
-		if a.start != start || !a.up {
+	sim.submit(agent.id, command, agentCommandTimeoutMS, func(answer fleet.Answer) {
+		if agent.startCount != startCount || !agent.up {
 			return
 		}
-		do := func() {
-			if a.start == start {
-				delete(a.busy, name)
-				if then != nil {
-					then(got)
+		handle := func() {
+			if agent.startCount == startCount {
+				delete(agent.commandPending, matterName)
+				if onAnswer != nil {
+					onAnswer(answer)
 				}
-				w.stir(a)
+				sim.wakeAgent(agent)
 			}
 		}
-		if a.still > w.now {
-			w.later(a.still-w.now+1, do) // it reads it when it wakes
+		if agent.pausedUntilMS > sim.nowMS {
+			sim.schedule(agent.pausedUntilMS-sim.nowMS+1, handle) // a paused agent reads the answer when the pause is over
 			return
 		}
-		do()
+		handle()
 	})
 }
 
-// call is one at a scheduler: what it says is decided when it comes there, however late.
-func (w *world) call(a *owner, c *charge, call fleet.Call) {
-	start := a.start
-	c.calls++
+// callScheduler makes a call at a scheduler. The reply is decided when the call arrives there, however late that is.
+func (sim *simulation) callScheduler(agent *simAgent, owned *ownership, call fleet.Call) {
+	startCount := agent.startCount
+	owned.openCalls++
 	answered := false
-	answer := func(r fleet.Reply) {
-		if !answered && a.start == start && a.up {
+	answer := func(reply fleet.Reply) {
+		if !answered && agent.startCount == startCount && agent.up {
 			answered = true
-			c.calls--
-			c.teller.Answered(a.clock.at(w.now), call, r)
-			w.stir(a)
+			owned.openCalls--
+			owned.notifier.Answered(agent.clock.read(sim.nowMS), call, reply)
+			sim.wakeAgent(agent)
 		}
 	}
-	w.later(1000, func() { answer(fleet.Reply{Why: "no answer"}) })
-	ms, ok := w.link(a.id, call.To.ID)
+	sim.schedule(schedulerCallTimeoutMS, func() { answer(fleet.Reply{Why: "no answer"}) })
+	delayMS, ok := sim.drawDelay(agent.id, call.To.ID)
 	if !ok {
 		return
 	}
-	w.later(ms, func() {
-		for _, t := range w.targets {
-			if t.ID != call.To.ID {
+	sim.schedule(delayMS, func() {
+		for _, scheduler := range sim.schedulers {
+			if scheduler.ID != call.To.ID {
 				continue
 			}
-			r := w.taken(t, call)
-			if w.ops != nil && !w.ops.look(t, strings.TrimPrefix(call.Matter, "zone/"), &r) {
+			reply := sim.handleSchedulerCall(scheduler, call)
+			if sim.ops != nil && !sim.ops.schedulerStatus(scheduler, strings.TrimPrefix(call.Matter, "zone/"), &reply) {
 				continue
 			}
-			if ms, ok := w.link(t.ID, a.id); ok {
-				w.later(ms, func() { answer(r) })
+			if delayMS, ok := sim.drawDelay(scheduler.ID, agent.id); ok {
+				sim.schedule(delayMS, func() { answer(reply) })
 			}
 		}
 	})
 }
 
-// taken is what a scheduler does with a call.
-func (w *world) taken(t *target, c fleet.Call) fleet.Reply {
-	start := fmt.Sprint(t.start)
-	r := fleet.Reply{Reached: true, Start: start, Fence: t.high[c.Matter]}
+// handleSchedulerCall applies a call at a scheduler and returns the reply. A call is refused if it is meant for another
+// start of the scheduler, has a lower fence than one seen, or an older change of the worker than one seen.
+func (sim *simulation) handleSchedulerCall(scheduler *simScheduler, call fleet.Call) fleet.Reply {
+	start := fmt.Sprint(scheduler.startCount)
+	reply := fleet.Reply{Reached: true, Start: start, Fence: scheduler.highestFence[call.Matter]}
 	switch {
-	case c.Act == fleet.Look:
-		r.Done, r.Phase = true, "serving"
-		for id, m := range t.out {
-			if m == c.Matter {
-				r.Out = append(r.Out, id)
+	case call.Act == fleet.Look:
+		reply.Done, reply.Phase = true, "serving"
+		for id, matter := range scheduler.outWorkers {
+			if matter == call.Matter {
+				reply.Out = append(reply.Out, id)
 			}
 		}
-		slices.Sort(r.Out)
-		return r
-	case c.Start != start && w.o.Bug != "former-start":
-		w.got.Refused++
-		r.Why = "start " + start
-		return r
-	case c.Fence < t.high[c.Matter]:
-		if w.got.Refused++; w.o.Bug != "no-fence" {
-			r.Why = "fence"
-			return r
+		slices.Sort(reply.Out)
+		return reply
+	case call.Start != start && sim.options.Bug != "former-start":
+		sim.result.Refused++
+		reply.Why = "start " + start
+		return reply
+	case call.Fence < scheduler.highestFence[call.Matter]:
+		if sim.result.Refused++; sim.options.Bug != "no-fence" {
+			reply.Why = "fence"
+			return reply
 		}
-		w.broke("%s took number %d of %s after %d", t.ID, c.Fence, c.Matter, t.high[c.Matter])
+		sim.reportViolation("%s took number %d of %s after %d", scheduler.ID, call.Fence, call.Matter, scheduler.highestFence[call.Matter])
 	}
-	if c.Act == fleet.Tell && c.Since < t.last[c.Worker] && w.o.Bug != "no-change" {
-		w.got.Refused++
-		r.Why = "change"
-		return r
+	if call.Act == fleet.Tell && call.Since < scheduler.lastChange[call.Worker] && sim.options.Bug != "no-change" {
+		sim.result.Refused++
+		reply.Why = "change"
+		return reply
 	}
-	t.high[c.Matter] = max(c.Fence, t.high[c.Matter])
-	if r.Done, r.Fence = true, c.Fence; c.Act == fleet.Tell {
-		t.last[c.Worker] = c.Since
-		if t.out[c.Worker] = c.Matter; !c.Out {
-			delete(t.out, c.Worker)
+	scheduler.highestFence[call.Matter] = max(call.Fence, scheduler.highestFence[call.Matter])
+	if reply.Done, reply.Fence = true, call.Fence; call.Act == fleet.Tell {
+		scheduler.lastChange[call.Worker] = call.Since
+		if scheduler.outWorkers[call.Worker] = call.Matter; !call.Out {
+			delete(scheduler.outWorkers, call.Worker)
 		}
-		w.note("told %s %s %v %d", t.ID, c.Worker, c.Out, c.Fence)
+		sim.traceEvent("told %s %s %v %d", scheduler.ID, call.Worker, call.Out, call.Fence)
 	}
-	return r
+	return reply
 }
 
-// client changes something now and then, and keeps what was answered yes.
-func (w *world) client() {
-	if w.healed {
+// changeWorkers takes a random worker out or in every 100 to 500 ms, and remembers which commands were acknowledged.
+func (sim *simulation) changeWorkers() {
+	if sim.faultsEnded {
 		return
 	}
-	do := []string{"out", "in"}[w.r.IntN(2)]
-	w.turn++
-	c := fleet.Command{Caller: fmt.Sprint("client", w.turn), Number: 1, Do: do, ID: fmt.Sprint("w", w.r.IntN(6)), Zone: "a", By: "ann",
-		Force: true}
-	w.ask("client", c, 8000, func(a fleet.Answer) {
-		if a.Done {
-			w.got.Changes++
-			w.yes[c.Caller] = a.No
-			w.note("yes %s %d", c.Caller, a.No)
+	verb := []string{"out", "in"}[sim.random.IntN(2)]
+	sim.sequence++
+	command := fleet.Command{Caller: fmt.Sprint("client", sim.sequence), Number: 1, Do: verb, ID: fmt.Sprint("w", sim.random.IntN(6)),
+		Zone: "a", By: "ann", Force: true}
+	sim.submit("client", command, changeTimeoutMS, func(answer fleet.Answer) {
+		if answer.Done {
+			sim.result.Changes++
+			sim.acknowledged[command.Caller] = answer.No
+			sim.traceEvent("yes %s %d", command.Caller, answer.No)
 		}
 	})
-	w.later(100+400*w.r.Float64(), w.client)
+	sim.schedule(100+400*sim.random.Float64(), sim.changeWorkers)
 }
 
 // ---- faults ----
 
-func (w *world) fault() {
-	if w.healed {
+// injectFault draws one fault and starts it, and does so again every 100 to 1000 ms until faults end.
+func (sim *simulation) injectFault() {
+	if sim.faultsEnded {
 		return
 	}
-	span := 100 + 3000*w.r.Float64()
-	v := w.voters[w.r.IntN(len(w.voters))]
-	a := w.owners[w.r.IntN(min(len(w.owners), 6))]
-	for _, o := range w.owners { // who owns something is met more often
-		if len(o.has) > 0 && w.r.IntN(3) == 0 {
-			a = o
+	spanMS := 100 + 3000*sim.random.Float64()
+	v := sim.voters[sim.random.IntN(len(sim.voters))]
+	agent := sim.agents[sim.random.IntN(min(len(sim.agents), 6))]
+	for _, candidate := range sim.agents { // agents that own a matter are hit more often
+		if len(candidate.owned) > 0 && sim.random.IntN(3) == 0 {
+			agent = candidate
 		}
 	}
-	kinds := 9
-	if w.ops != nil {
-		kinds = 10
+	faultKinds := 9
+	if sim.ops != nil {
+		faultKinds = 10
 	}
-	switch w.r.IntN(kinds) {
-	case 0:
+	switch sim.random.IntN(faultKinds) {
+	case 0: // a voter is disconnected
 		name := fmt.Sprint("v", v.id)
-		w.cut[name] = true
-		w.later(span, func() { delete(w.cut, name) })
-	case 1:
-		w.cut[a.id] = true
-		w.later(span, func() { delete(w.cut, a.id) })
-	case 2:
-		v.still = w.now + span
-	case 3:
-		a.still = w.now + span
-	case 4:
-		w.kill(v)
-	case 5:
-		a.up = false
-		w.later(span, func() { w.begin(a) })
-	case 6:
-		w.loss = 0.3 * w.r.Float64()
-		w.later(span, func() { w.loss = 0 })
-	case 7:
-		t := w.targets[w.r.IntN(len(w.targets))]
-		if w.ops != nil {
-			m := w.ops.by[t.ID]
-			m.procs, m.fell = [2]*simProc{}, true
-		}
-		t.start, t.high, t.out, t.last = t.start+1, map[string]uint64{}, map[string]string{}, map[string]uint64{}
-		// It asks its agent first, which reads for sure; where nobody can be read it goes on without.
-		if lead := w.leader(); lead != nil && w.r.IntN(4) > 0 {
-			for name, m := range lead.node.Record.Matters {
-				t.high[name] = m.Fence
+		sim.disconnected[name] = true
+		sim.schedule(spanMS, func() { delete(sim.disconnected, name) })
+	case 1: // an agent is disconnected
+		sim.disconnected[agent.id] = true
+		sim.schedule(spanMS, func() { delete(sim.disconnected, agent.id) })
+	case 2: // a voter is paused
+		v.pausedUntilMS = sim.nowMS + spanMS
+	case 3: // an agent is paused
+		agent.pausedUntilMS = sim.nowMS + spanMS
+	case 4: // a voter crashes and restarts at once
+		sim.crashVoter(v)
+	case 5: // an agent crashes and restarts later
+		agent.up = false
+		sim.schedule(spanMS, func() { sim.startAgent(agent) })
+	case 6: // messages get lost
+		sim.lossProbability = 0.3 * sim.random.Float64()
+		sim.schedule(spanMS, func() { sim.lossProbability = 0 })
+	case 7: // a scheduler crashes and restarts
+		scheduler := sim.schedulers[sim.random.IntN(len(sim.schedulers))]
+		if sim.ops != nil {
+			host := sim.ops.hostByScheduler[scheduler.ID]
+			host.processes, host.failedByFault = [2]*simProcess{}, true
+		}
+		scheduler.startCount++
+		scheduler.highestFence, scheduler.outWorkers, scheduler.lastChange = map[string]uint64{}, map[string]string{}, map[string]uint64{}
+		// A scheduler that starts first asks its agent, which makes a quorum read, for the fences and the workers that are
+		// out. If the record can't be read it starts without them; 1 in 4 starts stands for that.
+		if leader := sim.leader(); leader != nil && sim.random.IntN(4) > 0 {
+			for name, matter := range leader.node.Record.Matters {
+				scheduler.highestFence[name] = matter.Fence
 			}
-			for id, x := range lead.node.Record.Workers {
-				if x.Out {
-					t.out[id] = fleet.MatterOf(x.Zone)
+			for id, intent := range leader.node.Record.Workers {
+				if intent.Out {
+					scheduler.outWorkers[id] = fleet.MatterOf(intent.Zone)
 				}
 			}
 		}
-	case 9:
-		if w.ops != nil {
-			w.ops.lies[a.id] = true // what it begins from now on is not kept
-			w.later(span, func() {
-				a.up = false
-				w.later(200, func() { w.begin(a) })
+	case 9: // an agent's disk acknowledges writes without keeping them, and the agent crashes and restarts later
+		if sim.ops != nil {
+			sim.ops.lyingDisks[agent.id] = true // the steps that it begins from now on are not on its disk
+			sim.schedule(spanMS, func() {
+				agent.up = false
+				sim.schedule(200, func() { sim.startAgent(agent) })
 			})
 		}
-	case 8:
-		// Of one voter's disk at a time: of two that lie at once nothing can be promised.
-		if x := w.voters[w.victim]; !w.spoilt && !x.node.Behind() {
-			w.spoilt = true
-			if w.r.IntN(2) == 0 {
-				x.disk.Lies = true
-				w.later(span, func() { w.kill(x) })
+	case 8: // a voter's disk acknowledges syncs without keeping the data, or an older copy is put back; the voter then crashes
+		// Only one voter's disk at a time is faulty: with two at once the record's guarantees don't hold.
+		if victim := sim.voters[sim.diskFaultVoter]; !sim.diskFaulty && !victim.node.Behind() {
+			sim.diskFaulty = true
+			if sim.random.IntN(2) == 0 {
+				victim.disk.Lies = true
+				sim.schedule(spanMS, func() { sim.crashVoter(victim) })
 			} else {
-				old := x.disk.Copy()
-				w.later(span, func() {
-					x.disk = old
-					w.kill(x)
+				oldDisk := victim.disk.Copy()
+				sim.schedule(spanMS, func() {
+					victim.disk = oldDisk
+					sim.crashVoter(victim)
 				})
 			}
 		}
 	}
-	w.later(100+900*w.r.Float64(), w.fault)
+	sim.schedule(100+900*sim.random.Float64(), sim.injectFault)
 }
 
-func (w *world) kill(v *voter) {
-	w.note("kill %d", v.id)
-	v.disk.Crash(w.r)
-	v.still = 0
-	v.waits = map[string]func(fleet.Answer){}
-	w.open(v)
+// crashVoter restarts a voter from its disk, which has lost what was not synced.
+func (sim *simulation) crashVoter(v *voter) {
+	sim.traceEvent("kill %d", v.id)
+	v.disk.Crash(sim.random)
+	v.pausedUntilMS = 0
+	v.pendingAnswers = map[string]func(fleet.Answer){}
+	sim.openVoter(v)
 }
 
-// replace has a person put a new voter in the place of one whose disk is known to lack something.
-func (w *world) replace(v *voter) {
-	v.going = true // one voter is not replaced twice, by two new ones of which one never comes
-	w.got.Replaced++
-	w.nextID++
-	id, old := w.nextID, v.id
-	w.note("replace %d by %d", old, id)
-	var ask func()
-	came := func() bool {
-		l := w.leader()
-		return l != nil && l.node.Record.Voters[id] != ""
+// replaceVoter plays the operator who puts a new voter in the place of one whose disk is known to have lost data.
+func (sim *simulation) replaceVoter(v *voter) {
+	v.replacementPending = true // otherwise it would be replaced twice, and one of the two new voters would never start
+	sim.result.Replaced++
+	sim.lastVoterID++
+	newID, oldID := sim.lastVoterID, v.id
+	sim.traceEvent("replace %d by %d", oldID, newID)
+	var propose func()
+	joined := func() bool {
+		leader := sim.leader()
+		return leader != nil && leader.node.Record.Voters[newID] != ""
 	}
-	ask = func() {
-		if came() {
+	propose = func() {
+		if joined() {
 			return
 		}
-		if l := w.leader(); l != nil {
-			err := l.node.ProposeVoters(id, fmt.Sprint("v", id), old)
-			if w.work(l); errors.Is(err, quorum.ErrUsed) {
-				return // it was done, or another came in its place
+		if leader := sim.leader(); leader != nil {
+			err := leader.node.ProposeVoters(newID, fmt.Sprint("v", newID), oldID)
+			if sim.advanceVoter(leader); errors.Is(err, quorum.ErrUsed) {
+				return // the replacement was applied already, or another voter has taken the place
 			}
 		}
-		w.later(500, ask)
+		sim.schedule(replaceRetryMS, propose)
 	}
-	ask()
-	w.later(2000, func() {
-		v.id, v.join, v.replace, v.disk, v.going = id, true, old, quorum.NewMemory(), false
-		v.waits = map[string]func(fleet.Answer){}
-		w.open(v)
-		w.spoilt = false
+	propose()
+	sim.schedule(replacementStartMS, func() {
+		v.id, v.joining, v.replacedID, v.disk, v.replacementPending = newID, true, oldID, quorum.NewMemory(), false
+		v.pendingAnswers = map[string]func(fleet.Answer){}
+		sim.openVoter(v)
+		sim.diskFaulty = false
 	})
 }
 
-func (w *world) heal() {
-	w.healed = true
-	w.loss = 0
-	clear(w.cut)
-	for _, v := range w.voters {
-		v.still = 0
+// endFaults undoes all faults that are still active.
+func (sim *simulation) endFaults() {
+	sim.faultsEnded = true
+	sim.lossProbability = 0
+	clear(sim.disconnected)
+	for _, v := range sim.voters {
+		v.pausedUntilMS = 0
 		v.disk.Lies = false
 	}
-	for _, a := range w.owners {
-		if a.still = 0; !a.up {
-			w.begin(a)
+	for _, agent := range sim.agents {
+		if agent.pausedUntilMS = 0; !agent.up {
+			sim.startAgent(agent)
 		}
 	}
 }
 
-// ---- what must hold ----
+// ---- invariants ----
 
-// judge looks at the truth: one owner at a time by the true clock, and one record.
-func (w *world) judge() {
-	holds := map[string]string{}
-	for _, a := range w.owners {
-		if !a.up || a.still > w.now {
+// checkInvariants checks that at this moment of simulated time each matter has at most one owner, and that all voters had
+// the same record after the same command.
+func (sim *simulation) checkInvariants() {
+	owners := map[string]string{}
+	for _, agent := range sim.agents {
+		if !agent.up || agent.pausedUntilMS > sim.nowMS {
 			continue
 		}
-		for name, c := range a.has {
-			if c.hold.Holds(a.clock.at(w.now)) && !c.passed() {
-				if other := holds[name]; other != "" {
-					w.broke("%s and %s both own %s", other, a.id, name)
+		for name, owned := range agent.owned {
+			if owned.lease.Holds(agent.clock.read(sim.nowMS)) && !owned.superseded() {
+				if other := owners[name]; other != "" {
+					sim.reportViolation("%s and %s both own %s", other, agent.id, name)
 				}
-				holds[name] = a.id
+				owners[name] = agent.id
 			}
 		}
 	}
-	for _, v := range w.voters {
-		if r := v.node.Record; v.node.Err() == nil && r.No > 0 && r.No != v.seen {
-			v.seen = r.No
-			sum := crc32.ChecksumIEEE(r.Snapshot())
-			if was, ok := w.applied[r.No]; ok && was != sum {
-				w.broke("voter %d has another record after command %d", v.id, r.No)
+	for _, v := range sim.voters {
+		if record := v.node.Record; v.node.Err() == nil && record.No > 0 && record.No != v.lastCheckedCommand {
+			v.lastCheckedCommand = record.No
+			sum := crc32.ChecksumIEEE(record.Snapshot())
+			if known, ok := sim.recordChecksums[record.No]; ok && known != sum {
+				sim.reportViolation("voter %d has another record after command %d", v.id, record.No)
 			}
-			w.applied[r.No] = sum
+			sim.recordChecksums[record.No] = sum
 		}
 	}
 }
 
-// end tells whether all is well once faults are over: a leader, all that was answered, and every scheduler told.
-func (w *world) end() {
-	if len(w.got.Breaks) > 0 {
+// checkFinalState checks, at the end of the time without faults, that there is a leader, that every acknowledged command is
+// on record, and that every scheduler that serves has the same workers out as the record.
+func (sim *simulation) checkFinalState() {
+	if len(sim.result.Breaks) > 0 {
 		return
 	}
-	lead := w.leader()
-	if lead == nil {
-		text := ""
-		for _, v := range w.voters {
+	leader := sim.leader()
+	if leader == nil {
+		details := ""
+		for _, v := range sim.voters {
 			id, _ := v.node.Leader()
-			text += fmt.Sprintf("; %d counts %t behind %t follows %d err %v, voters %v", v.id, v.node.Counts(), v.node.Behind(), id,
+			details += fmt.Sprintf("; %d counts %t behind %t follows %d err %v, voters %v", v.id, v.node.Counts(), v.node.Behind(), id,
 				v.node.Err(), v.node.Record.Voters)
 		}
-		w.broke("no leader at the end%s", text)
+		sim.reportViolation("no leader at the end%s", details)
 		return
 	}
-	r := lead.node.Record
-	for _, caller := range slices.Sorted(maps.Keys(w.yes)) {
-		if s, ok := r.Sessions[caller]; !ok || s.Answer.No != w.yes[caller] {
-			w.broke("%s was answered yes as %d, and is not on record so", caller, w.yes[caller])
+	record := leader.node.Record
+	for _, caller := range slices.Sorted(maps.Keys(sim.acknowledged)) {
+		if session, ok := record.Sessions[caller]; !ok || session.Answer.No != sim.acknowledged[caller] {
+			sim.reportViolation("%s was answered yes as %d, and is not on record so", caller, sim.acknowledged[caller])
 		}
 	}
-	if r.Retries > 0 {
-		w.note("retries %d", r.Retries)
+	if record.Retries > 0 {
+		sim.traceEvent("retries %d", record.Retries)
 	}
-	if w.ops != nil {
-		w.ops.end(r)
+	if sim.ops != nil {
+		sim.ops.checkFinalState(record)
 	}
-	want := r.OutIn("")
-	for _, t := range w.targets {
-		if w.ops != nil && !w.ops.by[t.ID].serves(w.now) {
-			continue // left for a person
+	wantOut := record.OutIn("")
+	for _, scheduler := range sim.schedulers {
+		if sim.ops != nil && !sim.ops.hostByScheduler[scheduler.ID].serves(sim.nowMS) {
+			continue // it needs an operator
 		}
-		if got := slices.Sorted(maps.Keys(t.out)); !slices.Equal(got, want) {
-			w.broke("%s has out %v, the record %v", t.ID, got, want)
+		if out := slices.Sorted(maps.Keys(scheduler.outWorkers)); !slices.Equal(out, wantOut) {
+			sim.reportViolation("%s has out %v, the record %v", scheduler.ID, out, wantOut)
 		}
 	}
 }
--- a/lab/council/ops.go
+++ b/lab/council/ops.go
@@ -9,329 +9,356 @@
 	"shalebeam/fleet"
 )
 
-// Operations in simulated time: the shipped carriers, doers and minders, on machines whose processes are models. What is out
-// by will is counted from those, not from what anybody was told.
+// Operations (release, restart, drain, undrain, maintain) in simulated time. The code that runs an operation, begins its
+// steps at agents and supervises processes is the production code of package fleet; the processes are models. Which members
+// are out because of an operation is counted from the model processes, not from what any agent or scheduler was told.
 
 const (
-	simReadyMost = 2000.0
-	simKillAfter = 1500.0
-	simColdFor   = 1500.0
-	simCommand   = 400.0
-	callMost     = 1000.0
+	readyTimeoutMS     = 2000.0 // for a new scheduler process to become ready
+	killAfterMS        = 1500.0 // from SIGTERM to SIGKILL
+	workerDownMS       = 200.0  // that a worker is down once the site's command for it has begun
+	workerColdMS       = 1500.0 // that it is cold after that
+	workerCommandMS    = 400.0  // that the site's command runs
+	agentCallTimeoutMS = 1000.0
+	undrainTimeoutMS   = 2000.0 // of the operator's command to bring back members that an operation left out
+	longDownMS         = 6000.0 // after which a scheduler that does not serve counts against the limits, whatever the cause
+	neverMS            = 1e18   // simulated time that is never reached
+	beginRetryMS       = 1000.0 // between two attempts of the operator to begin the operation
+	operatorRetryMS    = 3000.0 // between two attempts of the operator to lift a halt or to start an undrain
 )
 
-// machines is what runs beside the record.
-type machines struct {
-	w       *world
-	all     []*machine
-	by      map[string]*machine
-	workers map[string]*worker
-	disks   map[string][]byte // of each agent: what it keeps of what was begun
-	lies    map[string]bool
-	doers   map[string]*fleet.Doer
-	carry   map[*charge]bool // a command of it is under way
-	limits  []fleet.Limit
-	op      string // the one that is played
-	want    fleet.Op
-	bad     string // what the released program does
-	halted  float64
-	aim     bool // the halt comes just when something was granted
-	lifted  bool
-	turned  bool
-	ended   float64
-	raised  float64
-	relift  float64
-	said    bool
-	drained bool
-	Calls   int
-	Most    int
-	own     float64 // ms that schedulers were at it by themselves, in all
-	kept    map[string]keptRun
-	agreed  map[string]bool
-	touched map[string]map[string]bool
-	waits   map[string][]func() // calls that an agent answers once something has moved on there
+const maxCommandsPerUpdate = 32 // that an operation's owner submits in one update, as in agent.Agent
+
+// operations is the state of a run with operations, beside the record.
+type operations struct {
+	sim                    *simulation
+	hosts                  []*schedulerHost
+	hostByScheduler        map[string]*schedulerHost
+	workers                map[string]*simWorker
+	agentDisks             map[string][]byte      // by agent: JSON of the steps that it has begun and of its schedulers' savedRun
+	lyingDisks             map[string]bool        // by agent: its disk acknowledges writes without keeping them
+	stepExecutors          map[string]*fleet.Doer // by agent: decides which steps begin there
+	limits                 []fleet.Limit
+	currentID              string // of the operation under way, "" until one is on record
+	requested              fleet.Op
+	releasedProgram        string  // how the released program fails, see simProcess.program; "" for one that works
+	haltAtMS               float64 // simulated time of the halt, 0 if none was requested
+	haltOnGrant            bool    // the halt is still to be requested, shortly after a step was granted
+	haltLifted             bool
+	rollbackRequested      bool
+	endedMS                float64 // simulated time at which the operation had ended and no member was out for it, 0 until then
+	lastUndrainMS          float64
+	lastLiftMS             float64
+	limitViolationReported bool
+	undrainRequested       bool
+	agentCalls             int
+	maxOut                 int                        // most members that were out on purpose at once
+	memberWorkMS           float64                    // sum over ended processes, from the latest start at their scheduler
+	savedRuns              map[string]savedRun        // by scheduler
+	reconciled             map[string]bool            // by agent: see reconcile
+	steppedMembers         map[string]map[string]bool // by agent: the members of which it has begun a step since its start
+	waitingCalls           map[string][]func()        // by agent: calls that wait for a step under way, tried again at each update
 }
 
-type keptRun struct {
-	Run       bool
-	Gen, Good uint64
-	Pairs     map[uint64]string // what each step's program does: "" for one that is well
-	Former    map[string]string
+// savedRun is what an agent keeps on disk of one scheduler that it runs. Its field names are part of the JSON on the
+// simulated disk and of violation texts.
+type savedRun struct {
+	Run       bool              // the scheduler is to run
+	Gen, Good uint64            // the steps whose process is wanted, and whose process was last known to be ready
+	Pairs     map[uint64]string // by step: its program, as in simProcess.program
+	Former    map[string]string // by operation: the program that ran before it
 }
 
-// machine is one scheduler's processes in truth, and its agent's mind over them.
-type machine struct {
-	t      *target
-	a      *owner
-	minder *fleet.Minder
-	procs  [2]*simProc
-	fell   bool    // through a fault, till it serves again
-	served float64 // when it last served
-	begun  float64 // when its last process was started
+// schedulerHost has the model processes of one scheduler, and its agent's supervision of them. During a handover there are
+// two processes.
+type schedulerHost struct {
+	scheduler     *simScheduler
+	agent         *simAgent
+	supervisor    *fleet.Minder
+	processes     [2]*simProcess
+	failedByFault bool    // it was taken down by a fault and has not served since
+	lastServedMS  float64 // simulated time at which it last served
+	lastStartMS   float64 // simulated time at which its last process was started
 }
 
-type simProc struct {
-	gen     uint64
-	readyAt float64
-	endAt   float64 // 0: it runs on
-	crashAt float64
-	termed  bool
-	what    string // program
+// simProcess is a model of a scheduler process. Times are simulated time in ms.
+type simProcess struct {
+	generation  uint64 // number of the step that wanted it, 0 for the first process
+	readyAtMS   float64
+	endAtMS     float64 // 0: no end is set
+	crashAtMS   float64 // 0: it does not crash
+	terminating bool    // it was told to end
+	// program says how it behaves: "" (the initial program) and "good" (a released one) work, "never" does not become ready,
+	// "crash" crashes after it became ready, "early" crashes before.
+	program string
 }
 
-// worker is one in truth.
-type worker struct {
-	id, zone string
-	a        *owner
-	warmAt   float64
-	downTill float64
-	ran      map[uint64]int // by step
+// simWorker is a model of a worker. Times are simulated time in ms.
+type simWorker struct {
+	id, zone    string
+	agent       *simAgent
+	warmAtMS    float64
+	downUntilMS float64
+	commandRuns map[uint64]int // by step: how often the site's command was begun
 }
 
-func newMachines(w *world) *machines {
-	o := &machines{w: w, by: map[string]*machine{}, workers: map[string]*worker{}, disks: map[string][]byte{}, lies: map[string]bool{},
-		doers: map[string]*fleet.Doer{}, carry: map[*charge]bool{}, kept: map[string]keptRun{},
-		agreed: map[string]bool{}, touched: map[string]map[string]bool{}, waits: map[string][]func(){}}
-	return o
+func newOperations(sim *simulation) *operations {
+	ops := &operations{sim: sim, hostByScheduler: map[string]*schedulerHost{}, workers: map[string]*simWorker{},
+		agentDisks: map[string][]byte{}, lyingDisks: map[string]bool{}, stepExecutors: map[string]*fleet.Doer{},
+		savedRuns: map[string]savedRun{}, reconciled: map[string]bool{}, steppedMembers: map[string]map[string]bool{},
+		waitingCalls: map[string][]func(){}}
+	return ops
 }
 
-// init gives every agent its schedulers and workers, which all serve.
-func (o *machines) init() {
-	w := o.w
-	for i, t := range w.targets {
-		m := &machine{t: t, a: w.owners[i%len(w.owners)], served: 3000}
-		m.procs[0] = &simProc{}
-		t.Agent = m.a.id
-		o.all, o.by[t.ID] = append(o.all, m), m
-		o.kept[t.ID] = keptRun{Run: true, Pairs: map[uint64]string{0: ""}, Former: map[string]string{}}
-	}
-	for i := range w.o.Workers {
-		x := &worker{id: fmt.Sprint("b", i), zone: []string{"a", "b"}[i%2], a: w.owners[i%len(w.owners)], ran: map[uint64]int{}}
-		o.workers[x.id] = x
-	}
-	for _, a := range w.owners {
-		o.keep(a)
-		o.start(a)
-	}
-	one := 1 + w.r.IntN(2)
-	n := len(w.targets)
-	o.limits = []fleet.Limit{{Kind: "scheduler", Share: max(0.05, float64(one)/float64(n))}, {Kind: "scheduler", Zone: "each", Share: max(0.04, 1.01/float64(n/2))},
+// initialize assigns schedulers and workers to the agents, all of them in service, and draws the limits, the operation to
+// run and when it is halted.
+func (ops *operations) initialize() {
+	sim := ops.sim
+	for i, scheduler := range sim.schedulers {
+		host := &schedulerHost{scheduler: scheduler, agent: sim.agents[i%len(sim.agents)], lastServedMS: startupMS}
+		host.processes[0] = &simProcess{}
+		scheduler.Agent = host.agent.id
+		ops.hosts, ops.hostByScheduler[scheduler.ID] = append(ops.hosts, host), host
+		ops.savedRuns[scheduler.ID] = savedRun{Run: true, Pairs: map[uint64]string{0: ""}, Former: map[string]string{}}
+	}
+	for i := range sim.options.Workers {
+		worker := &simWorker{id: fmt.Sprint("b", i), zone: []string{"a", "b"}[i%2], agent: sim.agents[i%len(sim.agents)],
+			commandRuns: map[uint64]int{}}
+		ops.workers[worker.id] = worker
+	}
+	for _, agent := range sim.agents {
+		ops.saveDisk(agent)
+		ops.restoreAgent(agent)
+	}
+	allowedOut := 1 + sim.random.IntN(2)
+	schedulerCount := len(sim.schedulers)
+	ops.limits = []fleet.Limit{{Kind: "scheduler", Share: max(0.05, float64(allowedOut)/float64(schedulerCount))},
+		{Kind: "scheduler", Zone: "each", Share: max(0.04, 1.01/float64(schedulerCount/2))},
 		{Kind: "worker", Share: 0.3}}
 	kinds := []string{"release", "release", "restart", "drain", "maintain"}
-	o.want = fleet.Op{Kind: kinds[w.r.IntN(len(kinds))], WaveMost: 60000, Pause: 300}
+	ops.requested = fleet.Op{Kind: kinds[sim.random.IntN(len(kinds))], WaveMost: 60000, Pause: 300}
 	var ids []string
-	for _, t := range w.targets {
-		ids = append(ids, t.ID)
+	for _, scheduler := range sim.schedulers {
+		ids = append(ids, scheduler.ID)
 	}
-	if o.want.Kind != "drain" {
-		ids = append(ids, slices.Sorted(maps.Keys(o.workers))...)
+	if ops.requested.Kind != "drain" {
+		ids = append(ids, slices.Sorted(maps.Keys(ops.workers))...)
 	} else {
 		ids = ids[:min(len(ids), 1)]
 	}
-	w.r.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	for size := 1; len(ids) > 0; size *= 2 {
-		k := min(size, len(ids))
-		o.want.Waves = append(o.want.Waves, ids[:k])
-		ids = ids[k:]
-	}
-	if o.want.Kind == "release" {
-		o.bad = []string{"", "", "never", "crash", "early"}[w.r.IntN(5)]
-		o.want.Watch, o.want.AutoBack = 400, w.r.IntN(2) == 0
-		o.want.Version = fleet.Version{Program: "/new", Digest: "new", Name: "new"}
-	}
-	if w.o.Calm {
-		o.bad, o.want.Kind, o.want.Watch, o.want.WaveMost = "", "release", 0, 0
-		o.want.Waves = [][]string{slices.Concat(o.want.Waves...)} // what the limits allow, and no wave less
-		o.want.Version = fleet.Version{Program: "/new", Digest: "new", Name: "new"}
-		w.later(3000, o.person)
+	sim.random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+	for maxWaveSize := 1; len(ids) > 0; maxWaveSize *= 2 {
+		waveSize := min(maxWaveSize, len(ids))
+		ops.requested.Waves = append(ops.requested.Waves, ids[:waveSize])
+		ids = ids[waveSize:]
+	}
+	if ops.requested.Kind == "release" {
+		ops.releasedProgram = []string{"", "", "never", "crash", "early"}[sim.random.IntN(5)]
+		ops.requested.Watch, ops.requested.AutoBack = 400, sim.random.IntN(2) == 0
+		ops.requested.Version = fleet.Version{Program: "/new", Digest: "new", Name: "new"}
+	}
+	if sim.options.Calm {
+		ops.releasedProgram, ops.requested.Kind, ops.requested.Watch, ops.requested.WaveMost = "", "release", 0, 0
+		// One wave, so that only the limits bound how many members are out.
+		ops.requested.Waves = [][]string{slices.Concat(ops.requested.Waves...)}
+		ops.requested.Version = fleet.Version{Program: "/new", Digest: "new", Name: "new"}
+		sim.schedule(startupMS, ops.requestOperation)
 		return
 	}
-	w.later(3000, o.person)
-	if o.aim = w.r.IntN(4) == 0; !o.aim && w.r.IntN(2) == 0 {
-		o.halted = 4000 + w.o.For*w.r.Float64()
-		w.later(o.halted, o.halt)
+	sim.schedule(startupMS, ops.requestOperation)
+	if ops.haltOnGrant = sim.random.IntN(4) == 0; !ops.haltOnGrant && sim.random.IntN(2) == 0 {
+		ops.haltAtMS = 4000 + sim.options.For*sim.random.Float64()
+		sim.schedule(ops.haltAtMS, ops.requestHalt)
 	}
 }
 
-// least is the time, in ms, that no agreement can go below: the schedulers' own, divided by how many may be out at once.
-func (o *machines) least() float64 {
-	rec, room := fleet.NewRecord(), 0.0
-	rec.Limits = o.limits
-	for _, m := range o.all {
-		rec.Members[m.t.ID], rec.Health[m.t.ID] = m.t.Member, fleet.Seen{State: fleet.InService}
+// lowerBoundMS returns the time, in ms, that the operation takes at least, however fast it is coordinated: the time that the
+// schedulers' processes need to start and end, divided by how many schedulers the limits allow to be out at once.
+func (ops *operations) lowerBoundMS() float64 {
+	record, maxOut := fleet.NewRecord(), 0.0
+	record.Limits = ops.limits
+	for _, host := range ops.hosts {
+		record.Members[host.scheduler.ID], record.Health[host.scheduler.ID] = host.scheduler.Member, fleet.Seen{State: fleet.InService}
 	}
-	for _, m := range o.all {
-		if !slices.ContainsFunc(rec.Room(m.t.ID), func(c fleet.Count) bool { return c.Why != "" }) {
-			rec.Health[m.t.ID] = fleet.Seen{State: "out"}
-			room++
+	for _, host := range ops.hosts {
+		if !slices.ContainsFunc(record.Room(host.scheduler.ID), func(count fleet.Count) bool { return count.Why != "" }) {
+			record.Health[host.scheduler.ID] = fleet.Seen{State: "out"}
+			maxOut++
 		}
 	}
-	return o.own / max(room, 1)
+	return ops.memberWorkMS / max(maxOut, 1)
 }
 
-func (o *machines) keep(a *owner) {
-	if o.lies[a.id] {
-		return // it says yes
+// saveDisk writes an agent's steps and runs to its simulated disk.
+func (ops *operations) saveDisk(agent *simAgent) {
+	if ops.lyingDisks[agent.id] {
+		return // the disk acknowledges the write without keeping it
 	}
-	d := o.doers[a.id]
-	if d == nil {
-		d = fleet.NewDoer("")
+	executor := ops.stepExecutors[agent.id]
+	if executor == nil {
+		executor = fleet.NewDoer("")
 	}
-	runs := map[string]keptRun{}
-	for _, m := range o.all {
-		if m.a == a {
-			runs[m.t.ID] = o.kept[m.t.ID]
+	runs := map[string]savedRun{}
+	for _, host := range ops.hosts {
+		if host.agent == agent {
+			runs[host.scheduler.ID] = ops.savedRuns[host.scheduler.ID]
 		}
 	}
-	o.disks[a.id], _ = json.Marshal(struct {
+	ops.agentDisks[agent.id], _ = json.Marshal(struct {
 		Doer *fleet.Doer
-		Runs map[string]keptRun
-	}{d, runs})
+		Runs map[string]savedRun
+	}{executor, runs})
 }
 
-// start is a life of an agent: it reads what it kept, and finds its processes.
-func (o *machines) start(a *owner) {
-	var k struct {
+// restoreAgent starts an agent from its disk: it reads the steps it had begun, and adopts the processes that still run.
+func (ops *operations) restoreAgent(agent *simAgent) {
+	var disk struct {
 		Doer *fleet.Doer
-		Runs map[string]keptRun
-	}
-	_ = json.Unmarshal(o.disks[a.id], &k)
-	o.lies[a.id] = false
-	d := k.Doer
-	d.Start, d.Bug = fmt.Sprint(a.start), o.w.o.Bug
-	for id, n := range d.Notes {
-		if n.Call == "command" && n.State == "going" {
-			n.State = "unknown"
-			d.Notes[id] = n
-		}
-	}
-	o.doers[a.id] = d
-	now := a.clock.at(o.w.now)
-	for _, m := range o.all {
-		if m.a != a {
+		Runs map[string]savedRun
+	}
+	_ = json.Unmarshal(ops.agentDisks[agent.id], &disk)
+	ops.lyingDisks[agent.id] = false
+	executor := disk.Doer
+	executor.Start, executor.Bug = fmt.Sprint(agent.startCount), ops.sim.options.Bug
+	for id, note := range executor.Notes {
+		if note.Call == "command" && note.State == "going" {
+			note.State = "unknown"
+			executor.Notes[id] = note
+		}
+	}
+	ops.stepExecutors[agent.id] = executor
+	localNowMS := agent.clock.read(ops.sim.nowMS)
+	for _, host := range ops.hosts {
+		if host.agent != agent {
 			continue
 		}
-		r := k.Runs[m.t.ID]
-		// Notes of an older disk: what runs is what was last wanted.
-		low, high, known := uint64(0), uint64(0), false
-		for _, p := range m.procs {
-			if p == nil {
+		saved := disk.Runs[host.scheduler.ID]
+		// If no process that runs is of the saved step, the disk has an older state, and the newest process is taken for the
+		// wanted one. Of two processes the older one serves; a single one is not taken for ready until it is seen to be.
+		oldest, newest, savedStepRuns := uint64(0), uint64(0), false
+		for _, process := range host.processes {
+			if process == nil {
 				continue
 			}
-			if known = known || p.gen == r.Gen; low == 0 && high == 0 || p.gen < low {
-				low = p.gen
+			if savedStepRuns = savedStepRuns || process.generation == saved.Gen; oldest == 0 && newest == 0 || process.generation < oldest {
+				oldest = process.generation
 			}
-			high = max(high, p.gen)
-			r.Run, r.Pairs[p.gen] = true, p.what
-		}
-		serves := true // as agent.runs.adopt has it
-		if (m.procs[0] != nil || m.procs[1] != nil) && !known {
-			r.Gen, r.Good, serves = high, low, low != high
-		}
-		o.kept[m.t.ID] = r
-		m.minder = &fleet.Minder{ReadyMost: simReadyMost, KillAfter: simKillAfter}
-		m.minder.Good(r.Good)
-		m.minder.Wants(now, r.Run, r.Gen)
-		for slot, p := range m.procs {
-			if p != nil {
-				m.minder.Adopt(fleet.Proc{Slot: slot, Gen: p.gen, Since: now, Ready: p.gen == r.Good && serves})
+			newest = max(newest, process.generation)
+			saved.Run, saved.Pairs[process.generation] = true, process.program
+		}
+		serves := true // as in adopt of agent/runs.go
+		if (host.processes[0] != nil || host.processes[1] != nil) && !savedStepRuns {
+			saved.Gen, saved.Good, serves = newest, oldest, oldest != newest
+		}
+		ops.savedRuns[host.scheduler.ID] = saved
+		host.supervisor = &fleet.Minder{ReadyMost: readyTimeoutMS, KillAfter: killAfterMS}
+		host.supervisor.Good(saved.Good)
+		host.supervisor.Wants(localNowMS, saved.Run, saved.Gen)
+		for slot, process := range host.processes {
+			if process != nil {
+				host.supervisor.Adopt(fleet.Proc{Slot: slot, Gen: process.generation, Since: localNowMS,
+					Ready: process.generation == saved.Good && serves})
 			}
 		}
 	}
-	o.agreed[a.id], o.touched[a.id] = false, map[string]bool{}
+	ops.reconciled[agent.id], ops.steppedMembers[agent.id] = false, map[string]bool{}
 }
 
-// agree has an agent that started set what runs by the record, once it can read that for sure.
-func (o *machines) agree(a *owner) {
-	lead := o.sure(a)
-	if o.agreed[a.id] || lead == nil {
+// reconcile has an agent, once after each start, start or stop its schedulers as the record says. It waits until the agent
+// can make a quorum read, and leaves out members of which a step has begun since the start.
+func (ops *operations) reconcile(agent *simAgent) {
+	leader := ops.quorumLeader(agent)
+	if ops.reconciled[agent.id] || leader == nil {
 		return
 	}
-	o.agreed[a.id] = true
-	for _, m := range o.all {
-		r := o.kept[m.t.ID]
-		if run := lead.node.Record.ShouldRun(m.t.ID, r.Run); m.a == a && !o.touched[a.id][m.t.ID] && run != r.Run {
-			r.Run = run
-			o.kept[m.t.ID] = r
-			m.minder.Wants(a.clock.at(o.w.now), r.Run, r.Gen)
+	ops.reconciled[agent.id] = true
+	for _, host := range ops.hosts {
+		saved := ops.savedRuns[host.scheduler.ID]
+		if shouldRun := leader.node.Record.ShouldRun(host.scheduler.ID, saved.Run); host.agent == agent &&
+			!ops.steppedMembers[agent.id][host.scheduler.ID] && shouldRun != saved.Run {
+			saved.Run = shouldRun
+			ops.savedRuns[host.scheduler.ID] = saved
+			host.supervisor.Wants(agent.clock.read(ops.sim.nowMS), saved.Run, saved.Gen)
 		}
 	}
-	o.keep(a)
+	ops.saveDisk(agent)
 }
 
-// serves tells whether a scheduler takes clients, in truth.
-func (m *machine) serves(now float64) bool {
-	for _, p := range m.procs {
-		if p != nil && now >= p.readyAt && !p.termed && (p.endAt == 0 || now < p.endAt) {
+// serves tells whether a process of the scheduler accepts clients, by the model processes.
+func (host *schedulerHost) serves(nowMS float64) bool {
+	for _, process := range host.processes {
+		if process != nil && nowMS >= process.readyAtMS && !process.terminating &&
+			(process.endAtMS == 0 || nowMS < process.endAtMS) {
 			return true
 		}
 	}
 	return false
 }
 
-// tick is the truth moving on: processes end, and what is out by will is counted.
-func (o *machines) tick() {
-	now := o.w.now
-	if lead := o.w.leader(); o.aim && lead != nil && o.w.r.IntN(4) == 0 {
-		if op := lead.node.Record.Ops[o.op]; op != nil {
-			for _, s := range op.Steps { // whether there is one is the same in any order
-				if fleet.Takes(s) {
-					o.aim, o.halted = false, now
-					o.w.later(60*o.w.r.Float64(), o.halt)
+// tick advances the model processes and checks that the members that are out on purpose are within the limits. With
+// haltOnGrant it also requests the halt shortly after a step was granted.
+func (ops *operations) tick() {
+	nowMS := ops.sim.nowMS
+	if leader := ops.sim.leader(); ops.haltOnGrant && leader != nil && ops.sim.random.IntN(4) == 0 {
+		if op := leader.node.Record.Ops[ops.currentID]; op != nil {
+			for _, step := range op.Steps { // whether a granted step is found does not depend on the map's order
+				if fleet.Takes(step) {
+					ops.haltOnGrant, ops.haltAtMS = false, nowMS
+					ops.sim.schedule(60*ops.sim.random.Float64(), ops.requestHalt)
 					break
 				}
 			}
 		}
 	}
-	rec := fleet.NewRecord()
-	var will []string
-	for _, m := range o.all {
-		for slot, p := range m.procs {
-			if p == nil {
+	record := fleet.NewRecord()
+	var outOnPurpose []string
+	for _, host := range ops.hosts {
+		for slot, process := range host.processes {
+			if process == nil {
 				continue
 			}
-			if p.crashAt > 0 && now >= p.crashAt {
-				m.fell = true
-				m.procs[slot] = nil
-			} else if p.endAt > 0 && now >= p.endAt {
-				m.procs[slot] = nil
+			if process.crashAtMS > 0 && nowMS >= process.crashAtMS {
+				host.failedByFault = true
+				host.processes[slot] = nil
+			} else if process.endAtMS > 0 && nowMS >= process.endAtMS {
+				host.processes[slot] = nil
 			}
 		}
-		serves := m.serves(now)
+		serves := host.serves(nowMS)
 		if serves {
-			m.fell, m.served = false, now
-		}
-		if o.limits != nil {
-			rec.Members[m.t.ID] = m.t.Member
-			rec.Health[m.t.ID] = fleet.Seen{State: fleet.InService}
-			if !serves && !m.fell {
-				rec.Health[m.t.ID] = fleet.Seen{State: "out"}
-				will = append(will, m.t.ID)
+			host.failedByFault, host.lastServedMS = false, nowMS
+		}
+		if ops.limits != nil {
+			record.Members[host.scheduler.ID] = host.scheduler.Member
+			record.Health[host.scheduler.ID] = fleet.Seen{State: fleet.InService}
+			if !serves && !host.failedByFault {
+				record.Health[host.scheduler.ID] = fleet.Seen{State: "out"}
+				outOnPurpose = append(outOnPurpose, host.scheduler.ID)
 			}
 		}
 	}
-	if o.limits != nil {
-		for _, id := range slices.Sorted(maps.Keys(o.workers)) {
-			x := o.workers[id]
-			rec.Members[id] = fleet.Member{ID: id, Kind: "worker", Zone: x.zone, Capacity: 1}
-			rec.Health[id] = fleet.Seen{State: fleet.InService}
-			if now < x.warmAt {
-				rec.Health[id] = fleet.Seen{State: "cold"}
-				will = append(will, id)
+	if ops.limits != nil {
+		for _, id := range slices.Sorted(maps.Keys(ops.workers)) {
+			worker := ops.workers[id]
+			record.Members[id] = fleet.Member{ID: id, Kind: "worker", Zone: worker.zone, Capacity: 1}
+			record.Health[id] = fleet.Seen{State: fleet.InService}
+			if nowMS < worker.warmAtMS {
+				record.Health[id] = fleet.Seen{State: "cold"}
+				outOnPurpose = append(outOnPurpose, id)
 			}
 		}
 	}
-	o.Most = max(o.Most, len(will))
-	rec.Limits = o.limits
-	if len(will) > 0 {
-		zones := map[string]bool{}
-		for _, id := range will { // one a zone stands for all that count alike
-			if key := rec.Members[id].Kind + rec.Members[id].Zone; !zones[key] {
-				zones[key] = true
-				for _, c := range rec.Room(id) {
-					if c.Why != "" && !o.said {
-						o.said = true
-						o.w.broke("by truth: %s: %v", c.Why, c.Out)
+	ops.maxOut = max(ops.maxOut, len(outOnPurpose))
+	record.Limits = ops.limits
+	if len(outOnPurpose) > 0 {
+		checkedZones := map[string]bool{}
+		for _, id := range outOnPurpose { // members of the same kind and zone count against the same limits: one is enough
+			if key := record.Members[id].Kind + record.Members[id].Zone; !checkedZones[key] {
+				checkedZones[key] = true
+				for _, count := range record.Room(id) {
+					if count.Why != "" && !ops.limitViolationReported {
+						ops.limitViolationReported = true
+						ops.sim.reportViolation("by truth: %s: %v", count.Why, count.Out)
 					}
 				}
 			}
@@ -339,113 +366,117 @@
 	}
 }
 
-// agent is what one does for its own machine.
-func (o *machines) agent(a *owner) {
-	now := a.clock.at(o.w.now)
-	d := o.doers[a.id]
-	o.agree(a)
-	if d.Lifted(a.rec) {
-		o.keep(a)
-	}
-	for _, m := range o.all {
-		if m.a != a {
+// superviseProcesses does an agent's work for the schedulers it runs: it notices which processes have ended or become ready,
+// starts and ends processes, and answers calls that waited for a step.
+func (ops *operations) superviseProcesses(agent *simAgent) {
+	localNowMS := agent.clock.read(ops.sim.nowMS)
+	executor := ops.stepExecutors[agent.id]
+	ops.reconcile(agent)
+	if executor.Lifted(agent.record) {
+		ops.saveDisk(agent)
+	}
+	for _, host := range ops.hosts {
+		if host.agent != agent {
 			continue
 		}
-		for _, p := range slices.Clone(m.minder.Procs()) {
-			truth := m.procs[p.Slot]
+		for _, process := range slices.Clone(host.supervisor.Procs()) {
+			actual := host.processes[process.Slot]
 			switch {
-			case truth == nil || truth.gen != p.Gen || truth.endAt > 0 && o.w.now >= truth.endAt:
-				m.minder.Ended(now, p.Slot)
-			case !p.Ready && o.w.now >= truth.readyAt:
-				m.minder.Ready(p.Slot)
-				if r := o.kept[m.t.ID]; truth.gen == r.Gen && r.Good != r.Gen {
-					r.Good = r.Gen
-					o.kept[m.t.ID] = r
-					o.keep(a)
+			case actual == nil || actual.generation != process.Gen || actual.endAtMS > 0 && ops.sim.nowMS >= actual.endAtMS:
+				host.supervisor.Ended(localNowMS, process.Slot)
+			case !process.Ready && ops.sim.nowMS >= actual.readyAtMS:
+				host.supervisor.Ready(process.Slot)
+				if saved := ops.savedRuns[host.scheduler.ID]; actual.generation == saved.Gen && saved.Good != saved.Gen {
+					saved.Good = saved.Gen
+					ops.savedRuns[host.scheduler.ID] = saved
+					ops.saveDisk(agent)
 				}
 			}
 		}
-		for deed, ok := m.minder.Next(now); ok; deed, ok = m.minder.Next(now) {
-			o.deed(m, deed)
+		for action, ok := host.supervisor.Next(localNowMS); ok; action, ok = host.supervisor.Next(localNowMS) {
+			ops.applyAction(host, action)
 		}
 	}
-	moved := o.waits[a.id]
-	delete(o.waits, a.id)
-	for _, do := range moved {
-		do()
+	waiting := ops.waitingCalls[agent.id]
+	delete(ops.waitingCalls, agent.id)
+	for _, resume := range waiting {
+		resume()
 	}
 }
 
-func (o *machines) deed(m *machine, d fleet.Deed) {
-	w := o.w
-	p := m.procs[d.Slot]
+// applyAction starts or ends a model process.
+func (ops *operations) applyAction(host *schedulerHost, action fleet.Deed) {
+	sim := ops.sim
+	process := host.processes[action.Slot]
 	switch {
-	case d.Do == "start":
-		m.begun = w.now
-		p = &simProc{gen: d.Gen, what: o.kept[m.t.ID].Pairs[d.Gen], readyAt: w.now + 100 + 500*w.r.Float64()}
-		switch o.kept[m.t.ID].Pairs[d.Gen] {
+	case action.Do == "start":
+		host.lastStartMS = sim.nowMS
+		process = &simProcess{generation: action.Gen, program: ops.savedRuns[host.scheduler.ID].Pairs[action.Gen],
+			readyAtMS: sim.nowMS + 100 + 500*sim.random.Float64()}
+		switch ops.savedRuns[host.scheduler.ID].Pairs[action.Gen] {
 		case "never":
-			p.readyAt = 1e18
+			process.readyAtMS = neverMS
 		case "crash":
-			p.crashAt = p.readyAt + 1500*w.r.Float64()
+			process.crashAtMS = process.readyAtMS + 1500*sim.random.Float64()
 		case "early":
-			p.crashAt = w.now + 50
-			p.readyAt = 1e18
+			process.crashAtMS = sim.nowMS + 50
+			process.readyAtMS = neverMS
 		}
-		m.procs[d.Slot] = p
-	case p == nil:
-	case d.Do == "term":
-		if p.termed = true; p.endAt == 0 {
-			p.endAt = w.now + 100 + 900*w.r.Float64()
-			o.own += p.endAt - m.begun
-			w.later(p.endAt-w.now, func() { w.stir(m.a) })
+		host.processes[action.Slot] = process
+	case process == nil:
+	case action.Do == "term":
+		if process.terminating = true; process.endAtMS == 0 {
+			process.endAtMS = sim.nowMS + 100 + 900*sim.random.Float64()
+			ops.memberWorkMS += process.endAtMS - host.lastStartMS
+			sim.schedule(process.endAtMS-sim.nowMS, func() { sim.wakeAgent(host.agent) })
 		}
-	case d.Do == "kill":
-		p.termed, p.endAt = true, w.now
+	case action.Do == "kill":
+		process.terminating, process.endAtMS = true, sim.nowMS
 	}
 }
 
-// carries is an operation's owner at work, as agent.Agent carries it.
-func (o *machines) carries(a *owner, now float64, name string, c *charge) {
+// driveOperation does the work of an operation's owner, as agent.Agent does: it calls agents and submits commands.
+func (ops *operations) driveOperation(agent *simAgent, localNowMS float64, matterName string, owned *ownership) {
 	for {
-		do, ok := c.carrier.NextLook(now)
+		call, ok := owned.operationRunner.NextLook(localNowMS)
 		if !ok {
-			if do, ok = c.carrier.NextDo(now); !ok {
+			if call, ok = owned.operationRunner.NextDo(localNowMS); !ok {
 				break
 			}
 		}
-		o.call(a, c, do)
+		ops.callAgent(agent, owned, call)
 	}
-	for range 32 {
-		cmd, ok := c.carrier.NextCommand(now)
+	for range maxCommandsPerUpdate {
+		command, ok := owned.operationRunner.NextCommand(localNowMS)
 		if !ok {
 			return
 		}
-		o.w.send(a, name+"/steps/"+cmd.ID, cmd, func(fleet.Answer) { c.carrier.Commanded(cmd) })
+		ops.sim.sendCommand(agent, matterName+"/steps/"+command.ID, command, func(fleet.Answer) { owned.operationRunner.Commanded(command) })
 	}
 }
 
-func (o *machines) call(a *owner, c *charge, do fleet.Do) {
-	w, start, answered := o.w, a.start, false
-	o.Calls++
-	answer := func(did fleet.Did) {
-		if !answered && a.start == start && a.up {
+// callAgent makes a call of an operation's owner at the agent of a member.
+func (ops *operations) callAgent(agent *simAgent, owned *ownership, call fleet.Do) {
+	sim, startCount, answered := ops.sim, agent.startCount, false
+	ops.agentCalls++
+	answer := func(result fleet.Did) {
+		if !answered && agent.startCount == startCount && agent.up {
 			answered = true
-			c.carrier.Did(a.clock.at(w.now), do, did)
-			w.stir(a)
+			owned.operationRunner.Did(agent.clock.read(sim.nowMS), call, result)
+			sim.wakeAgent(agent)
 		}
 	}
-	w.later(callMost, func() { answer(fleet.Did{}) })
-	times := 1
-	if w.loss > 0 && w.r.IntN(10) == 0 {
-		times = 2 // it comes twice, the second time much later perhaps
+	sim.schedule(agentCallTimeoutMS, func() { answer(fleet.Did{}) })
+	deliveries := 1
+	if sim.lossProbability > 0 && sim.random.IntN(10) == 0 {
+		deliveries = 2 // the call is delivered twice, the second time possibly seconds later
 	}
-	for range times {
-		if ms, ok := w.link(a.id, do.Agent.ID); ok {
-			w.later(ms, func() {
-				o.taken(do, func(did fleet.Did) {
-					if ms, ok := w.link(do.Agent.ID, a.id); ok {
-						w.later(ms, func() { answer(did) })
+	for range deliveries {
+		if delayMS, ok := sim.drawDelay(agent.id, call.Agent.ID); ok {
+			sim.schedule(delayMS, func() {
+				ops.handleAgentCall(call, func(result fleet.Did) {
+					if delayMS, ok := sim.drawDelay(call.Agent.ID, agent.id); ok {
+						sim.schedule(delayMS, func() { answer(result) })
 					}
 				})
 			})
@@ -453,381 +484,404 @@
 	}
 }
 
-// taken is what an agent does with a call, when it is awake to do it.
-func (o *machines) taken(do fleet.Do, reply func(fleet.Did)) {
-	w := o.w
-	i := slices.IndexFunc(w.owners, func(a *owner) bool { return a.id == do.Agent.ID })
-	if i < 0 || !w.owners[i].up {
+// handleAgentCall handles a call at an agent, after the agent's pause if it is paused. It is not answered if the agent is
+// down or was restarted.
+func (ops *operations) handleAgentCall(call fleet.Do, reply func(fleet.Did)) {
+	sim := ops.sim
+	i := slices.IndexFunc(sim.agents, func(agent *simAgent) bool { return agent.id == call.Agent.ID })
+	if i < 0 || !sim.agents[i].up {
 		return
 	}
-	b := w.owners[i]
-	life := b.start
-	awake := func(do func()) {
-		if b.still > w.now {
-			w.later(b.still-w.now+1, func() {
-				if b.up && b.start == life {
-					do()
+	agent := sim.agents[i]
+	startCount := agent.startCount
+	whenAwake := func(run func()) {
+		if agent.pausedUntilMS > sim.nowMS {
+			sim.schedule(agent.pausedUntilMS-sim.nowMS+1, func() {
+				if agent.up && agent.startCount == startCount {
+					run()
 				}
 			})
 			return
 		}
-		do()
+		run()
 	}
-	awake(func() {
-		d := o.doers[b.id]
-		if do.Call == "look" {
-			m := o.by[do.Member]
-			reply(fleet.Did{Reached: true, State: "going", Start: d.Start, Down: m != nil && m.minder.Down()})
+	whenAwake(func() {
+		executor := ops.stepExecutors[agent.id]
+		if call.Call == "look" {
+			host := ops.hostByScheduler[call.Member]
+			reply(fleet.Did{Reached: true, State: "going", Start: executor.Start, Down: host != nil && host.supervisor.Down()})
 			return
 		}
-		if o.known(b, do, w.now+callMost/2, reply) {
+		if ops.answerKnownStep(agent, call, sim.nowMS+agentCallTimeoutMS/2, reply) {
 			return
 		}
-		// The read takes a while, and the agent may stand still before it goes on.
-		var rec *fleet.Record
-		if lead := o.sure(b); lead != nil {
-			rec = w.copy(lead.node.Record)
+		// The quorum read takes 1 to 3 ms, and the agent may be paused before it goes on with the result.
+		var record *fleet.Record
+		if leader := ops.quorumLeader(agent); leader != nil {
+			record = sim.sharedCopy(leader.node.Record)
 		}
-		if w.o.Bug == "stale-step" && rec == nil {
-			rec = b.rec
+		if sim.options.Bug == "stale-step" && record == nil {
+			record = agent.record
 		}
-		w.later(1+2*w.r.Float64(), func() {
-			if b.up && b.start == life {
-				awake(func() {
-					reply(o.begin(b, do, rec))
-					w.stir(b)
+		sim.schedule(1+2*sim.random.Float64(), func() {
+			if agent.up && agent.startCount == startCount {
+				whenAwake(func() {
+					reply(ops.beginStep(agent, call, record))
+					sim.wakeAgent(agent)
 				})
 			}
 		})
 	})
 }
 
-// known answers a call for a step that was begun, once it is over or its time to wait is.
-func (o *machines) known(b *owner, do fleet.Do, until float64, reply func(fleet.Did)) bool {
-	o.refresh(b, do.Member)
-	did, known := o.doers[b.id].Known(do)
-	switch life := b.start; {
+// answerKnownStep answers a call for a step that the agent has begun before, once the step is over or at untilMS (simulated
+// time) at the latest. It returns false if the step has not begun.
+func (ops *operations) answerKnownStep(agent *simAgent, call fleet.Do, untilMS float64, reply func(fleet.Did)) bool {
+	ops.refreshNote(agent, call.Member)
+	result, known := ops.stepExecutors[agent.id].Known(call)
+	switch startCount := agent.startCount; {
 	case !known:
-	case did.State != "going" || o.w.now >= until:
-		reply(did)
+	case result.State != "going" || ops.sim.nowMS >= untilMS:
+		reply(result)
 	default:
-		o.waits[b.id] = append(o.waits[b.id], func() {
-			if b.start == life {
-				o.known(b, do, until, reply)
+		ops.waitingCalls[agent.id] = append(ops.waitingCalls[agent.id], func() {
+			if agent.startCount == startCount {
+				ops.answerKnownStep(agent, call, untilMS, reply)
 			}
 		})
 	}
 	return known
 }
 
-// sure is the leader that a majority follows, where an agent reaches it: nobody else answers a read for sure.
-func (o *machines) sure(b *owner) *voter {
-	w := o.w
-	lead := w.leader()
-	if lead == nil || w.cut[b.id] || w.cut[fmt.Sprint("v", lead.id)] {
+// quorumLeader returns the leader if the agent can reach it and a majority of voters follows it, else nil: no other voter
+// can answer a quorum read.
+func (ops *operations) quorumLeader(agent *simAgent) *voter {
+	sim := ops.sim
+	leader := sim.leader()
+	if leader == nil || sim.disconnected[agent.id] || sim.disconnected[fmt.Sprint("v", leader.id)] {
 		return nil
 	}
-	n := 0
-	for _, v := range w.voters {
-		if id, _ := v.node.Leader(); id == lead.id && v.still <= w.now && !w.cut[fmt.Sprint("v", v.id)] && v.node.Err() == nil {
-			n++
+	followers := 0
+	for _, v := range sim.voters {
+		if id, _ := v.node.Leader(); id == leader.id && v.pausedUntilMS <= sim.nowMS &&
+			!sim.disconnected[fmt.Sprint("v", v.id)] && v.node.Err() == nil {
+			followers++
 		}
 	}
-	if n <= len(w.voters)/2 {
+	if followers <= len(sim.voters)/2 {
 		return nil
 	}
-	return lead
+	return leader
 }
 
-func (o *machines) begin(b *owner, do fleet.Do, rec *fleet.Record) fleet.Did {
-	w, d := o.w, o.doers[b.id]
-	did, begins := d.Begin(do, rec)
+// beginStep has an agent begin a step, if the record (nil if it could not be read) allows that, and checks that steps begun
+// keep to the halts and limits and that no site's command is run twice for a step.
+func (ops *operations) beginStep(agent *simAgent, call fleet.Do, record *fleet.Record) fleet.Did {
+	sim, executor := ops.sim, ops.stepExecutors[agent.id]
+	result, begins := executor.Begin(call, record)
 	if !begins {
-		if did.State == "unknown" {
-			o.keep(b)
-		}
-		return did
-	}
-	op := rec.Ops[do.Op]
-	s := op.Steps[do.Member]
-	if !o.lifted && o.halted > 0 && w.now > o.halted && fleet.Takes(s) && d.Halts["all"].Of != "" {
-		w.broke("%s began to take %s out after its yes to a halt", b.id, do.Member)
-	}
-	if m := o.by[do.Member]; m != nil && fleet.Takes(s) {
-		// What has been down for long uses up the room, whatever took it down.
-		truth := fleet.NewRecord()
-		truth.Limits = o.limits
-		for _, x := range o.all {
-			truth.Members[x.t.ID] = x.t.Member
-			if truth.Health[x.t.ID] = (fleet.Seen{State: fleet.InService}); w.now-x.served > 6000 && x != m {
-				truth.Health[x.t.ID] = fleet.Seen{State: "down"}
+		if result.State == "unknown" {
+			ops.saveDisk(agent)
+		}
+		return result
+	}
+	op := record.Ops[call.Op]
+	step := op.Steps[call.Member]
+	if !ops.haltLifted && ops.haltAtMS > 0 && sim.nowMS > ops.haltAtMS && fleet.Takes(step) &&
+		executor.Halts["all"].Of != "" {
+		sim.reportViolation("%s began to take %s out after its yes to a halt", agent.id, call.Member)
+	}
+	if host := ops.hostByScheduler[call.Member]; host != nil && fleet.Takes(step) {
+		// A scheduler that has been down for longer than longDownMS counts against the limits, whatever took it down.
+		actual := fleet.NewRecord()
+		actual.Limits = ops.limits
+		for _, other := range ops.hosts {
+			actual.Members[other.scheduler.ID] = other.scheduler.Member
+			actual.Health[other.scheduler.ID] = fleet.Seen{State: fleet.InService}
+			if sim.nowMS-other.lastServedMS > longDownMS && other != host {
+				actual.Health[other.scheduler.ID] = fleet.Seen{State: "down"}
 			}
 		}
-		for _, c := range truth.Room(do.Member) {
-			if c.Why != "" {
-				w.broke("%s was taken out while others were down for long: %s: %v", do.Member, c.Why, c.Out)
+		for _, count := range actual.Room(call.Member) {
+			if count.Why != "" {
+				sim.reportViolation("%s was taken out while others were down for long: %s: %v", call.Member, count.Why, count.Out)
 			}
 		}
 	}
-	if do.Call == "command" {
-		x := o.workers[do.Member]
-		if x.ran[do.No]++; x.ran[do.No] > 1 {
-			w.broke("the command for %s was begun twice, for step %d", do.Member, do.No)
-		}
-		x.downTill, x.warmAt = w.now+200, w.now+200+simColdFor
-		o.keep(b)
-		life := b.start
-		w.later(simCommand, func() {
-			if n := d.Notes[do.Member]; b.up && b.start == life && n.No == do.No {
-				n.State = "done"
-				d.Notes[do.Member] = n
-				o.keep(b)
-				w.stir(b)
+	if call.Call == "command" {
+		worker := ops.workers[call.Member]
+		if worker.commandRuns[call.No]++; worker.commandRuns[call.No] > 1 {
+			sim.reportViolation("the command for %s was begun twice, for step %d", call.Member, call.No)
+		}
+		worker.downUntilMS, worker.warmAtMS = sim.nowMS+workerDownMS, sim.nowMS+workerDownMS+workerColdMS
+		ops.saveDisk(agent)
+		startCount := agent.startCount
+		sim.schedule(workerCommandMS, func() {
+			if note := executor.Notes[call.Member]; agent.up && agent.startCount == startCount && note.No == call.No {
+				note.State = "done"
+				executor.Notes[call.Member] = note
+				ops.saveDisk(agent)
+				sim.wakeAgent(agent)
 			}
 		})
-		return did
-	}
-	r := o.kept[do.Member]
-	r.Pairs, r.Former = maps.Clone(r.Pairs), maps.Clone(r.Former)
-	m := o.by[do.Member]
-	now := r.Pairs[r.Gen]
-	if state, _ := m.minder.State(); r.Good != r.Gen && state == "failed" {
-		now = r.Pairs[r.Good]
-	}
-	want, again := now, op.Kind == "restart" && !op.Back
-	switch former, kept := r.Former[op.ID]; {
-	case do.Call == "stop":
-	case op.Kind == "release" && (op.Back || s.Undo):
-		if kept {
-			want = former
-		} else if now != "" {
-			n := d.Notes[do.Member]
-			n.State, n.Why = "failed", "what ran before is not kept here"
-			d.Notes[do.Member] = n
-			o.keep(b)
-			did.State, did.Why = n.State, n.Why
-			return did
+		return result
+	}
+	saved := ops.savedRuns[call.Member]
+	saved.Pairs, saved.Former = maps.Clone(saved.Pairs), maps.Clone(saved.Former)
+	host := ops.hostByScheduler[call.Member]
+	current := saved.Pairs[saved.Gen]
+	if state, _ := host.supervisor.State(); saved.Good != saved.Gen && state == "failed" {
+		current = saved.Pairs[saved.Good]
+	}
+	wanted, restartSame := current, op.Kind == "restart" && !op.Back
+	switch former, formerSaved := saved.Former[op.ID]; {
+	case call.Call == "stop":
+	case op.Kind == "release" && (op.Back || step.Undo):
+		if formerSaved {
+			wanted = former
+		} else if current != "" {
+			note := executor.Notes[call.Member]
+			note.State, note.Why = "failed", "what ran before is not kept here"
+			executor.Notes[call.Member] = note
+			ops.saveDisk(agent)
+			result.State, result.Why = note.State, note.Why
+			return result
 		}
 	case op.Kind == "release":
-		if want = o.bad; want == "" {
-			want = "good"
+		if wanted = ops.releasedProgram; wanted == "" {
+			wanted = "good"
 		}
-		if !kept && now != want {
-			r.Former[op.ID] = now
+		if !formerSaved && current != wanted {
+			saved.Former[op.ID] = current
 		}
-	case s.Undo:
-		again = false
+	case step.Undo:
+		restartSame = false
 	}
 	switch {
-	case do.Call == "stop":
-		r.Run = false
-	case want == r.Pairs[r.Good] && !again && r.Run:
-		r.Gen = r.Good
+	case call.Call == "stop":
+		saved.Run = false
+	case wanted == saved.Pairs[saved.Good] && !restartSame && saved.Run:
+		saved.Gen = saved.Good
 	default:
-		r.Run, r.Gen = true, do.No
-		r.Pairs[do.No] = want
-	}
-	o.kept[do.Member] = r
-	o.touched[b.id][do.Member] = true
-	o.keep(b)
-	m.minder.Wants(b.clock.at(w.now), r.Run, r.Gen)
-	return did
+		saved.Run, saved.Gen = true, call.No
+		saved.Pairs[call.No] = wanted
+	}
+	ops.savedRuns[call.Member] = saved
+	ops.steppedMembers[agent.id][call.Member] = true
+	ops.saveDisk(agent)
+	host.supervisor.Wants(agent.clock.read(sim.nowMS), saved.Run, saved.Gen)
+	return result
 }
 
-func (o *machines) refresh(b *owner, member string) {
-	m, d := o.by[member], o.doers[b.id]
-	n := d.Notes[member]
-	if m == nil || n.State != "going" {
+// refreshNote updates an agent's note of a member's step that is under way from the supervisor's state.
+func (ops *operations) refreshNote(agent *simAgent, member string) {
+	host, executor := ops.hostByScheduler[member], ops.stepExecutors[agent.id]
+	note := executor.Notes[member]
+	if host == nil || note.State != "going" {
 		return
 	}
-	if n.State, n.Why = m.minder.State(); n.State != "going" {
-		d.Notes[member] = n
-		o.keep(b)
+	if note.State, note.Why = host.supervisor.State(); note.State != "going" {
+		executor.Notes[member] = note
+		ops.saveDisk(agent)
 	}
 }
 
-// look is what a scheduler says of itself, false where it does not answer.
-func (o *machines) look(t *target, zone string, r *fleet.Reply) bool {
-	m := o.by[t.ID]
+// schedulerStatus fills in what a scheduler reports of itself and of its zone's workers. It returns false if no process of
+// the scheduler can answer.
+func (ops *operations) schedulerStatus(scheduler *simScheduler, zone string, reply *fleet.Reply) bool {
+	host := ops.hostByScheduler[scheduler.ID]
 	running := false
-	for _, p := range m.procs {
-		running = running || p != nil && o.w.now >= p.readyAt
+	for _, process := range host.processes {
+		running = running || process != nil && ops.sim.nowMS >= process.readyAtMS
 	}
 	if !running {
 		return false
 	}
-	if r.Phase = "serving"; !m.serves(o.w.now) {
-		r.Phase = "draining"
+	if reply.Phase = "serving"; !host.serves(ops.sim.nowMS) {
+		reply.Phase = "draining"
 	}
-	r.Workers = map[string]string{}
-	for id, x := range o.workers {
+	reply.Workers = map[string]string{}
+	for id, worker := range ops.workers {
 		switch {
-		case x.zone != zone || o.w.now < x.downTill:
-		case o.w.now < x.warmAt:
-			r.Workers[id] = "cold"
+		case worker.zone != zone || ops.sim.nowMS < worker.downUntilMS:
+		case ops.sim.nowMS < worker.warmAtMS:
+			reply.Workers[id] = "cold"
 		default:
-			r.Workers[id] = "warm"
+			reply.Workers[id] = "warm"
 		}
 	}
 	return true
 }
 
-// ---- who asks ----
-
-func (o *machines) person() {
-	w := o.w
-	w.turn++
-	me := fmt.Sprint("person", w.turn)
-	w.ask("client", fleet.Command{Caller: me, Number: 1, Do: "limits", By: "ann", Limits: o.limits}, 1e9, func(a fleet.Answer) {
-		w.ask("client", fleet.Command{Caller: me, Number: 2, Do: "begin", By: "ann", Op: &o.want}, 1e9, func(a fleet.Answer) {
-			if !a.Done { // not all are on record yet, or it is halted
-				w.later(1000, o.person)
+// ---- the operator ----
+
+// requestOperation submits the limits and then the operation, and again after beginRetryMS until the operation was accepted.
+func (ops *operations) requestOperation() {
+	sim := ops.sim
+	sim.sequence++
+	caller := fmt.Sprint("person", sim.sequence)
+	limits := fleet.Command{Caller: caller, Number: 1, Do: "limits", By: "ann", Limits: ops.limits}
+	sim.submit("client", limits, noTimeoutMS, func(fleet.Answer) {
+		begin := fleet.Command{Caller: caller, Number: 2, Do: "begin", By: "ann", Op: &ops.requested}
+		sim.submit("client", begin, noTimeoutMS, func(answer fleet.Answer) {
+			if !answer.Done { // not all members are on record yet, or a halt is in force
+				sim.schedule(beginRetryMS, ops.requestOperation)
 				return
 			}
-			o.op = fmt.Sprintf("%s-%d", o.want.Kind, a.No)
-			w.note("begun %s", o.op)
+			ops.currentID = fmt.Sprintf("%s-%d", ops.requested.Kind, answer.No)
+			sim.traceEvent("begun %s", ops.currentID)
 		})
 	})
 }
 
-// halt goes to the record and to every agent.
-func (o *machines) halt() {
-	w := o.w
-	w.turn++
-	w.note("halt")
-	w.ask("client", fleet.Command{Caller: fmt.Sprint("halt", w.turn), Number: 1, Do: "halt", ID: "all", By: "ann", Why: "a look"}, 1e9,
-		func(fleet.Answer) {})
-	for _, a := range w.owners {
-		if ms, ok := w.link("client", a.id); ok {
-			w.later(ms, func() {
-				if d := o.doers[a.id]; a.up && a.still <= w.now && d.Halts["all"].Of == "" && !o.lifted {
-					d.Halts["all"] = fleet.Halt{Of: "all", By: "ann", No: 1}
-					o.keep(a)
+// requestHalt halts all operations on record and directly at every agent that can be reached, and schedules the lifting of
+// the halt 3 to 7 s later.
+func (ops *operations) requestHalt() {
+	sim := ops.sim
+	sim.sequence++
+	sim.traceEvent("halt")
+	sim.submit("client", fleet.Command{Caller: fmt.Sprint("halt", sim.sequence), Number: 1, Do: "halt", ID: "all", By: "ann",
+		Why: "a look"}, noTimeoutMS, func(fleet.Answer) {})
+	for _, agent := range sim.agents {
+		if delayMS, ok := sim.drawDelay("client", agent.id); ok {
+			sim.schedule(delayMS, func() {
+				if executor := ops.stepExecutors[agent.id]; agent.up && agent.pausedUntilMS <= sim.nowMS &&
+					executor.Halts["all"].Of == "" && !ops.haltLifted {
+					executor.Halts["all"] = fleet.Halt{Of: "all", By: "ann", No: 1}
+					ops.saveDisk(agent)
 				}
 			})
 		}
 	}
-	w.later(3000+4000*w.r.Float64(), o.lift)
+	sim.schedule(3000+4000*sim.random.Float64(), ops.liftHalt)
 }
 
-func (o *machines) lift() {
-	w := o.w
-	w.turn++
-	me := fmt.Sprint("lift", w.turn)
-	w.ask("client", fleet.Command{Caller: me, Number: 1, Do: "lift", ID: "all", By: "ann"}, 1e9, func(a fleet.Answer) {
-		o.lifted = true
-		w.note("lifted %t %s", a.Done, a.Why)
+// liftHalt lifts the halt of all operations on record.
+func (ops *operations) liftHalt() {
+	sim := ops.sim
+	sim.sequence++
+	caller := fmt.Sprint("lift", sim.sequence)
+	lift := fleet.Command{Caller: caller, Number: 1, Do: "lift", ID: "all", By: "ann"}
+	sim.submit("client", lift, noTimeoutMS, func(answer fleet.Answer) {
+		ops.haltLifted = true
+		sim.traceEvent("lifted %t %s", answer.Done, answer.Why)
 	})
 }
 
-// settle has a person decide, once faults are over: what halted by itself goes back, and what was drained comes back.
-func (o *machines) settle(r *fleet.Record) {
-	w := o.w
-	op := r.Ops[o.op]
-	if o.op == "" || op == nil {
+// finishOperations plays the operator once faults have ended: an operation that is halted is rolled back, drained members
+// are undrained, and so are members that an operation left out when it ended. It sets endedMS when no member is out.
+func (ops *operations) finishOperations(record *fleet.Record) {
+	sim := ops.sim
+	op := record.Ops[ops.currentID]
+	if ops.currentID == "" || op == nil {
 		return
 	}
-	_, halted := r.Halts[o.op]
-	if _, all := r.Halts["all"]; all && w.now > o.relift+3000 { // one that came on record behind the call that lifted it
-		o.relift = w.now
-		o.lift()
+	_, halted := record.Halts[ops.currentID]
+	// A halt may have come on record after the command that was to lift it.
+	if _, all := record.Halts["all"]; all && sim.nowMS > ops.lastLiftMS+operatorRetryMS {
+		ops.lastLiftMS = sim.nowMS
+		ops.liftHalt()
 	}
 	switch {
-	case halted && !op.Back && !o.turned:
-		o.turned = true
-		w.turn++
-		w.ask("client", fleet.Command{Caller: fmt.Sprint("turn", w.turn), Number: 1, Do: "turn", Matter: fleet.OpOf(o.op), By: "ann"}, 1e9,
-			func(fleet.Answer) {})
-	case op.Done && op.Kind == "drain" && !o.drained:
-		o.drained = true
-		w.turn++
-		w.ask("client", fleet.Command{Caller: fmt.Sprint("undrain", w.turn), Number: 1, Do: "begin", By: "ann",
-			Op: &fleet.Op{Kind: "undrain", Waves: op.Waves}}, 1e9, func(a fleet.Answer) {
-			o.op = fmt.Sprintf("undrain-%d", a.No)
+	case halted && !op.Back && !ops.rollbackRequested:
+		ops.rollbackRequested = true
+		sim.sequence++
+		sim.submit("client", fleet.Command{Caller: fmt.Sprint("turn", sim.sequence), Number: 1, Do: "turn",
+			Matter: fleet.OpOf(ops.currentID), By: "ann"}, noTimeoutMS, func(fleet.Answer) {})
+	case op.Done && op.Kind == "drain" && !ops.undrainRequested:
+		ops.undrainRequested = true
+		sim.sequence++
+		sim.submit("client", fleet.Command{Caller: fmt.Sprint("undrain", sim.sequence), Number: 1, Do: "begin", By: "ann",
+			Op: &fleet.Op{Kind: "undrain", Waves: op.Waves}}, noTimeoutMS, func(answer fleet.Answer) {
+			ops.currentID = fmt.Sprintf("undrain-%d", answer.No)
 		})
-	case op.Done && op.Kind != "drain" && o.ended == 0:
-		// What ended without some of its members, a person brings back.
-		out := slices.Sorted(maps.Keys(r.Permits))
+	case op.Done && op.Kind != "drain" && ops.endedMS == 0:
+		// The operation may have ended with some of its members still out: the operator undrains them.
+		out := slices.Sorted(maps.Keys(record.Permits))
 		if len(out) == 0 {
-			o.ended = w.now
+			ops.endedMS = sim.nowMS
 			return
 		}
-		if w.now < o.raised+3000 {
+		if sim.nowMS < ops.lastUndrainMS+operatorRetryMS {
 			return
 		}
-		o.raised = w.now
-		w.turn++
-		w.ask("client", fleet.Command{Caller: fmt.Sprint("undrain", w.turn), Number: 1, Do: "begin", By: "ann",
-			Op: &fleet.Op{Kind: "undrain", Waves: [][]string{out}}}, 2000, func(a fleet.Answer) {
-			if a.Done {
-				o.op = fmt.Sprintf("undrain-%d", a.No)
+		ops.lastUndrainMS = sim.nowMS
+		sim.sequence++
+		sim.submit("client", fleet.Command{Caller: fmt.Sprint("undrain", sim.sequence), Number: 1, Do: "begin", By: "ann",
+			Op: &fleet.Op{Kind: "undrain", Waves: [][]string{out}}}, undrainTimeoutMS, func(answer fleet.Answer) {
+			if answer.Done {
+				ops.currentID = fmt.Sprintf("undrain-%d", answer.No)
 			}
 		})
 	}
 }
 
-// left tells whether an operation is halted with the reason, for a person: a released program falls again and again, and the
-// disk of its agent lost what ran before.
-func (o *machines) left(r *fleet.Record, op *fleet.Op) bool {
-	if op == nil || r.Halts[op.ID].By != fleet.OpOf(op.ID) {
+// leftToOperator tells whether an operation has halted itself with a reason and can't go on without an operator: the
+// released program fails again and again, and the agent's disk has lost what ran before. Every member that has not finished
+// must run that program, and its agent must report it as failed.
+func (ops *operations) leftToOperator(record *fleet.Record, op *fleet.Op) bool {
+	if op == nil || record.Halts[op.ID].By != fleet.OpOf(op.ID) {
 		return false
 	}
-	for id, s := range op.Steps {
-		m := o.by[id]
-		if op.Arrived(s) {
+	for id, step := range op.Steps {
+		host := ops.hostByScheduler[id]
+		if op.Arrived(step) {
 			continue
-		} else if m == nil || o.bad == "" || o.kept[id].Pairs[o.kept[id].Gen] != o.bad {
+		} else if host == nil || ops.releasedProgram == "" ||
+			ops.savedRuns[id].Pairs[ops.savedRuns[id].Gen] != ops.releasedProgram {
 			return false
 		}
-		if state, _ := m.minder.State(); state != "failed" {
-			return false // its agent has to say so
+		if state, _ := host.supervisor.State(); state != "failed" {
+			return false // only a failure that the agent itself reports counts
 		}
 	}
 	return true
 }
 
-// end tells whether all came to an end: the operation is over, nobody is out for it, and all processes are as they should.
-func (o *machines) end(r *fleet.Record) {
-	w := o.w
-	op := r.Ops[o.op]
-	if o.left(r, op) {
-		w.got.Left++
+// checkFinalState checks that the operation has ended or is left to an operator, that no member holds a permit to be out,
+// and that every scheduler serves. Members whose step has a reason (Why) for not going on are exempt from the last two.
+func (ops *operations) checkFinalState(record *fleet.Record) {
+	sim := ops.sim
+	op := record.Ops[ops.currentID]
+	if ops.leftToOperator(record, op) {
+		sim.result.Left++
 		return
 	}
 	if op == nil || !op.Done {
-		text := "none"
+		details := "none"
 		if op != nil {
-			for id, s := range op.Steps {
-				if !op.Arrived(s) && len(text) < 500 {
+			for id, step := range op.Steps {
+				if !op.Arrived(step) && len(details) < 500 {
 					state, why := "", ""
-					if m := o.by[id]; m != nil {
-						state, why = m.minder.State()
+					if host := ops.hostByScheduler[id]; host != nil {
+						state, why = host.supervisor.State()
 					}
-					for _, c := range r.Room(id) {
-						for _, other := range c.Out {
-							why, _ := r.IsOut(other)
-							text += other + " " + why + ", "
+					for _, count := range record.Room(id) {
+						for _, other := range count.Out {
+							why, _ := record.IsOut(other)
+							details += other + " " + why + ", "
 						}
 					}
-					text += fmt.Sprintf("; [%s] ", r.Grant(op, id))
-					text += fmt.Sprintf("; %s at %s since %d undo %t (%s) seen %+v minder %s %s note %+v", id, s.At, s.No, s.Undo, s.Why, r.Health[id],
-						state, why, o.doers[r.Members[id].Agent].Notes[id])
+					details += fmt.Sprintf("; [%s] ", record.Grant(op, id))
+					details += fmt.Sprintf("; %s at %s since %d undo %t (%s) seen %+v minder %s %s note %+v", id, step.At, step.No,
+						step.Undo, step.Why, record.Health[id], state, why, ops.stepExecutors[record.Members[id].Agent].Notes[id])
 				}
 			}
-			text = fmt.Sprintf("%s back %t wave %d of %d halts %v: %s", op.ID, op.Back, op.Wave, len(op.Waves), r.Halts, text)
+			details = fmt.Sprintf("%s back %t wave %d of %d halts %v: %s", op.ID, op.Back, op.Wave, len(op.Waves), record.Halts, details)
 		}
-		w.broke("the operation has not ended: %s", text)
+		sim.reportViolation("the operation has not ended: %s", details)
 		return
 	}
-	for id, p := range r.Permits {
-		if s := op.Steps[id]; s.Why == "" {
-			w.broke("%s still has a permit of %s", id, p.Op)
+	for id, permit := range record.Permits {
+		if step := op.Steps[id]; step.Why == "" {
+			sim.reportViolation("%s still has a permit of %s", id, permit.Op)
 		}
 	}
-	for _, m := range o.all {
-		if !m.serves(w.now) && op.Steps[m.t.ID].Why == "" {
-			state, why := m.minder.State()
-			w.broke("%s does not serve at the end: %s %s, kept %+v, procs %v %v, agent up %t", m.t.ID, state, why, o.kept[m.t.ID], m.procs[0], m.procs[1], m.a.up)
+	for _, host := range ops.hosts {
+		if !host.serves(sim.nowMS) && op.Steps[host.scheduler.ID].Why == "" {
+			state, why := host.supervisor.State()
+			sim.reportViolation("%s does not serve at the end: %s %s, kept %+v, procs %v %v, agent up %t", host.scheduler.ID, state, why,
+				ops.savedRuns[host.scheduler.ID], host.processes[0], host.processes[1], host.agent.up)
 		}
 	}
 }
