--- a/lab/plan/check.go
+++ b/lab/plan/check.go
@@ -7,100 +7,101 @@
 	"strings"
 )
 
-// Deeds are the faults that a plan may script, with what each acts on. The number says how its factor is to
-// be read: 0 there is none, 1 a part from 0 to 1, 2 above 0.
-var Deeds = map[string]struct {
+// FaultActions maps the values of Fault.Do to the targets that each acts on, separated by spaces, and to the values
+// that its Fault.Factor may have: 0 none, 1 above 0 and up to 1, 2 above 0. After Fault.For the fault ends: workers
+// and schedulers that it stopped start again.
+var FaultActions = map[string]struct {
 	On     string
 	Factor int
 }{
-	"kill":      {"workers schedulers", 0}, // ends without a word and starts again after For
-	"vanish":    {"workers", 0},            // silent: open connections stay, new ones never come up
-	"drain":     {"workers", 0},            // told in the list, then gone, back after For
-	"pause":     {"workers", 0},
-	"slow":      {"workers", 2},    // factor: times its speed
-	"neighbour": {"workers", 1},    // factor: part of its cores taken
-	"erring":    {"workers", 1},    // factor: part of its postings that fail
-	"twice":     {"workers", 1},    // part of its answers that come twice
-	"late":      {"workers", 1},    // part of its answers that come long after
-	"other":     {"workers", 1},    // part of its answers that name another's id
-	"stop":      {"schedulers", 0}, // a planned stop, and a new start after For
-	"reload":    {"schedulers", 0},
-	"maintain":  {"workers", 0},    // staff take it out, it restarts, and they put it back after For
-	"retune":    {"schedulers", 0}, // the settings change, of all of them, and back after For
-	"clock":     {"schedulers", 2}, // factor: milliseconds by which its clock jumps as it starts again
-	"mute":      {"schedulers", 0}, // a watch that is open falls silent, and neither side knows
-	"unwatch":   {"schedulers", 0}, // it is reset
-	"move":      {"schedulers", 0}, // they are told of another address of discovery
-	"down":      {"discovery", 0},
-	"lag":       {"discovery", 2}, // factor: milliseconds more until a change is told
-	"cut":       {"workers schedulers discovery", 0},
-	"lossy":     {"network", 1},
-	"delay":     {"network", 2}, // factor: milliseconds more for each message
-	"reset":     {"workers", 1}, // part of the connections to them that break
-	"burst":     {"clients", 2}, // factor: times the rate
-	"cancel":    {"clients", 1}, // part of all waiting clients that leave at once
+	"kill":      {"workers schedulers", 0},           // the process is killed
+	"vanish":    {"workers", 0},                      // the machine falls silent: open connections stay open, new ones are never established
+	"drain":     {"workers", 0},                      // drains, as the list says, and then stops
+	"pause":     {"workers", 0},                      // runs nothing
+	"slow":      {"workers", 2},                      // factor: multiplies its speed
+	"neighbour": {"workers", 1},                      // factor: part of its cores that others use
+	"erring":    {"workers", 1},                      // factor: part of its postings that fail
+	"twice":     {"workers", 1},                      // factor: part of its answers that it sends twice
+	"late":      {"workers", 1},                      // factor: part of its answers that it sends seconds late
+	"other":     {"workers", 1},                      // factor: part of its answers that carry the id of another txn
+	"stop":      {"schedulers", 0},                   // graceful shutdown
+	"reload":    {"schedulers", 0},                   // reads its settings again
+	"maintain":  {"workers", 0},                      // operators take it out, it restarts, and they put it back after For
+	"retune":    {"schedulers", 0},                   // the settings of all schedulers change, and change back after For, see RetuneUse
+	"clock":     {"schedulers", 2},                   // it is killed, and factor is by how many ms its clock has jumped when it restarts
+	"mute":      {"schedulers", 0},                   // its open watch falls silent, and neither side notices
+	"unwatch":   {"schedulers", 0},                   // the connection of its watch is reset
+	"move":      {"schedulers", 0},                   // it is told of a new address of discovery
+	"down":      {"discovery", 0},                    // answers no calls
+	"lag":       {"discovery", 2},                    // factor: ms by which discovery learns of changes later
+	"cut":       {"workers schedulers discovery", 0}, // network partition between On and To
+	"lossy":     {"network", 1},                      // factor: part of the messages that is lost, beyond Network.Loss
+	"delay":     {"network", 2},                      // factor: ms added to the delay of each message
+	"reset":     {"workers", 1},                      // factor: part of the connections to them that are reset
+	"burst":     {"clients", 2},                      // factor: multiplies the rate of arrivals
+	"cancel":    {"clients", 1},                      // factor: part of the waiting clients that leave at once
 }
 
-// Check says what is impossible in a plan, by its key.
+// Check returns an error for the first invalid value of a plan, which names its key.
 func (p *Plan) Check() error {
-	bad := func(key, format string, a ...any) error {
+	invalid := func(key, format string, a ...any) error {
 		return fmt.Errorf("%s: "+format, append([]any{key}, a...)...)
 	}
 	s := &p.Schedulers
 	switch {
 	case p.Name == "":
-		return bad("name", "is missing")
+		return invalid("name", "is missing")
 	case p.Length <= 0:
-		return bad("length", "is missing or 0")
+		return invalid("length", "is missing or 0")
 	case s.Count < 1 || s.Count > 5000:
-		return bad("schedulers.count", "%d is not from 1 to 5000", s.Count)
+		return invalid("schedulers.count", "%d is not from 1 to 5000", s.Count)
 	case len(s.Zones) == 0:
-		return bad("schedulers.zones", "is empty")
+		return invalid("schedulers.zones", "is empty")
 	case s.Tick <= 0:
-		return bad("schedulers.tick", "must be above 0")
+		return invalid("schedulers.tick", "must be above 0")
 	case s.MaxPosts < 1:
-		return bad("schedulers.max_postings", "%d is below 1", s.MaxPosts)
+		return invalid("schedulers.max_postings", "%d is below 1", s.MaxPosts)
 	case s.Dial <= 0:
-		return bad("schedulers.dial", "must be above 0")
+		return invalid("schedulers.dial", "must be above 0")
 	case s.StopFor < 700:
-		return bad("schedulers.stop_for", "must be 700ms or more, as connections still come for so long")
+		return invalid("schedulers.stop_for", "must be 700ms or more, as new connections still arrive for so long")
 	case len(p.Schemes) == 0:
-		return bad("scheme", "there is none")
+		return invalid("scheme", "is missing; a plan needs at least one [[scheme]]")
 	case len(p.Workers) == 0:
-		return bad("workers", "there are none")
+		return invalid("workers", "is missing; a plan needs at least one [[workers]]")
 	}
 	names := map[string]bool{}
 	for i, c := range p.Schemes {
 		key := fmt.Sprintf("scheme[%d].", i)
 		switch {
 		case c.Name == "" || names[c.Name] || strings.Trim(c.Name, "abcdefghijklmnopqrstuvwxyz0123456789-") != "":
-			return bad(key+"name", "%q is missing, repeated or not of a-z, 0-9 and -", c.Name)
+			return invalid(key+"name", "%q is missing, repeated or not of a-z, 0-9 and -", c.Name)
 		case !slices.Contains([]string{"repeatable", "referenced", "once-only"}, c.Effect):
-			return bad(key+"effect", "%q is not repeatable, referenced or once-only", c.Effect)
+			return invalid(key+"effect", "%q is not repeatable, referenced or once-only", c.Effect)
 		case !slices.Contains([]string{"all", "zone", "cell"}, c.Group):
-			return bad(key+"group", "%q is not all, zone or cell", c.Group)
+			return invalid(key+"group", "%q is not all, zone or cell", c.Group)
 		case c.Effect == "referenced" && c.Window <= 0:
-			return bad(key+"window", "is missing, and its group drops repeats only within it")
+			return invalid(key+"window", "is missing; a referenced scheme needs the time within which its group drops repeats")
 		case c.SLA <= 0:
-			return bad(key+"sla", "is missing or 0")
+			return invalid(key+"sla", "is missing or 0")
 		case c.Expiry < c.SLA:
-			return bad(key+"expiry", "is missing or below sla")
+			return invalid(key+"expiry", "is missing or below sla")
 		case c.Gain <= 0:
-			return bad(key+"gain", "must be above 0")
+			return invalid(key+"gain", "must be above 0")
 		case c.Late < 0 || c.Late > 1:
-			return bad(key+"late", "%v is not from 0 to 1", c.Late)
+			return invalid(key+"late", "%v is not from 0 to 1", c.Late)
 		case c.Part <= 0:
-			return bad(key+"part", "must be above 0")
+			return invalid(key+"part", "must be above 0")
 		case c.Hinted < 0 || c.Hinted > 1:
-			return bad(key+"hinted", "%v is not from 0 to 1", c.Hinted)
+			return invalid(key+"hinted", "%v is not from 0 to 1", c.Hinted)
 		case c.Rough < 0 || c.Rough > 3:
-			return bad(key+"rough", "%v is not from 0 to 3", c.Rough)
+			return invalid(key+"rough", "%v is not from 0 to 3", c.Rough)
 		case c.Kind != "" && !slices.Contains(p.Kinds(), c.Kind):
-			return bad(key+"kind", "no workers of kind %q", c.Kind)
+			return invalid(key+"kind", "no workers of kind %q", c.Kind)
 		}
 		names[c.Name] = true
 		if err := c.Cost.check(); err != nil {
-			return bad(key+"cost", "%w", err)
+			return invalid(key+"cost", "%w", err)
 		}
 	}
 	groups := map[string]bool{}
@@ -108,128 +109,130 @@
 		key := fmt.Sprintf("workers[%d].", i)
 		switch {
 		case w.Name == "" || groups[w.Name] || strings.ContainsAny(w.Name, ":@ "):
-			return bad(key+"name", "%q is missing, repeated or has one of ':@ '", w.Name)
+			return invalid(key+"name", "%q is missing, repeated or has one of ':@ '", w.Name)
 		case w.Count < 1 || w.Count > 100000:
-			return bad(key+"count", "%d is not from 1 to 100000", w.Count)
+			return invalid(key+"count", "%d is not from 1 to 100000", w.Count)
 		case w.Cores <= 0:
-			return bad(key+"cores", "must be above 0")
+			return invalid(key+"cores", "must be above 0")
 		case w.Slots < 1:
-			return bad(key+"slots", "must be 1 or more")
+			return invalid(key+"slots", "must be 1 or more")
 		case w.Queue < 0:
-			return bad(key+"queue", "is below 0")
+			return invalid(key+"queue", "is below 0")
 		case !slices.Contains([]string{"fifo", "backfill", "priority"}, w.Order):
-			return bad(key+"order", "%q is not fifo, backfill or priority", w.Order)
+			return invalid(key+"order", "%q is not fifo, backfill or priority", w.Order)
 		case w.Speed <= 0:
-			return bad(key+"speed", "must be above 0")
+			return invalid(key+"speed", "must be above 0")
 		case w.CellSize < 1:
-			return bad(key+"cell_size", "must be 1 or more")
+			return invalid(key+"cell_size", "must be 1 or more")
 		case w.Joins >= p.Length:
-			return bad(key+"joins", "is not before length")
+			return invalid(key+"joins", "is not before length")
 		case w.Noise < 0:
-			return bad(key+"noise", "is below 0")
+			return invalid(key+"noise", "is below 0")
 		}
 		groups[w.Name] = true
 	}
 	for i, c := range p.Schemes {
 		fits := func(w Workers) bool { return w.Slots >= c.Slots && (c.Kind == "" || w.Kind == c.Kind) }
 		if !slices.ContainsFunc(p.Workers, fits) {
-			return bad(fmt.Sprintf("scheme[%d].slots", i), "no worker has %d", c.Slots)
+			return invalid(fmt.Sprintf("scheme[%d].slots", i), "no worker that may run it has %d slots", c.Slots)
 		}
 	}
-	if err := p.checkRest(bad); err != nil {
+	if err := p.checkClientsAndNetwork(invalid); err != nil {
 		return err
 	}
 	for i, f := range p.Faults {
 		key := fmt.Sprintf("fault[%d].", i)
-		deed, ok := Deeds[f.Do]
+		action, ok := FaultActions[f.Do]
 		kind, _, _, err := Part(f.On)
 		switch {
 		case !ok:
-			return bad(key+"do", "%q is no fault; see docs/lab.md", f.Do)
+			return invalid(key+"do", "%q is no fault; see docs/lab.md", f.Do)
 		case err != nil:
-			return bad(key+"on", "%w", err)
-		case !slices.Contains(strings.Fields(deed.On), kind):
-			return bad(key+"on", "%s acts on %s, not on %q", f.Do, deed.On, f.On)
+			return invalid(key+"on", "%w", err)
+		case !slices.Contains(strings.Fields(action.On), kind):
+			return invalid(key+"on", "%s acts on %s, not on %q", f.Do, action.On, f.On)
 		case f.Share < 0 || f.Share > 1:
-			return bad(key+"share", "%v is not from 0 to 1", f.Share)
-		case deed.Factor == 0 && f.Factor != 0:
-			return bad(key+"factor", "%s has none", f.Do)
-		case deed.Factor == 1 && (f.Factor <= 0 || f.Factor > 1):
-			return bad(key+"factor", "%v is not above 0 and up to 1", f.Factor)
-		case deed.Factor == 2 && f.Factor <= 0:
-			return bad(key+"factor", "must be above 0")
+			return invalid(key+"share", "%v is not from 0 to 1", f.Share)
+		case action.Factor == 0 && f.Factor != 0:
+			return invalid(key+"factor", "%s takes no factor", f.Do)
+		case action.Factor == 1 && (f.Factor <= 0 || f.Factor > 1):
+			return invalid(key+"factor", "%v is not above 0 and up to 1", f.Factor)
+		case action.Factor == 2 && f.Factor <= 0:
+			return invalid(key+"factor", "must be above 0")
 		case f.Do == "retune" && (f.Share != 1 || f.Over != 0 || f.On != "schedulers"):
-			return bad(key+"on", "a retune is of all schedulers at once")
-		case f.Do == "retune" && f.For > 0 && f.For < RetuneFor:
-			return bad(key+"for", "a retune takes %v ms at the least", float64(RetuneFor))
+			return invalid(key+"on", "a retune is of all schedulers at once: on must be \"schedulers\", share 1 and over 0")
+		case f.Do == "retune" && f.For > 0 && f.For < minRetune:
+			return invalid(key+"for", "a retune takes at least %v ms", float64(minRetune))
 		case f.Do == "maintain" && f.For < 200:
-			return bad(key+"for", "a worker that is out restarts meanwhile, which takes 200 ms at the least")
+			return invalid(key+"for", "is below 200 ms; the worker restarts in that time")
 		case f.Do == "cut" && f.To == "":
-			return bad(key+"to", "is missing: a cut lies between two parts")
+			return invalid(key+"to", "is missing; a cut needs both of its sides")
 		case f.Do != "cut" && f.To != "":
-			return bad(key+"to", "only a cut has one")
+			return invalid(key+"to", "is set, but only a cut has a second side")
 		case f.At >= p.Length:
-			return bad(key+"at", "is not before length")
+			return invalid(key+"at", "is not before length")
 		}
 		if f.To != "" {
 			if to, _, _, err := Part(f.To); err != nil || to == "clients" || to == "network" {
-				return bad(key+"to", "%q is not workers, schedulers or discovery", f.To)
+				return invalid(key+"to", "%q is not workers, schedulers or discovery", f.To)
 			}
 		}
 		if kind == "workers" || kind == "schedulers" {
 			if _, name, zone, _ := Part(f.On); name != "" && kind == "workers" && !groups[name] {
-				return bad(key+"on", "no workers are named %q", name)
+				return invalid(key+"on", "no workers are named %q", name)
 			} else if zone != "" && !slices.Contains(p.Zones(), zone) {
-				return bad(key+"on", "no zone is named %q", zone)
+				return invalid(key+"on", "no zone is named %q", zone)
 			}
 		}
 	}
 	return nil
 }
 
-func (p *Plan) checkRest(bad func(key, format string, a ...any) error) error {
+// checkClientsAndNetwork checks the slow start, the clients, discovery and the network.
+func (p *Plan) checkClientsAndNetwork(invalid func(key, format string, a ...any) error) error {
 	c, cold, d, n := &p.Clients, &p.Cold, &p.Discovery, &p.Network
 	switch {
 	case cold.From <= 0 || cold.From > 1:
-		return bad("cold.from", "%v is not above 0 and up to 1", cold.From)
+		return invalid("cold.from", "%v is not above 0 and up to 1", cold.From)
 	case cold.Fall <= 0 || cold.For <= 0 || cold.Times <= 0 || cold.Slack < 0:
-		return bad("cold", "for, fall and times must be above 0, and slack 0 or more")
+		return invalid("cold", "for, fall and times must be above 0, and slack 0 or more")
 	case c.Arrivals != "trace" && (c.Load > 0) == (c.Rate > 0):
-		return bad("clients.load", "one of load and rate must be above 0")
+		return invalid("clients.load", "one of load and rate must be above 0")
 	case !slices.Contains([]string{"poisson", "bursty", "ramp", "trace"}, c.Arrivals):
-		return bad("clients.arrivals", "%q is not poisson, bursty, ramp or trace", c.Arrivals)
+		return invalid("clients.arrivals", "%q is not poisson, bursty, ramp or trace", c.Arrivals)
 	case c.Arrivals == "trace" && len(c.Trace) == 0:
-		return bad("clients.trace", "is empty")
+		return invalid("clients.trace", "is empty")
 	case c.Arrivals == "trace" && !slices.IsSorted(c.Trace):
-		return bad("clients.trace", "goes back in time")
+		return invalid("clients.trace", "is not in order of time")
 	case c.Arrivals == "bursty" && (c.Burst <= 1 || c.BurstFor <= 0):
-		return bad("clients.burst", "must be above 1, and burst_for above 0")
+		return invalid("clients.burst", "must be above 1, and burst_for above 0")
 	case c.Arrivals == "ramp" && c.RampTo <= 0:
-		return bad("clients.ramp_to", "must be above 0")
+		return invalid("clients.ramp_to", "must be above 0")
 	case c.Tries < 1:
-		return bad("clients.tries", "%d is below 1", c.Tries)
+		return invalid("clients.tries", "%d is below 1", c.Tries)
 	case c.Impatient < 0 || c.Impatient > 1:
-		return bad("clients.impatient", "%v is not from 0 to 1", c.Impatient)
+		return invalid("clients.impatient", "%v is not from 0 to 1", c.Impatient)
 	case d.Mode != "watch" && d.Mode != "push":
-		return bad("discovery.mode", "%q is not watch or push", d.Mode)
+		return invalid("discovery.mode", "%q is not watch or push", d.Mode)
 	case d.Calls <= 0:
-		return bad("discovery.calls", "must be above 0")
+		return invalid("discovery.calls", "must be above 0")
 	case d.MustAsk <= 0:
-		return bad("discovery.must_ask", "must be above 0")
+		return invalid("discovery.must_ask", "must be above 0")
 	case d.Weights != "size" && d.Weights != "live":
-		return bad("discovery.weights", "%q is not size or live", d.Weights)
+		return invalid("discovery.weights", "%q is not size or live", d.Weights)
 	case n.Loss < 0 || n.Loss >= 1:
-		return bad("network.loss", "%v is not from 0 to below 1", n.Loss)
+		return invalid("network.loss", "%v is not from 0 to below 1", n.Loss)
 	}
 	for i, t := range c.Tenants {
 		if t.Name == "" || t.Part <= 0 || t.Quota < 0 {
-			return bad(fmt.Sprintf("clients.tenant[%d]", i), "a name, a part above 0 and a quota of 0 or more")
+			return invalid(fmt.Sprintf("clients.tenant[%d]", i), "needs a name, a part above 0 and a quota of 0 or more")
 		}
 	}
 	return nil
 }
 
-// Part reads what a fault acts on: a kind of part, then perhaps ":NAME" and "@ZONE".
+// Part parses the target of a fault: "workers", "schedulers", "discovery", "clients" or "network", then optionally
+// ":NAME" (of a group of workers, or the number of a scheduler) and "@ZONE".
 func Part(on string) (kind, name, zone string, err error) {
 	kind, zone, _ = strings.Cut(on, "@")
 	kind, name, _ = strings.Cut(kind, ":")
@@ -239,10 +242,11 @@
 	return kind, name, zone, err
 }
 
-func (l *Law) check() error {
+// check returns an error where the distribution lacks a parameter or has an invalid one.
+func (l *Distribution) check() error {
 	switch {
 	case l.Most > 0 && l.Most < l.Least:
-		return fmt.Errorf("most is below least")
+		return fmt.Errorf("most %v ms is below least %v ms", float64(l.Most), float64(l.Least))
 	case l.Law == "fixed" || l.Law == "exp":
 		if l.Mean <= 0 {
 			return fmt.Errorf("%s needs a mean above 0", l.Law)
@@ -261,15 +265,15 @@
 	return nil
 }
 
-// Draw turns two even draws from [0, 1) into a length of time in milliseconds.
-func (l *Law) Draw(u, v float64) float64 {
+// Draw turns two draws that are uniform on [0, 1) into a duration in milliseconds.
+func (l *Distribution) Draw(u, v float64) float64 {
 	x := float64(l.Mean)
 	switch l.Law {
 	case "exp":
 		x = -x * math.Log(1-u)
 	case "lognormal":
 		x = float64(l.Median) * math.Exp(l.Sigma*math.Sqrt(-2*math.Log(1-u))*math.Cos(2*math.Pi*v))
-	case "pareto": // bounded, by its inverse
+	case "pareto": // bounded Pareto, by the inverse of its distribution function
 		lo, hi := math.Pow(float64(l.Least), l.Alpha), math.Pow(float64(l.Most), l.Alpha)
 		x = math.Pow(-(u*hi-u*lo-hi)/(hi*lo), -1/l.Alpha)
 	}
@@ -280,8 +284,9 @@
 	return x
 }
 
-// Expect is the mean, in milliseconds, summed over an even grid, so that bounds count as they act.
-func (l *Law) Expect() float64 {
+// Expect returns the mean of Draw in milliseconds. It is summed over a uniform grid, so that it includes the effect of
+// Least and Most.
+func (l *Distribution) Expect() float64 {
 	const n = 200
 	sum := 0.0
 	for i := range n {
--- a/lab/plan/layout.go
+++ b/lab/plan/layout.go
@@ -8,36 +8,38 @@
 	"shalebeam/lab/machine"
 )
 
-// Box is one worker of the layout.
+// Box is one worker of the fleet. Zone and Kind are indexes in Plan.Zones and Plan.Kinds; cells are numbered from 0.
 type Box struct {
 	Name             string
-	Group            int // its place in Workers
+	Group            int // index in Plan.Workers
 	Zone, Cell, Kind int
 }
 
-// Boxes lays the fleet out: names, zones in turn, cells of neighbours within a zone.
+// Boxes returns all workers: a group's workers are assigned to its zones round-robin, and those of one zone fill one
+// cell after another.
 func (p *Plan) Boxes() (boxes []Box) {
 	zones, kinds := p.Zones(), p.Kinds()
 	cells := 0
 	for g, w := range p.Workers {
-		filled := map[int][2]int{} // by zone: the cell that fills, and how many it has
+		lastCell := map[int][2]int{} // by zone: the cell that is being filled, and how many workers it has
 		for i := range w.Count {
 			zone := slices.Index(zones, w.Zones[i%len(w.Zones)])
-			c, ok := filled[zone]
-			if !ok || c[1] == w.CellSize {
-				c = [2]int{cells, 0}
+			cell, ok := lastCell[zone]
+			if !ok || cell[1] == w.CellSize {
+				cell = [2]int{cells, 0}
 				cells++
 			}
-			c[1]++
-			filled[zone] = c
-			boxes = append(boxes, Box{Name: fmt.Sprintf("%s%d", w.Name, i), Group: g, Zone: zone, Cell: c[0],
+			cell[1]++
+			lastCell[zone] = cell
+			boxes = append(boxes, Box{Name: fmt.Sprintf("%s%d", w.Name, i), Group: g, Zone: zone, Cell: cell[0],
 				Kind: slices.Index(kinds, w.Kind)})
 		}
 	}
 	return boxes
 }
 
-// Spec is what a machine of this group is, where a txn costs so much in the mean (see MeanWork).
+// Spec returns the specification of a worker of a group. meanWork is the mean cost of a txn, see MeanWork. The limit
+// above which the worker fails in slow start is higher by Cold.Slack than the one in Terms.
 func (p *Plan) Spec(group int, meanWork float64) machine.Spec {
 	w := p.Workers[group]
 	return machine.Spec{Cores: w.Cores, Speed: w.Speed, Slots: w.Slots, Queue: w.Queue, Order: w.Order,
@@ -46,13 +48,15 @@
 		Checkpoint: float64(w.Checkpoint)}
 }
 
+// effects maps the values of Scheme.Effect.
 var effects = map[string]balance.Effect{"repeatable": balance.Repeatable, "referenced": balance.Referenced,
 	"once-only": balance.OnceOnly}
 
+// groups maps the values of Scheme.Group.
 var groups = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone,
 	"cell": balance.GroupCell}
 
-// Row is a scheme's row of the module's table.
+// Row returns the settings of scheme i in the form that package balance takes.
 func (p *Plan) Row(i int) balance.SchemeRow {
 	c := p.Schemes[i]
 	row := balance.SchemeRow{Name: c.Name, Effect: effects[c.Effect], Group: groups[c.Group], Window: float64(c.Window),
@@ -63,7 +67,7 @@
 	return row
 }
 
-// Terms are what scheduler number me is told at a start with this seed.
+// Terms returns the settings of scheduler number me for a start with this seed.
 func (p *Plan) Terms(me int, seed uint64) balance.Terms {
 	s, d, c := &p.Schedulers, &p.Discovery, &p.Cold
 	t := balance.Terms{Seed: seed, Me: me, Peers: s.Count, Zone: me % len(s.Zones), Tick: float64(s.Tick),
@@ -74,8 +78,8 @@
 	for i := range p.Schemes {
 		t.Schemes = append(t.Schemes, p.Row(i))
 	}
-	for _, n := range p.Clients.Tenants {
-		t.Quota = append(t.Quota, n.Quota)
+	for _, tenant := range p.Clients.Tenants {
+		t.Quota = append(t.Quota, tenant.Quota)
 	}
 	return t
 }
--- a/lab/plan/plan.go
+++ b/lab/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan reads and checks experiment files: what fleet, schedulers, clients and network there are, what
-// work comes, and what goes wrong when. The format is TOML; docs/lab.md describes every key. All times are
-// written with a unit ("250ms", "2s", "1m30s"), since a bare number is the commonest way to be wrong by 1,000.
+// Package plan reads and checks experiment files: the workers, schedulers, clients and network, the work that
+// arrives, and the faults to inject. The format is TOML; docs/lab.md describes every key. All times are written
+// with a unit ("250ms", "2s", "1m30s"), because a bare number is easily wrong by a factor of 1,000.
 package plan
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Span is a length of time in milliseconds, written with its unit.
+// Span is a duration in milliseconds. In an experiment file it is written with its unit.
 type Span float64
 
 // UnmarshalText reads a span such as "250ms".
@@ -26,23 +26,23 @@
 		return fmt.Errorf("%q is not a time with a unit, such as \"250ms\" or \"2s\"", b)
 	}
 	if d < 0 {
-		return fmt.Errorf("%q is below 0", b)
+		return fmt.Errorf("time %q is below 0", b)
 	}
 	*s = Span(float64(d) / float64(time.Millisecond))
 	return nil
 }
 
-// MarshalText writes it so that UnmarshalText reads the same.
+// MarshalText writes the span in the form that UnmarshalText reads.
 func (s Span) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(float64(s) * float64(time.Millisecond)).String()), nil
 }
 
-// Plan is one experiment.
+// Plan is one experiment, as its file describes it. Times are milliseconds.
 type Plan struct {
 	Name       string     `toml:"name"`
 	About      string     `toml:"about,omitempty"`
 	Seed       uint64     `toml:"seed"`
-	Length     Span       `toml:"length"` // how long clients send; all is then played to its end
+	Length     Span       `toml:"length"` // how long new jobs arrive; the run then continues until all jobs have ended
 	Schedulers Schedulers `toml:"schedulers"`
 	Schemes    []Scheme   `toml:"scheme"`
 	Workers    []Workers  `toml:"workers"`
@@ -53,143 +53,144 @@
 	Faults     []Fault    `toml:"fault,omitempty"`
 }
 
-// Schedulers says how many there are and what they may do.
+// Schedulers describes the schedulers: how many there are, where they run and which features they may use.
 type Schedulers struct {
 	Count    int      `toml:"count"`
-	Zones    []string `toml:"zones"` // schedulers are dealt over these in turn
-	Tick     Span     `toml:"tick"`
-	MaxPosts int      `toml:"max_postings"`
-	Copies   bool     `toml:"copies"`
-	Cancels  bool     `toml:"cancels"`
-	Probes   bool     `toml:"probes"`
-	Peers    bool     `toml:"peers"` // they may send one another datagrams
-	// What 256 bytes told for each job cost, as part of the worth of all; the module is told, nothing is taken off.
+	Zones    []string `toml:"zones"`        // schedulers are assigned to these zones round-robin
+	Tick     Span     `toml:"tick"`         // shortest delay after which a scheduler can poll again
+	MaxPosts int      `toml:"max_postings"` // postings that one txn may have in all
+	Copies   bool     `toml:"copies"`       // a txn may have two postings in flight
+	Cancels  bool     `toml:"cancels"`      // postings can be cancelled
+	Probes   bool     `toml:"probes"`       // workers answer probes
+	Peers    bool     `toml:"peers"`        // schedulers may send one another datagrams
+	// Cost of a message of 256 bytes for each txn, as a part of the gain of all txns. Schedulers are told of it; nothing
+	// is subtracted from the measured gain.
 	PeerPrice float64 `toml:"peer_price"`
-	Advice    Span    `toml:"advice"`
-	StopFor   Span    `toml:"stop_for"` // a planned stop takes this long at the most
-	Dial      Span    `toml:"dial"`
-	Idle      Span    `toml:"idle"`
-	OverShare float64 `toml:"over_share"` // worth of a txn past its tenant's share, as a part
+	Advice    Span    `toml:"advice"`     // longest retry delay that a client can be told; 0: none can be told
+	StopFor   Span    `toml:"stop_for"`   // longest duration of a graceful shutdown
+	Dial      Span    `toml:"dial"`       // timeout of a connection attempt
+	Idle      Span    `toml:"idle"`       // idle timeout of connections to workers
+	OverShare float64 `toml:"over_share"` // part of its gain that a txn beyond its tenant's quota is worth
 }
 
 // Scheme is one kind of txn.
 type Scheme struct {
-	Name    string  `toml:"name"`
-	Effect  string  `toml:"effect"` // repeatable, referenced, once-only
-	Group   string  `toml:"group,omitempty"`
-	Window  Span    `toml:"window,omitempty"`
-	SLA     Span    `toml:"sla"`
-	Stretch float64 `toml:"stretch,omitempty"`
-	Expiry  Span    `toml:"expiry"`
-	Gain    float64 `toml:"gain"`
-	Late    float64 `toml:"late,omitempty"` // part of the gain after the SLA time
-	Part    float64 `toml:"part"`           // of the arrivals, against the other schemes
-	Kind    string  `toml:"kind,omitempty"` // the one kind of worker that runs it
-	Keys    int     `toml:"keys,omitempty"` // how many objects its txns are about; 0: none
-	Slots   int     `toml:"slots,omitempty"`
-	Cost    Law     `toml:"cost"`
-	Hinted  float64 `toml:"hinted,omitempty"` // part of its txns that bring a hint
-	Rough   float64 `toml:"rough,omitempty"`  // spread of the hint: sigma of a lognormal factor
+	Name    string       `toml:"name"`
+	Effect  string       `toml:"effect"`           // repeatable, referenced, once-only
+	Group   string       `toml:"group,omitempty"`  // workers that drop repeats of a referenced txn: all, zone, cell
+	Window  Span         `toml:"window,omitempty"` // how long that group drops repeats
+	SLA     Span         `toml:"sla"`
+	Stretch float64      `toml:"stretch,omitempty"` // the SLA time is longer by this many times the txn's run time
+	Expiry  Span         `toml:"expiry"`
+	Gain    float64      `toml:"gain"`
+	Late    float64      `toml:"late,omitempty"`   // part of the gain that an answer after the SLA time earns
+	Part    float64      `toml:"part"`             // weight of this scheme among the arrivals of all schemes
+	Kind    string       `toml:"kind,omitempty"`   // the only kind of worker that runs it; "": every kind
+	Keys    int          `toml:"keys,omitempty"`   // number of distinct data keys that its txns refer to; 0: none
+	Slots   int          `toml:"slots,omitempty"`  // worker slots that a txn takes
+	Cost    Distribution `toml:"cost"`             // run time at speed 1
+	Hinted  float64      `toml:"hinted,omitempty"` // part of its txns that carry a run time hint
+	Rough   float64      `toml:"rough,omitempty"`  // error of the hint: sigma of its lognormal factor
 }
 
-// Law is a distribution of lengths of time.
-type Law struct {
+// Distribution is a distribution of durations.
+type Distribution struct {
 	Law    string  `toml:"law"` // fixed, exp, lognormal, pareto
 	Mean   Span    `toml:"mean,omitempty"`
 	Median Span    `toml:"median,omitempty"`
 	Sigma  float64 `toml:"sigma,omitempty"`
 	Least  Span    `toml:"least,omitempty"`
-	Most   Span    `toml:"most,omitempty"`
+	Most   Span    `toml:"most,omitempty"` // 0: no upper bound
 	Alpha  float64 `toml:"alpha,omitempty"`
 }
 
-// Workers is one group of like workers.
+// Workers is one group of identical workers.
 type Workers struct {
 	Name        string   `toml:"name"`
 	Count       int      `toml:"count"`
-	Zones       []string `toml:"zones"` // dealt over these in turn
+	Zones       []string `toml:"zones"` // workers are assigned to these zones round-robin
 	CellSize    int      `toml:"cell_size,omitempty"`
 	Kind        string   `toml:"kind,omitempty"`
 	Cores       float64  `toml:"cores"`
 	Slots       int      `toml:"slots"`
-	Queue       int      `toml:"queue,omitempty"`
-	Order       string   `toml:"order,omitempty"` // fifo, backfill, priority
-	Speed       float64  `toml:"speed,omitempty"`
-	Joins       Span     `toml:"joins,omitempty"`   // cold, at this time
-	RunsOn      bool     `toml:"runs_on,omitempty"` // a job that was called off runs on
-	HandBack    bool     `toml:"hand_back,omitempty"`
-	DrainFor    Span     `toml:"drain_for,omitempty"`    // what still runs then is lost
-	Checkpoint  Span     `toml:"checkpoint,omitempty"`   // a later run in the cell goes on from the last one
-	ReportsEach Span     `toml:"reports_each,omitempty"` // how old a load report may be; 0: no reports
-	Noise       float64  `toml:"noise,omitempty"`
+	Queue       int      `toml:"queue,omitempty"`        // length of the worker's queue, in postings
+	Order       string   `toml:"order,omitempty"`        // order of the queue: fifo, backfill, priority
+	Speed       float64  `toml:"speed,omitempty"`        // run time is divided by this
+	Joins       Span     `toml:"joins,omitempty"`        // when the workers start, cold; 0: they run from the start
+	RunsOn      bool     `toml:"runs_on,omitempty"`      // a cancelled posting runs to its end
+	HandBack    bool     `toml:"hand_back,omitempty"`    // a draining worker returns the postings that have not started
+	DrainFor    Span     `toml:"drain_for,omitempty"`    // a drain ends after this; postings that still run are lost
+	Checkpoint  Span     `toml:"checkpoint,omitempty"`   // work between checkpoints, from which a later run in the same cell resumes
+	ReportsEach Span     `toml:"reports_each,omitempty"` // interval of load reports and so their greatest age; 0: no reports
+	Noise       float64  `toml:"noise,omitempty"`        // greatest error of the free slots in a load report
 }
 
-// Cold says how a worker comes up and what makes it fall over.
+// Cold describes the slow start of workers, and the overload that makes a worker in slow start fail.
 type Cold struct {
-	From  float64 `toml:"from"`  // part of its capacity just after its start
-	For   Span    `toml:"for"`   // until all of it is there
-	Fall  Span    `toml:"fall"`  // the window over which pressure counts
-	Times float64 `toml:"times"` // of the capacity, over that window, it falls over
-	Down  Span    `toml:"down"`  // for so long, then starts again
-	Slack float64 `toml:"slack"` // beyond the rule's own term, as a part of what is allowed
+	From  float64 `toml:"from"`  // part of its capacity that a worker has just after its start
+	For   Span    `toml:"for"`   // time from its start until it has its full capacity
+	Fall  Span    `toml:"fall"`  // window over which the work sent to it is summed
+	Times float64 `toml:"times"` // it fails when sent more than this many times its capacity in that window
+	Down  Span    `toml:"down"`  // time after which a failed worker starts again
+	Slack float64 `toml:"slack"` // part by which the workers' real limit is above the one in Times that schedulers are told
 }
 
-// Clients says how txns come and how clients behave.
+// Clients describes how txns arrive and how clients behave.
 type Clients struct {
-	Load      float64  `toml:"load,omitempty"`  // of the warm fleet's capacity, by mean cost
-	Rate      float64  `toml:"rate,omitempty"`  // txns a second, in place of load
-	Arrivals  string   `toml:"arrivals"`        // poisson, bursty, ramp, trace
-	Burst     float64  `toml:"burst,omitempty"` // bursty: how many times the mean rate a burst has
-	BurstFor  Span     `toml:"burst_for,omitempty"`
-	RampTo    float64  `toml:"ramp_to,omitempty"` // ramp: times the first rate at the end
-	Trace     []Span   `toml:"trace,omitempty"`   // trace: times of arrival
-	Tries     int      `toml:"tries"`
-	Backoff   Span     `toml:"backoff"`
-	Impatient float64  `toml:"impatient,omitempty"` // part that leaves before its time is over
+	Load      float64  `toml:"load,omitempty"`      // offered load as a part of the warm fleet's capacity, by mean cost
+	Rate      float64  `toml:"rate,omitempty"`      // txns per second, in place of load
+	Arrivals  string   `toml:"arrivals"`            // poisson, bursty, ramp, trace
+	Burst     float64  `toml:"burst,omitempty"`     // bursty: rate of a burst as a multiple of the mean rate
+	BurstFor  Span     `toml:"burst_for,omitempty"` // bursty: mean duration of a burst
+	RampTo    float64  `toml:"ramp_to,omitempty"`   // ramp: rate at the end as a multiple of the rate at the start
+	Trace     []Span   `toml:"trace,omitempty"`     // trace: times of arrival
+	Tries     int      `toml:"tries"`               // greatest number of attempts of a client, the first one included
+	Backoff   Span     `toml:"backoff"`             // mean delay before a client's first retry; it doubles with each further one
+	Impatient float64  `toml:"impatient,omitempty"` // part of the clients that leave before their SLA time is over
 	Tenants   []Tenant `toml:"tenant,omitempty"`
-	FrontLag  Span     `toml:"front_lag"` // until the front notices that a scheduler has died
-	SlowRead  Span     `toml:"slow_read,omitempty"`
+	FrontLag  Span     `toml:"front_lag"`           // time until the load balancer before the schedulers notices a dead one
+	SlowRead  Span     `toml:"slow_read,omitempty"` // greatest time that a client takes to read its answer
 }
 
-// Tenant is one share of the clients.
+// Tenant is one of the clients' tenants.
 type Tenant struct {
 	Name  string  `toml:"name"`
-	Quota float64 `toml:"quota"`
-	Part  float64 `toml:"part"`
+	Quota float64 `toml:"quota"` // txns per second; 0: no quota
+	Part  float64 `toml:"part"`  // weight of this tenant among the arrivals of all tenants
 }
 
-// Discovery says how lists of workers reach schedulers.
+// Discovery describes how the list of workers reaches the schedulers.
 type Discovery struct {
-	Mode     string  `toml:"mode"` // watch, push
-	Lag      Span    `toml:"lag"`
-	Calls    float64 `toml:"calls"` // how many it carries out a second, in turn
-	MustAsk  Span    `toml:"must_ask"`
-	Grace    Span    `toml:"grace"`             // of a drain, after it was told
-	Weights  string  `toml:"weights,omitempty"` // size, live
-	LiveEach Span    `toml:"live_each,omitempty"`
+	Mode     string  `toml:"mode"`                // watch, push
+	Lag      Span    `toml:"lag"`                 // time until discovery learns of a change
+	Calls    float64 `toml:"calls"`               // calls that it serves per second, one after another
+	MustAsk  Span    `toml:"must_ask"`            // a scheduler has to ask for the list at least this often
+	Grace    Span    `toml:"grace"`               // after a scheduler is told of a drain it may still post to the worker for so long
+	Weights  string  `toml:"weights,omitempty"`   // size, live
+	LiveEach Span    `toml:"live_each,omitempty"` // live: interval at which all weights are updated
 }
 
-// Network says what each message meets.
+// Network describes the delay and the loss of messages.
 type Network struct {
 	Delay  Span    `toml:"delay"`
-	Jitter Span    `toml:"jitter,omitempty"`
-	Loss   float64 `toml:"loss,omitempty"` // of datagrams; of other messages they come a resend later
-	Resend Span    `toml:"resend,omitempty"`
+	Jitter Span    `toml:"jitter,omitempty"` // greatest random addition to Delay
+	Loss   float64 `toml:"loss,omitempty"`   // part of the datagrams that is lost; other messages arrive later by Resend
+	Resend Span    `toml:"resend,omitempty"` // retransmission timeout
 }
 
-// Fault is something that goes wrong at a time, for a time, to a part.
+// Fault is one injected fault.
 type Fault struct {
 	At     Span    `toml:"at"`
-	For    Span    `toml:"for,omitempty"`
-	Do     string  `toml:"do"`
-	On     string  `toml:"on,omitempty"`
-	To     string  `toml:"to,omitempty"`    // cut: the other side
-	Share  float64 `toml:"share,omitempty"` // of those that On names, drawn by the seed
-	Factor float64 `toml:"factor,omitempty"`
-	Over   Span    `toml:"over,omitempty"` // the parts are hit one after another within this time
+	For    Span    `toml:"for,omitempty"`    // duration; 0: it does not end
+	Do     string  `toml:"do"`               // a key of FaultActions
+	On     string  `toml:"on,omitempty"`     // the target, see Part
+	To     string  `toml:"to,omitempty"`     // cut: the other side
+	Share  float64 `toml:"share,omitempty"`  // part of the members of On that are hit, drawn by the seed
+	Factor float64 `toml:"factor,omitempty"` // see FaultActions
+	Over   Span    `toml:"over,omitempty"`   // the members are hit one after another within this time
 }
 
-// Load reads an experiment file.
+// Load reads, completes and checks an experiment file; see Parse.
 func Load(path string) (*Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -202,7 +203,7 @@
 	return p, nil
 }
 
-// Parse reads an experiment, fills in what may be left out and checks it. An error names the key.
+// Parse reads an experiment, sets the defaults of missing keys and checks it. An error names the key.
 func Parse(raw []byte) (*Plan, error) {
 	p := &Plan{Seed: 1,
 		Schedulers: Schedulers{Count: 1, Zones: []string{"a"}, Tick: 2, MaxPosts: 6, Dial: 1000, Idle: 10000,
@@ -212,28 +213,28 @@
 		Discovery: Discovery{Mode: "watch", Lag: 100, Calls: 500, MustAsk: 10000, Grace: 50, Weights: "size",
 			LiveEach: 1000},
 		Network: Network{Delay: 1, Resend: 200}}
-	d := toml.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(p); err != nil {
-		return nil, named(err)
+	decoder := toml.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(p); err != nil {
+		return nil, tomlError(err)
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(raw, &tree); err != nil {
-		return nil, named(err)
+		return nil, tomlError(err)
 	}
-	if err := units(tree, reflect.TypeFor[Plan](), ""); err != nil {
+	if err := checkUnits(tree, reflect.TypeFor[Plan](), ""); err != nil {
 		return nil, err
 	}
-	p.fill()
+	p.setDefaults()
 	return p, p.Check()
 }
 
-// units finds a span that was written as a bare number, which the reader of TOML takes for one.
-func units(at any, t reflect.Type, key string) error {
-	switch at := at.(type) {
+// checkUnits returns an error for a Span that was written as a bare number, which the TOML decoder accepts.
+func checkUnits(node any, t reflect.Type, key string) error {
+	switch node := node.(type) {
 	case []any:
-		for i, x := range at {
-			if err := units(x, t.Elem(), fmt.Sprintf("%s[%d]", key, i)); err != nil {
+		for i, x := range node {
+			if err := checkUnits(x, t.Elem(), fmt.Sprintf("%s[%d]", key, i)); err != nil {
 				return err
 			}
 		}
@@ -241,41 +242,42 @@
 		for i := range t.NumField() {
 			f := t.Field(i)
 			name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
-			if x, ok := at[name]; ok {
-				if err := units(x, f.Type, strings.TrimPrefix(key+"."+name, ".")); err != nil {
+			if x, ok := node[name]; ok {
+				if err := checkUnits(x, f.Type, strings.TrimPrefix(key+"."+name, ".")); err != nil {
 					return err
 				}
 			}
 		}
 	case int64, float64:
 		if t == reflect.TypeFor[Span]() {
-			return fmt.Errorf("%s: %v has no unit; write it as \"250ms\" or \"2s\"", key, at)
+			return fmt.Errorf("%s: %v has no unit; write it as \"250ms\" or \"2s\"", key, node)
 		}
 	}
 	return nil
 }
 
-// named puts an error of the TOML reader in one line with its key.
-func named(err error) error {
-	var unknown *toml.StrictMissingError
-	var wrong *toml.DecodeError
+// tomlError turns an error of the TOML decoder into one line with the key.
+func tomlError(err error) error {
+	var unknownKey *toml.StrictMissingError
+	var decodeErr *toml.DecodeError
 	switch {
-	case errors.As(err, &unknown) && len(unknown.Errors) > 0:
-		e := unknown.Errors[0]
+	case errors.As(err, &unknownKey) && len(unknownKey.Errors) > 0:
+		e := unknownKey.Errors[0]
 		row, _ := e.Position()
 		return fmt.Errorf("line %d: %s: no such key", row, strings.Join(e.Key(), "."))
-	case errors.As(err, &wrong):
-		row, _ := wrong.Position()
-		key := strings.Join(wrong.Key(), ".")
+	case errors.As(err, &decodeErr):
+		row, _ := decodeErr.Position()
+		key := strings.Join(decodeErr.Key(), ".")
 		if key == "" {
 			key = "syntax"
 		}
-		return fmt.Errorf("line %d: %s: %s", row, key, strings.TrimPrefix(wrong.Error(), "toml: "))
+		return fmt.Errorf("line %d: %s: %s", row, key, strings.TrimPrefix(decodeErr.Error(), "toml: "))
 	}
 	return err
 }
 
-func (p *Plan) fill() {
+// setDefaults sets the defaults of what the schemes, workers and faults leave out.
+func (p *Plan) setDefaults() {
 	for i := range p.Schemes {
 		s := &p.Schemes[i]
 		if s.Group == "" {
@@ -289,7 +291,7 @@
 			w.Zones = p.Schedulers.Zones
 		}
 		if w.Kind == "" {
-			w.Kind = w.Name // workers of one kind are of one make
+			w.Kind = w.Name // workers of one kind are identical, so each group is a kind of its own
 		}
 		if w.CellSize == 0 {
 			w.CellSize = 4
@@ -311,7 +313,7 @@
 	}
 }
 
-// Kinds are the kinds of workers named, in order of their first mention.
+// Kinds returns the kinds of workers in the order in which the plan first names them.
 func (p *Plan) Kinds() (kinds []string) {
 	for _, w := range p.Workers {
 		if !slices.Contains(kinds, w.Kind) {
@@ -321,7 +323,7 @@
 	return kinds
 }
 
-// Zones are all zones named, the schedulers' first.
+// Zones returns all zones that the plan names, those of the schedulers first.
 func (p *Plan) Zones() []string {
 	zones := slices.Clone(p.Schedulers.Zones)
 	for _, w := range p.Workers {
@@ -334,7 +336,7 @@
 	return zones
 }
 
-// Fleet counts all workers.
+// Fleet returns the number of workers.
 func (p *Plan) Fleet() (n int) {
 	for _, w := range p.Workers {
 		n += w.Count
@@ -342,8 +344,8 @@
 	return n
 }
 
-// PerSecond is the mean rate of arrivals, in txns a second: as given, or the load's part of what the workers
-// that are there from the start can carry.
+// PerSecond returns the mean rate of arrivals in txns per second: Clients.Rate or, without it, Clients.Load times
+// the capacity of the workers that run from the start.
 func (p *Plan) PerSecond() float64 {
 	if p.Clients.Rate > 0 {
 		return p.Clients.Rate
@@ -357,12 +359,12 @@
 	return p.Clients.Load * capacity * 1000 / p.MeanWork()
 }
 
-// MeanWork is what a txn costs in the mean, in milliseconds of one core.
+// MeanWork returns the mean cost of a txn, in milliseconds of one core at speed 1.
 func (p *Plan) MeanWork() float64 {
-	parts, work := 0.0, 0.0
+	weights, work := 0.0, 0.0
 	for _, s := range p.Schemes {
-		parts += s.Part
+		weights += s.Part
 		work += s.Part * s.Cost.Expect() * float64(s.Slots)
 	}
-	return work / parts
+	return work / weights
 }
--- a/lab/plan/plan_test.go
+++ b/lab/plan/plan_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-const good = `name = "x"
+// validPlan is a plan that Parse accepts.
+const validPlan = `name = "x"
 length = "10s"
 [schedulers]
 count = 2
@@ -38,8 +39,8 @@
 factor = 0.5
 `
 
-// A wrong plan is refused with its key and the reason, in one line.
-func TestWrongPlansNameTheirKey(t *testing.T) {
+// Parse refuses an invalid plan with the key and the reason, in one line.
+func TestParseErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`length = "10s"`, `length = 10`, `length: `},
 		{`length = "10s"`, `lenght = "10s"`, `lenght: no such key`},
@@ -59,21 +60,21 @@
 		{`factor = 0.5`, ``, `fault[0].factor: must be above 0`},
 		{`at = "1s"`, `at = "11s"`, `fault[0].at: is not before length`},
 	} {
-		if !strings.Contains(good, c.from) {
-			t.Fatalf("%q is not in the good plan", c.from)
+		if !strings.Contains(validPlan, c.from) {
+			t.Fatalf("%q is not in validPlan", c.from)
 		}
-		_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)))
+		_, err := Parse([]byte(strings.Replace(validPlan, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: %v", c.to, c.from, err)
 		}
 	}
-	if _, err := Parse([]byte(good)); err != nil {
+	if _, err := Parse([]byte(validPlan)); err != nil {
 		t.Error(err)
 	}
 }
 
-// The experiments that come with the project are sound, and so is what a plan writes of itself.
-func TestExperimentsAreSound(t *testing.T) {
+// The experiment files of the project are valid, and Plan.Text writes a file that Parse reads as the same plan.
+func TestExperimentFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) < 10 {
 		t.Fatal(files, err)
@@ -94,13 +95,13 @@
 		}
 		q, err := Parse(text)
 		if err != nil || q.Length != p.Length || len(q.Faults) != len(p.Faults) || q.PerSecond() != p.PerSecond() {
-			t.Errorf("%s: written again: %v", f, err)
+			t.Errorf("%s: read back from Plan.Text: %v", f, err)
 		}
 	}
 }
 
 func TestWithSetsKeys(t *testing.T) {
-	raw, err := With([]byte(good), "clients.load=0.9", "workers.w.count=7", "fault.0.at=2s", "schedulers.copies=true")
+	raw, err := With([]byte(validPlan), "clients.load=0.9", "workers.w.count=7", "fault.0.at=2s", "schedulers.copies=true")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,16 +110,16 @@
 		t.Errorf("%+v %v", p, err)
 	}
 	for _, set := range []string{"clients", "workers.v.count=1", "name.x=1"} {
-		if _, err := With([]byte(good), set); err == nil {
-			t.Errorf("%s was taken", set)
+		if _, err := With([]byte(validPlan), set); err == nil {
+			t.Errorf("With accepted %s", set)
 		}
 	}
 }
 
-// What a law draws has the mean that the load is reckoned by.
-func TestLawsHaveTheirMean(t *testing.T) {
+// The mean of Draw is Expect, from which the offered load is computed.
+func TestDrawHasExpectedMean(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	for _, l := range []Law{{Law: "fixed", Mean: 50}, {Law: "exp", Mean: 100}, {Law: "exp", Mean: 100, Most: 150},
+	for _, l := range []Distribution{{Law: "fixed", Mean: 50}, {Law: "exp", Mean: 100}, {Law: "exp", Mean: 100, Most: 150},
 		{Law: "lognormal", Median: 100, Sigma: 1}, {Law: "lognormal", Median: 100, Sigma: 1.5, Most: 1000},
 		{Law: "pareto", Least: 10, Most: 1000, Alpha: 1.2}} {
 		sum, n := 0.0, 200000
@@ -126,7 +127,7 @@
 			sum += l.Draw(r.Float64(), r.Float64())
 		}
 		if got, want := sum/float64(n), l.Expect(); math.Abs(got/want-1) > 0.03 {
-			t.Errorf("%+v: %.1f, reckoned %.1f", l, got, want)
+			t.Errorf("%+v: mean %.1f, Expect returns %.1f", l, got, want)
 		}
 	}
 }
--- a/lab/plan/retune.go
+++ b/lab/plan/retune.go
@@ -2,24 +2,28 @@
 
 import "shalebeam/balance"
 
-// A retune gives each scheme a twin, with another effect, in three steps: both are there, clients use the twins, the
-// first ones are dropped. At its end it goes back in the same steps.
+// The retune fault replaces each scheme by a twin, a scheme of another effect, while the schedulers run. First the
+// schedulers get both sets of schemes, then clients use the twins, then the original schemes are removed. The end of
+// the fault goes back in the same steps. Times are milliseconds after the beginning, or the end, of the fault.
 const (
-	RetuneUse  = 1200.0 // clients use the others from then on
-	RetuneDrop = 2400.0 // those that they used before are dropped
-	RetuneFor  = Span(3000)
+	RetuneUse  = 1200.0 // clients use the other set of schemes from then on
+	RetuneDrop = 2400.0 // the set that clients used before is removed
+
+	// minRetune is the shortest duration of a retune: its end has to begin after the last step of its beginning.
+	minRetune = Span(3000)
 )
 
-// Phase is how far a retune has come: the schemes that schedulers have.
+// Phase is the progress of a retune: which schemes the schedulers have.
 type Phase int
 
 const (
-	First Phase = iota
-	Both
-	Twins
+	First Phase = iota // the original schemes alone
+	Both               // the original schemes and their twins
+	Twins              // the twins alone
 )
 
-// Schemes are those that schedulers have in a phase, as places among Rows. Twins come first, so that places change.
+// In returns the schemes that schedulers have in a phase, as indexes in Rows. The twins come first, so that a scheme's
+// index among the schedulers' schemes changes with the phase.
 func (p *Plan) In(phase Phase) (all []int) {
 	n := len(p.Schemes)
 	if phase != First {
@@ -35,7 +39,7 @@
 	return all
 }
 
-// Rows are all schemes, and behind them their twins.
+// Rows returns all schemes, followed by their twins.
 func (p *Plan) Rows() (rows []balance.SchemeRow) {
 	for i := range p.Schemes {
 		rows = append(rows, p.Row(i))
@@ -51,7 +55,7 @@
 	return rows
 }
 
-// TermsIn are the terms in a phase.
+// TermsIn returns the settings of a scheduler in a phase.
 func (p *Plan) TermsIn(me int, seed uint64, phase Phase) balance.Terms {
 	t := p.Terms(me, seed)
 	rows := p.Rows()
@@ -63,7 +67,8 @@
 	return t
 }
 
-// PostsIn is how many postings a txn has that comes in a phase.
+// PostsIn returns how many postings a txn may have that arrives in a phase: one less while twins exist, but
+// at least one.
 func (p *Plan) PostsIn(phase Phase) int {
 	if phase == First {
 		return p.Schedulers.MaxPosts
--- a/lab/plan/with.go
+++ b/lab/plan/with.go
@@ -9,65 +9,67 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// With returns an experiment's text with some keys set anew, as "clients.load=0.9", "workers.w.count=40" or
-// "fault.0.at=5s": members of a list go by name or by number. The value is read as TOML, and as plain text
-// where that is no TOML. What the keys then say is only checked by Parse.
+// With returns an experiment file's text with some keys changed. A change is written as "clients.load=0.9",
+// "workers.w.count=40" or "fault.0.at=5s": members of a list are given by name or by index. The value is read as TOML
+// and, if it is not valid TOML, as plain text. Only Parse checks the keys and their values.
 func With(raw []byte, sets ...string) ([]byte, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(raw, &tree); err != nil {
-		return nil, named(err)
+		return nil, tomlError(err)
 	}
 	for _, set := range sets {
 		key, value, ok := strings.Cut(set, "=")
 		if !ok {
 			return nil, fmt.Errorf("%q is not KEY=VALUE", set)
 		}
-		if err := put(tree, strings.Split(strings.TrimSpace(key), "."), read(strings.TrimSpace(value))); err != nil {
+		if err := setKey(tree, strings.Split(strings.TrimSpace(key), "."), parseValue(strings.TrimSpace(value))); err != nil {
 			return nil, fmt.Errorf("%s: %w", key, err)
 		}
 	}
 	return toml.Marshal(tree)
 }
 
-func read(text string) any {
-	var one struct{ V any }
-	if toml.Unmarshal([]byte("V = "+text), &one) == nil {
-		return one.V
+// parseValue reads a value as TOML and, if it is not valid TOML, as plain text.
+func parseValue(text string) any {
+	var doc struct{ V any }
+	if toml.Unmarshal([]byte("V = "+text), &doc) == nil {
+		return doc.V
 	}
 	return text
 }
 
-func put(at any, path []string, value any) error {
+// setKey sets the key at a path below a TOML node.
+func setKey(node any, path []string, value any) error {
 	last := len(path) == 1
-	switch at := at.(type) {
+	switch node := node.(type) {
 	case map[string]any:
 		if last {
-			at[path[0]] = value
+			node[path[0]] = value
 			return nil
 		}
-		if at[path[0]] == nil {
-			at[path[0]] = map[string]any{}
+		if node[path[0]] == nil {
+			node[path[0]] = map[string]any{}
 		}
-		return put(at[path[0]], path[1:], value)
+		return setKey(node[path[0]], path[1:], value)
 	case []any:
-		i := slices.IndexFunc(at, func(x any) bool {
+		i := slices.IndexFunc(node, func(x any) bool {
 			m, ok := x.(map[string]any)
 			return ok && m["name"] == path[0]
 		})
 		if n, err := strconv.Atoi(path[0]); i < 0 && err == nil {
 			i = n
 		}
-		if i < 0 || i >= len(at) {
-			return fmt.Errorf("%q is in no list there", path[0])
+		if i < 0 || i >= len(node) {
+			return fmt.Errorf("%q is neither the name nor the index of a member of the list", path[0])
 		}
 		if last {
-			at[i] = value
+			node[i] = value
 			return nil
 		}
-		return put(at[i], path[1:], value)
+		return setKey(node[i], path[1:], value)
 	}
-	return fmt.Errorf("%q leads through a plain value", path[0])
+	return fmt.Errorf("%q is below a plain value, expected a table or a list", path[0])
 }
 
-// Text writes a plan as a file that Parse reads.
+// Text returns the plan as an experiment file that Parse reads.
 func (p *Plan) Text() ([]byte, error) { return toml.Marshal(p) }
