--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -1,7 +1,7 @@
-// Package audit watches all messages between clients, schedulers and workers, and what truly ran, and names
-// each break of the four rules with its txn's history. It decides nothing and has no clock: each call carries
-// its time in milliseconds. It knows from the messages alone what a scheduler could know, so it judges any
-// scheduler, whatever is inside.
+// Package audit is the invariant checker of the lab. It is told of all messages between clients, schedulers and
+// workers and of what workers ran, and reports each violation of the four rules with the history of its txn. It has
+// no influence on a run and no clock: each call carries its time in milliseconds. It derives from the messages alone
+// what a scheduler could know, so it can judge any scheduler, whatever its implementation.
 package audit
 
 import (
@@ -13,102 +13,107 @@
 	"shalebeam/balance"
 )
 
-// Break is one rule that was broken.
-type Break struct {
-	Rule    string // see Rules
+// Violation is one violation of a rule. It is written as JSON under its field names.
+type Violation struct {
+	Rule    string // a name such as LostTxn
 	At      float64
-	Ref     string // of the txn; "" where it is of a worker
+	Ref     string // of the txn; "" where the violation concerns a worker
 	Text    string
-	History []string // all that happened to the txn till then
+	History []string // the events of the txn until then, one a line
 }
 
 // The rules by name.
 const (
-	LostTxn     = "lost"         // no final answer by its expiry
-	TwoAnswers  = "two answers"  // a second final answer
-	SentAfter   = "sent after"   // a posting after the final answer
-	Repeated    = "repeated"     // once-only posted again though an earlier posting may have run
-	OutOfGroup  = "out of group" // referenced posted again outside its group or window
-	TwoOut      = "two out"      // two postings out where none may be copied
-	WrongNo     = "declined"     // declined though it may have run
-	DrainBroken = "drain"        // posted to a worker after it was told of its drain or removal
-	Flooded     = "flooded"      // a cold worker was pushed over by those who knew that it was cold
-	HeldBack    = "held back"    // nothing was left to be done for it, and its answer did not come at once
-	MadeUp      = "made up"      // settled with what no worker made for it
-	TwoEffects  = "two effects"  // once-only truly ran twice
+	LostTxn             = "lost"         // a txn without a final answer by its expiry
+	TwoAnswers          = "two answers"  // a second final answer
+	PostedAfterAnswer   = "sent after"   // a posting after the final answer
+	RepeatedOnceOnly    = "repeated"     // a once-only txn posted again though an earlier posting may have run
+	OutOfGroup          = "out of group" // a referenced txn posted again outside its group or window
+	ConcurrentPostings  = "two out"      // two postings in flight where Terms.Copies forbids it
+	DeclinedMayHaveRun  = "declined"     // declined though a posting may have run
+	PostedToDrained     = "drain"        // posted to a worker of whose drain or removal the scheduler was told
+	ColdWorkerOverload  = "flooded"      // a worker in slow start failed under load from schedulers that knew of its start
+	AnswerDelayed       = "held back"    // the scheduler could only answer the txn, and did not within Terms.GivenUp
+	ResultNotFromWorker = "made up"      // settled with a result that no worker returned for the txn
+	RanTwice            = "two effects"  // a once-only txn ran twice
 )
 
-// Terms are what the auditor judges by. Times are milliseconds.
+// Terms are the settings of the auditor. Times are milliseconds.
 type Terms struct {
-	Schemes  []balance.SchemeRow // a txn is judged by the one it came under
-	Copies   bool
-	MaxPosts int
-	AnswerIn float64 // after its expiry a final answer may come so late
-	Grace    float64 // after a drain is told
-	MustAsk  float64 // a list that was not asked for counts as told after so long
-	GivenUp  float64 // what can't go on is answered within
-	SentIn   float64 // on sockets a posting is seen so long after it was written
-	// Late is by how much the lab itself ran late in a span of the run, nil where it can't: so much later it may have seen
-	// what was sent in time.
-	Late       func(from, to float64) float64
-	Keep       string // a txn whose history is kept in any case
-	MostBreaks int    // further ones are only counted
-}
-
-type post struct {
-	worker   string
-	zone     int
-	cell     int
-	at       float64
-	out, ran bool // sent and still out; it ended and may have run
-	ended    bool
-}
-
-type story struct {
-	ref    string
-	sched  string
-	scheme int
-	came   float64
-	until  float64
-	posts  []post
-	final  string
-	over   float64 // since when it has that
-	stuck  float64 // since when nothing can be done for it; +Inf: something can
-	effect int
-	made   []string // results that workers made for it
-	told   []line
-	dead   bool // its scheduler was killed
-	gone   bool // answered, with nothing out
-}
-
-type line struct {
+	Schemes  []balance.SchemeRow // a txn is judged by the scheme under which it arrived
+	Copies   bool                // a txn may have two postings in flight
+	MaxPosts int                 // postings that one txn may have in all
+	AnswerIn float64             // a final answer may come this long after the expiry
+	Grace    float64             // a posting may be sent this long after the scheduler was told of the worker's drain
+	MustAsk  float64             // a change counts as known to a scheduler without a watch after this; 0: it never does
+	GivenUp  float64             // a txn for which nothing else can be done is to be answered within this
+	SentIn   float64             // greatest delay after which a posting written to a socket is seen; 0 in simulated time
+	// Late returns by how much the lab itself ran late between two times of the run, and so may have seen what was sent
+	// in time too late; nil: it never does.
+	Late          func(from, to float64) float64
+	Keep          string // ref of a txn whose history is kept in any case
+	MaxViolations int    // number that are kept with their text; further ones are only counted. 0: 20
+}
+
+// posting is one posting of a txn.
+type posting struct {
+	worker     string
+	zone       int
+	cell       int
+	at         float64 // when it was sent
+	inFlight   bool    // sent, and its end not known to the scheduler
+	mayHaveRun bool    // it ended, and may have run
+	ended      bool
+}
+
+// txn is all that the auditor knows of one txn.
+type txn struct {
+	ref       string
+	sched     string // process of the scheduler that took it
+	scheme    int
+	takenAt   float64
+	expiresAt float64
+	postings  []posting // by number
+	final     string    // the final answer, or why none is owed; "" while it is open
+	finalAt   float64
+	stuckAt   float64  // since when the scheduler can do nothing but answer; +Inf: it can do more
+	effects   int      // how many times it ran
+	results   []string // that workers returned for it
+	events    []event
+	orphaned  bool // the process of its scheduler ended
+	closed    bool // answered or orphaned, with no posting in flight
+}
+
+// event is one line of a txn's history.
+type event struct {
 	at   float64
 	text string
-	who  string
-	no   int
+	who  string // scheduler or worker; may be ""
+	no   int    // of the posting; below 0: the event is of no posting
 }
 
-// Staffed tells that staff took a worker out at a scheduler, from the yes on, or put it back. That holds over ends
-// of its process.
+// Staffed reports that operators took a worker out at a scheduler, from the time of the scheduler's confirmation on, or
+// put it back. It outlives restarts of the scheduler's process.
 func (a *Auditor) Staffed(at float64, sched, worker string, out bool) {
-	l := a.out[sched]
+	l := a.takenOut[sched]
 	if l == nil {
 		l = map[string]float64{}
-		a.out[sched] = l
+		a.takenOut[sched] = l
 	}
 	if delete(l, worker); out {
 		l[worker] = at
 	}
 }
 
-// Stood tells that a scheduler was made to stand still: what it owed in that time it can't have done.
+// Stood reports that a scheduler's process was paused: in that time it could do nothing that was due.
 func (a *Auditor) Stood(sched string, from, to float64) {
-	a.stills[sched] = append(a.stills[sched], [2]float64{from, to})
+	a.pauses[sched] = append(a.pauses[sched], [2]float64{from, to})
 }
 
-// allowed is the time that a scheduler could not use of a span, and that the lab itself may have seen its end late by.
-func (a *Auditor) allowed(sched string, from, to float64) (ms float64) {
-	for _, s := range a.stills[sched] {
+// excusedMS returns for how long between two times a scheduler was paused, plus by how much the lab may have seen the
+// end of that interval late.
+func (a *Auditor) excusedMS(sched string, from, to float64) (ms float64) {
+	for _, s := range a.pauses[sched] {
 		ms += max(0, min(to, s[1])-max(from, s[0]))
 	}
 	if a.terms.Late != nil {
@@ -117,198 +122,205 @@
 	return ms
 }
 
-// Listed is a worker's entry as a scheduler was told it.
+// listed is a worker's entry in the list as a scheduler was told it.
 type listed struct {
 	state balance.State
-	at    float64
-	start float64
+	at    float64 // when the scheduler was told
+	start float64 // when the worker last started
 }
 
-// Auditor is one run's.
+// Auditor checks one run. It is not safe for concurrent use.
 type Auditor struct {
-	terms  Terms
-	open   map[string]*story
-	kept   *story
-	lists  map[string]map[string]listed  // by scheduler, by worker
-	out    map[string]map[string]float64 // the same: taken out by staff, since when
-	late   []*story                      // answered, and kept under their names for a while
-	breaks []Break
-	counts map[string]int
-	seen   int
-
-	stills  map[string][][2]float64 // by scheduler: from when to when it was made to stand still
-	changes map[string][]change     // of the list, by worker
-	ears    map[string]*ear         // by scheduler
-	down    bool                    // discovery is
-	backAt  float64                 // when it last came back
+	terms      Terms
+	txns       map[string]*txn               // by ref: the open ones, and those in closed
+	kept       *txn                          // the one named by Terms.Keep
+	lists      map[string]map[string]listed  // by scheduler process, by worker
+	takenOut   map[string]map[string]float64 // by scheduler, by worker: when operators took it out
+	closed     []*txn                        // the last closed ones, oldest first
+	violations []Violation
+	counts     map[string]int // of violations, by rule
+	taken      int            // number of txns
+
+	pauses        map[string][][2]float64 // by scheduler process: beginning and end of each pause
+	changes       map[string][]change     // of the list, by worker
+	watches       map[string]*watch       // by scheduler process
+	discoveryDown bool                    // discovery is down
+	discoveryUpAt float64                 // when discovery last came back
 }
 
 // New returns an auditor for one run.
 func New(t Terms) *Auditor {
-	if t.MostBreaks == 0 {
-		t.MostBreaks = 20
+	if t.MaxViolations == 0 {
+		t.MaxViolations = 20
 	}
-	return &Auditor{terms: t, open: map[string]*story{}, lists: map[string]map[string]listed{}, out: map[string]map[string]float64{},
-		counts: map[string]int{}, stills: map[string][][2]float64{}, changes: map[string][]change{}, ears: map[string]*ear{}}
+	return &Auditor{terms: t, txns: map[string]*txn{}, lists: map[string]map[string]listed{}, takenOut: map[string]map[string]float64{},
+		counts: map[string]int{}, pauses: map[string][][2]float64{}, changes: map[string][]change{}, watches: map[string]*watch{}}
 }
 
-func (a *Auditor) note(t *story, at float64, who string, no int, text string) {
-	t.told = append(t.told, line{at, text, who, no})
+// record adds an event to the history of a txn.
+func (a *Auditor) record(t *txn, at float64, who string, no int, text string) {
+	t.events = append(t.events, event{at, text, who, no})
 }
 
-func (a *Auditor) broken(rule string, t *story, at float64, format string, args ...any) {
+// violated counts a violation of a rule and keeps it with its text if few are kept so far. t may be nil.
+func (a *Auditor) violated(rule string, t *txn, at float64, format string, args ...any) {
 	a.counts[rule]++
-	if len(a.breaks) >= a.terms.MostBreaks {
+	if len(a.violations) >= a.terms.MaxViolations {
 		return
 	}
-	b := Break{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)}
+	v := Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)}
 	if t != nil {
-		b.Ref, b.History = t.ref, t.history()
+		v.Ref, v.History = t.ref, t.history()
 	}
-	a.breaks = append(a.breaks, b)
+	a.violations = append(a.violations, v)
 }
 
-func (t *story) history() (lines []string) {
-	for _, l := range t.told {
-		s := fmt.Sprintf("%12.3f %s", l.at, l.text)
-		if l.no >= 0 {
-			s += fmt.Sprintf(" #%d", l.no)
+// history returns the events of a txn as text, one a line.
+func (t *txn) history() (lines []string) {
+	for _, e := range t.events {
+		s := fmt.Sprintf("%12.3f %s", e.at, e.text)
+		if e.no >= 0 {
+			s += fmt.Sprintf(" #%d", e.no)
 		}
-		if l.who != "" {
-			s += " " + l.who
+		if e.who != "" {
+			s += " " + e.who
 		}
 		lines = append(lines, s)
 	}
 	return lines
 }
 
-// Took tells that a scheduler has taken a txn, which must be answered by until.
+// Took reports that a scheduler has accepted a txn, which must be answered by the time until.
 func (a *Auditor) Took(at float64, sched, ref string, scheme int, until float64) {
-	t := &story{ref: ref, sched: sched, scheme: scheme, came: at, until: until, stuck: math.Inf(1)}
-	a.open[ref] = t
+	t := &txn{ref: ref, sched: sched, scheme: scheme, takenAt: at, expiresAt: until, stuckAt: math.Inf(1)}
+	a.txns[ref] = t
 	if ref == a.terms.Keep {
 		a.kept = t
 	}
-	a.seen++
-	a.note(t, at, sched, -1, "taken")
+	a.taken++
+	a.record(t, at, sched, -1, "taken")
 }
 
-// Posted tells that a posting was sent: rules 1, 2 and 3 as they bind at that moment.
+// Posted reports that posting no of a txn was sent, and checks rules 1, 2 and 3 as they apply at that moment.
 func (a *Auditor) Posted(at float64, sched, ref string, no int, worker string, zone, cell int) {
-	a.drained(at, sched, ref, worker)
-	t := a.open[ref]
+	a.checkDrained(at, sched, ref, worker)
+	t := a.txns[ref]
 	if t == nil {
-		a.broken(SentAfter, nil, at, "%s posted %s to %s, which it does not owe", sched, ref, worker)
+		a.violated(PostedAfterAnswer, nil, at, "%s posted %s to %s, which it does not owe", sched, ref, worker)
 		return
 	}
-	a.note(t, at, worker, no, "posted")
+	a.record(t, at, worker, no, "posted")
 	row := &a.terms.Schemes[t.scheme]
-	if t.final != "" && at > t.over+a.terms.SentIn && (a.terms.Late == nil || at > t.over+a.terms.SentIn+a.terms.Late(t.over, at)) {
-		a.broken(SentAfter, t, at, "posted to %s after its answer", worker)
+	if t.final != "" && at > t.finalAt+a.terms.SentIn && (a.terms.Late == nil || at > t.finalAt+a.terms.SentIn+a.terms.Late(t.finalAt, at)) {
+		a.violated(PostedAfterAnswer, t, at, "posted to %s after its answer", worker)
 	}
-	for _, p := range t.posts {
-		if p.out && !a.terms.Copies {
-			a.broken(TwoOut, t, at, "posted to %s while a posting is out at %s", worker, p.worker)
+	for _, p := range t.postings {
+		if p.inFlight && !a.terms.Copies {
+			a.violated(ConcurrentPostings, t, at, "posted to %s while a posting is out at %s", worker, p.worker)
 		}
-		if !p.out && !p.ran || row.Effect == balance.Repeatable {
+		if !p.inFlight && !p.mayHaveRun || row.Effect == balance.Repeatable {
 			continue
 		}
 		switch {
 		case row.Effect == balance.OnceOnly:
-			a.broken(Repeated, t, at, "posted to %s though it may have run at %s", worker, p.worker)
+			a.violated(RepeatedOnceOnly, t, at, "posted to %s though it may have run at %s", worker, p.worker)
 		case at-p.at >= row.Window:
-			a.broken(OutOfGroup, t, at, "posted to %s %.0f ms after it may have run at %s, and the window is %.0f ms",
+			a.violated(OutOfGroup, t, at, "posted to %s %.0f ms after it may have run at %s, and the window is %.0f ms",
 				worker, at-p.at, p.worker, row.Window)
 		case row.Group == balance.GroupZone && p.zone != zone, row.Group == balance.GroupCell && p.cell != cell:
-			a.broken(OutOfGroup, t, at, "posted to %s, outside the group of %s, where it may have run", worker, p.worker)
+			a.violated(OutOfGroup, t, at, "posted to %s, outside the group of %s, where it may have run", worker, p.worker)
 		}
 	}
-	*t.slot(no) = post{worker: worker, zone: zone, cell: cell, at: at, out: true}
-	t.stuck = math.Inf(1)
+	*t.posting(no) = posting{worker: worker, zone: zone, cell: cell, at: at, inFlight: true}
+	t.stuckAt = math.Inf(1)
 }
 
-func (a *Auditor) drained(at float64, sched, ref, worker string) {
-	name, _, _ := strings.Cut(sched, ".") // of the scheduler, whose processes have numbers
-	if since, ok := a.out[name][worker]; ok && at > since+a.terms.Grace {
-		a.broken(DrainBroken, a.open[ref], at, "%s posted %s to %s, %.0f ms after staff took it out", sched, ref,
+// checkDrained checks that the scheduler was not told earlier than the grace period that the worker of a posting drains, is
+// removed or was taken out by operators.
+func (a *Auditor) checkDrained(at float64, sched, ref, worker string) {
+	name, _, _ := strings.Cut(sched, ".") // drops the number of the process, which simulated time does not have
+	if since, ok := a.takenOut[name][worker]; ok && at > since+a.terms.Grace {
+		a.violated(PostedToDrained, a.txns[ref], at, "%s posted %s to %s, %.0f ms after staff took it out", sched, ref,
 			worker, at-since)
 	}
 	w, ok := a.lists[sched][worker]
-	if c, told, counts := a.counted(at, sched, worker); counts {
-		w, ok = listed{c.state, told, c.start}, true
+	if c, knownAt, known := a.presumedKnown(at, sched, worker); known {
+		w, ok = listed{c.state, knownAt, c.start}, true
 	}
 	if ok && w.state != balance.Running && at > w.at+a.terms.Grace {
-		a.broken(DrainBroken, a.open[ref], at, "%s posted %s to %s, %.0f ms after it was told of its drain", sched,
+		a.violated(PostedToDrained, a.txns[ref], at, "%s posted %s to %s, %.0f ms after it was told of its drain", sched,
 			ref, worker, at-w.at)
 	}
 }
 
-// Began tells that a worker has begun a posting.
+// Began reports that a worker has started to run a posting.
 func (a *Auditor) Began(at float64, ref string, no int, worker string) {
-	if t := a.open[ref]; t != nil {
-		a.note(t, at, worker, no, "begun")
+	if t := a.txns[ref]; t != nil {
+		a.record(t, at, worker, no, "begun")
 	}
 }
 
-// Made tells that a worker has carried a posting out and made a result for it. A drop had no effect.
+// Made reports that a worker has finished a posting with a result. With drop it recognised a repeat and did not run it.
 func (a *Auditor) Made(at float64, ref string, no int, worker, result string, drop bool) {
-	t := a.open[ref]
+	t := a.txns[ref]
 	if t == nil {
 		return
 	}
-	t.made = append(t.made, result)
+	t.results = append(t.results, result)
 	if drop {
-		a.note(t, at, worker, no, "repeat dropped")
+		a.record(t, at, worker, no, "repeat dropped")
 		return
 	}
-	a.note(t, at, worker, no, "ran")
-	t.effect++
-	if t.effect > 1 && a.terms.Schemes[t.scheme].Effect == balance.OnceOnly {
-		a.broken(TwoEffects, t, at, "it ran %d times", t.effect)
+	a.record(t, at, worker, no, "ran")
+	t.effects++
+	if t.effects > 1 && a.terms.Schemes[t.scheme].Effect == balance.OnceOnly {
+		a.violated(RanTwice, t, at, "it ran %d times", t.effects)
 	}
 }
 
-// Ended tells what a scheduler learned of a posting.
+// Ended reports how a posting ended, as the scheduler learned it.
 func (a *Auditor) Ended(at float64, ref string, no int, how balance.Outcome) {
-	t := a.open[ref]
+	t := a.txns[ref]
 	if t == nil {
 		return
 	}
-	p := t.slot(no)
+	p := t.posting(no)
 	if p.ended {
 		return
 	}
-	p.out, p.ended, p.ran = false, true, !how.NeverRan()
-	a.note(t, at, "", no, Outcome(how))
-	// On sockets a result that its worker wrote may never have come to the scheduler, as the worker was killed or cut
-	// off just then; what that knows is seen from outside only by its answer.
-	if t.final == "" && a.stuck(t) && !(how == balance.Done && a.terms.SentIn > 0) {
-		t.stuck = at
+	p.inFlight, p.ended, p.mayHaveRun = false, true, !how.NeverRan()
+	a.record(t, at, "", no, Outcome(how))
+	// On sockets a result that the worker wrote may never have reached the scheduler, if the worker was killed or cut
+	// off just then. Only the scheduler's answer shows from outside what it knows.
+	if t.final == "" && a.mustAnswer(t) && !(how == balance.Done && a.terms.SentIn > 0) {
+		t.stuckAt = at
 	}
-	a.done(t)
+	a.closeIfDone(t)
 }
 
-// slot is a posting's place: by its number, as some that were decided are never sent.
-func (t *story) slot(no int) *post {
-	for len(t.posts) <= no {
-		t.posts = append(t.posts, post{})
+// posting returns the posting of a number and adds those up to it that are missing: some that a scheduler decided on
+// are never sent.
+func (t *txn) posting(no int) *posting {
+	for len(t.postings) <= no {
+		t.postings = append(t.postings, posting{})
 	}
-	return &t.posts[no]
+	return &t.postings[no]
 }
 
-// stuck tells whether the rules leave a scheduler nothing to do for a txn but to answer.
-func (a *Auditor) stuck(t *story) bool {
-	ran := false
-	for _, p := range t.posts {
+// mustAnswer reports whether the rules allow no further posting of a txn and none is in flight, so that the scheduler
+// can only answer.
+func (a *Auditor) mustAnswer(t *txn) bool {
+	mayHaveRun := false
+	for _, p := range t.postings {
 		if !p.ended {
 			return false
 		}
-		ran = ran || p.ran
+		mayHaveRun = mayHaveRun || p.mayHaveRun
 	}
-	return len(t.posts) >= a.terms.MaxPosts || ran && a.terms.Schemes[t.scheme].Effect == balance.OnceOnly
+	return len(t.postings) >= a.terms.MaxPosts || mayHaveRun && a.terms.Schemes[t.scheme].Effect == balance.OnceOnly
 }
 
-// Outcome names how a posting ended.
+// Outcome returns the name of an outcome in histories.
 func Outcome(how balance.Outcome) string {
 	names := []string{"done", "erred", "full", "timed out", "no connection", "reset", "called off", "never sent"}
 	if how < 0 || int(how) >= len(names) {
@@ -317,85 +329,86 @@
 	return names[how]
 }
 
-// What an answer may be.
+// The final answers to a txn.
 const (
 	Settled  = "settled"
 	Declined = "declined"
 	Reversed = "reversed"
 )
 
-// Answered tells of a final answer, as the scheduler gave it.
+// Answered reports a final answer of a scheduler: its kind, such as Settled, and its result.
 func (a *Auditor) Answered(at float64, sched, ref, kind, result string) {
-	t := a.open[ref]
+	t := a.txns[ref]
 	if t == nil {
-		a.broken(TwoAnswers, nil, at, "%s answered %s, which it does not owe", sched, ref)
+		a.violated(TwoAnswers, nil, at, "%s answered %s, which it does not owe", sched, ref)
 		return
 	}
-	a.note(t, at, sched, -1, kind)
+	a.record(t, at, sched, -1, kind)
 	if t.final != "" {
 		if t.final != "left" {
-			a.broken(TwoAnswers, t, at, "%s after %s", kind, t.final)
+			a.violated(TwoAnswers, t, at, "%s after %s", kind, t.final)
 		}
 		return
 	}
-	t.final, t.over = kind, at
+	t.final, t.finalAt = kind, at
 	row := &a.terms.Schemes[t.scheme]
-	if at > t.until+a.terms.AnswerIn {
-		a.broken(LostTxn, t, at, "answered %.0f ms after its expiry", at-t.until)
+	if at > t.expiresAt+a.terms.AnswerIn {
+		a.violated(LostTxn, t, at, "answered %.0f ms after its expiry", at-t.expiresAt)
 	}
-	if kind == Settled && !slices.Contains(t.made, result) {
-		a.broken(MadeUp, t, at, "settled with %.60q, which no worker made for it", result)
+	if kind == Settled && !slices.Contains(t.results, result) {
+		a.violated(ResultNotFromWorker, t, at, "settled with %.60q, which no worker made for it", result)
 	}
 	if kind == Declined && row.Effect != balance.Repeatable &&
 		!(row.Effect == balance.Referenced && row.Group == balance.GroupAll) {
-		for _, p := range t.posts {
-			if p.out || p.ran {
-				a.broken(WrongNo, t, at, "declined though it may have run at %s", p.worker)
+		for _, p := range t.postings {
+			if p.inFlight || p.mayHaveRun {
+				a.violated(DeclinedMayHaveRun, t, at, "declined though it may have run at %s", p.worker)
 				break
 			}
 		}
 	}
-	if kind != Settled && at > t.stuck+a.terms.GivenUp && at > t.stuck+a.terms.GivenUp+a.allowed(t.sched, t.stuck, at) {
-		a.broken(HeldBack, t, at, "nothing was left to be done for %.0f ms before it was %s", at-t.stuck, kind)
+	if kind != Settled && at > t.stuckAt+a.terms.GivenUp && at > t.stuckAt+a.terms.GivenUp+a.excusedMS(t.sched, t.stuckAt, at) {
+		a.violated(AnswerDelayed, t, at, "nothing was left to be done for %.0f ms before it was %s", at-t.stuckAt, kind)
 	}
-	a.done(t)
+	a.closeIfDone(t)
 }
 
-// Left tells that a scheduler has learned that a txn's client is gone: nothing is owed any more.
+// Left reports that a scheduler has learned that the client of a txn has disconnected: no answer is owed any more.
 func (a *Auditor) Left(at float64, ref string) {
-	if t := a.open[ref]; t != nil && t.final == "" {
-		t.final, t.over = "left", at
-		a.note(t, at, "", -1, "client left")
-		a.done(t)
+	if t := a.txns[ref]; t != nil && t.final == "" {
+		t.final, t.finalAt = "left", at
+		a.record(t, at, "", -1, "client left")
+		a.closeIfDone(t)
 	}
 }
 
-// done forgets a txn that has its answer and no posting out.
-func (a *Auditor) done(t *story) {
-	if t.final == "" && !t.dead {
+// closeIfDone closes a txn that is answered and has no posting in flight, or whose scheduler's process ended. It
+// forgets the txn that has been closed longest.
+func (a *Auditor) closeIfDone(t *txn) {
+	if t.final == "" && !t.orphaned {
 		return
 	}
-	for _, p := range t.posts {
-		if p.out && !t.dead {
+	for _, p := range t.postings {
+		if p.inFlight && !t.orphaned {
 			return
 		}
 	}
-	if t.gone {
+	if t.closed {
 		return
 	}
-	// It stays for a while under its name: a second answer or posting would come soon, if ever.
-	t.gone = true
-	a.late = append(a.late, t)
-	if len(a.late) > lateMost {
-		delete(a.open, a.late[0].ref)
-		a.late = a.late[1:]
+	// It can still be looked up for a while: a second answer or posting would come soon after, if at all.
+	t.closed = true
+	a.closed = append(a.closed, t)
+	if len(a.closed) > maxClosedTxns {
+		delete(a.txns, a.closed[0].ref)
+		a.closed = a.closed[1:]
 	}
 }
 
-// lateMost is how many answered txns are still known by name.
-const lateMost = 2000
+// maxClosedTxns is the number of closed txns that can still be looked up.
+const maxClosedTxns = 2000
 
-// Listed tells what a scheduler was told of a worker, or counts as told of.
+// Listed reports a worker's list entry that a scheduler was told, or that counts as told to it.
 func (a *Auditor) Listed(at float64, sched, worker string, state balance.State, start float64) {
 	l := a.lists[sched]
 	if l == nil {
@@ -408,68 +421,71 @@
 	l[worker] = listed{state, at, start}
 }
 
-// Knows tells whether a scheduler was told of a worker's last start.
+// Knows reports whether a scheduler was told of a worker's start at that time.
 func (a *Auditor) Knows(sched, worker string, start float64) bool {
 	l, ok := a.lists[sched][worker]
 	return ok && l.start == start
 }
 
-// Fell tells that a cold worker fell over, what part of the pressure came from those who knew, and what it was.
+// Fell reports that a worker in slow start failed under its load, which part of that load came from schedulers that
+// knew of its start, and a description of the load. The rule is violated where that part is above two thirds.
 func (a *Auditor) Fell(at float64, worker string, part float64, why string) {
-	if part > 2.0/3 { // over two thirds, by the rule
-		a.broken(Flooded, nil, at, "%s fell over, with %.2f of the pressure from schedulers that knew of its start: %s",
+	if part > 2.0/3 {
+		a.violated(ColdWorkerOverload, nil, at, "%s fell over, with %.2f of the pressure from schedulers that knew of its start: %s",
 			worker, part, why)
 	}
 }
 
-// Died tells that a scheduler's process ended. What it owed is excused where it was killed, else lost.
+// Died reports that a scheduler's process ended. Its open txns are excused where it was killed, and lost where it
+// stopped as planned.
 func (a *Auditor) Died(at float64, sched string, killed bool) {
 	delete(a.lists, sched)
-	for _, ref := range a.refs() {
-		t := a.open[ref]
-		if t == nil || t.sched != sched || t.dead {
+	for _, ref := range a.sortedRefs() {
+		t := a.txns[ref]
+		if t == nil || t.sched != sched || t.orphaned {
 			continue
 		}
 		if t.final == "" && !killed {
-			a.broken(LostTxn, t, at, "its scheduler stopped as planned and had not answered")
+			a.violated(LostTxn, t, at, "its scheduler stopped as planned and had not answered")
 		}
-		t.dead = true
+		t.orphaned = true
 		if t.final == "" {
 			t.final = "scheduler died"
-			a.note(t, at, sched, -1, t.final)
+			a.record(t, at, sched, -1, t.final)
 		}
-		a.done(t)
+		a.closeIfDone(t)
 	}
 }
 
-func (a *Auditor) refs() []string {
-	refs := make([]string, 0, len(a.open))
-	for ref := range a.open {
+// sortedRefs returns the refs of all known txns in order.
+func (a *Auditor) sortedRefs() []string {
+	refs := make([]string, 0, len(a.txns))
+	for ref := range a.txns {
 		refs = append(refs, ref)
 	}
 	slices.Sort(refs)
 	return refs
 }
 
-// Close ends the run: what has no answer and is past its expiry is lost.
+// Close ends the run: a txn without an answer past its expiry is lost.
 func (a *Auditor) Close(at float64) {
-	for _, ref := range a.refs() {
-		if t := a.open[ref]; t.final == "" && !t.dead && at > t.until+a.terms.AnswerIn {
-			a.broken(LostTxn, t, at, "it has no answer, %.0f ms after its expiry", at-t.until)
+	for _, ref := range a.sortedRefs() {
+		if t := a.txns[ref]; t.final == "" && !t.orphaned && at > t.expiresAt+a.terms.AnswerIn {
+			a.violated(LostTxn, t, at, "it has no answer, %.0f ms after its expiry", at-t.expiresAt)
 		}
 	}
 }
 
-// Breaks returns what was found, in order; Counts tells how many by rule, also beyond those kept.
-func (a *Auditor) Breaks() []Break { return a.breaks }
+// Violations returns the violations in order, at most Terms.MaxViolations.
+func (a *Auditor) Violations() []Violation { return a.violations }
 
-// Counts are the breaks by rule.
+// Counts returns the number of all violations by rule.
 func (a *Auditor) Counts() map[string]int { return a.counts }
 
-// Seen is how many txns were taken.
-func (a *Auditor) Seen() int { return a.seen }
+// Taken returns the number of txns that schedulers accepted.
+func (a *Auditor) Taken() int { return a.taken }
 
-// History is what happened to the txn that was to be kept.
+// History returns the events of the txn that Terms.Keep names, one a line.
 func (a *Auditor) History() []string {
 	if a.kept == nil {
 		return nil
@@ -477,14 +493,14 @@
 	return a.kept.history()
 }
 
-// String writes a break with its history.
-func (b Break) String() string {
+// String returns a violation with its history, one event a line.
+func (v Violation) String() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "%s at %.3f ms: %s", b.Rule, b.At, b.Text)
-	if b.Ref != "" {
-		fmt.Fprintf(&s, " (txn %s)", b.Ref)
+	fmt.Fprintf(&s, "%s at %.3f ms: %s", v.Rule, v.At, v.Text)
+	if v.Ref != "" {
+		fmt.Fprintf(&s, " (txn %s)", v.Ref)
 	}
-	for _, l := range b.History {
+	for _, l := range v.History {
 		s.WriteString("\n    " + l)
 	}
 	return s.String()
--- a/lab/audit/audit_test.go
+++ b/lab/audit/audit_test.go
@@ -11,8 +11,8 @@
 	{Effect: balance.Referenced, Group: balance.GroupCell, Window: 1000},
 	{Effect: balance.OnceOnly}}}
 
-// Each case is one txn's story; a break is named with the rule that it breaks, and a sound story has none.
-func TestStories(t *testing.T) {
+// Each case is the history of one txn. The auditor names the violated rule, and none in a valid history.
+func TestViolationsOfTxnHistories(t *testing.T) {
 	took := func(scheme int) func(a *Auditor) { return func(a *Auditor) { a.Took(0, "s", "t", scheme, 5000) } }
 	post := func(at float64, no, cell int) func(a *Auditor) {
 		return func(a *Auditor) { a.Posted(at, "s", "t", no, "w", 0, cell) }
@@ -25,8 +25,8 @@
 		return func(a *Auditor) { a.Answered(at, "s", "t", kind, "r") }
 	}
 	for name, c := range map[string]struct {
-		want string
-		does []func(a *Auditor)
+		want   string
+		events []func(a *Auditor)
 	}{
 		"settled": {"", []func(a *Auditor){took(2), post(1, 0, 0), made, answer(100, Settled), ended(100, 0, balance.Done)}},
 		"repeated in its group and window": {"", []func(a *Auditor){took(1), post(1, 0, 7), ended(100, 0, balance.Reset),
@@ -40,43 +40,43 @@
 		"late answer":              {LostTxn, []func(a *Auditor){took(0), answer(5100, Declined)}},
 		"stopped without answer":   {LostTxn, []func(a *Auditor){took(0), func(a *Auditor) { a.Died(10, "s", false) }}},
 		"two answers":              {TwoAnswers, []func(a *Auditor){took(0), answer(10, Declined), answer(11, Declined)}},
-		"sent after":               {SentAfter, []func(a *Auditor){took(0), answer(10, Declined), post(20, 0, 0)}},
-		"once-only again":          {Repeated, []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Cancelled), post(20, 1, 0)}},
-		"once-only copied":         {Repeated, []func(a *Auditor){took(2), post(1, 0, 0), post(20, 1, 0)}},
+		"sent after":               {PostedAfterAnswer, []func(a *Auditor){took(0), answer(10, Declined), post(20, 0, 0)}},
+		"once-only again":          {RepeatedOnceOnly, []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Cancelled), post(20, 1, 0)}},
+		"once-only copied":         {RepeatedOnceOnly, []func(a *Auditor){took(2), post(1, 0, 0), post(20, 1, 0)}},
 		"out of window":            {OutOfGroup, []func(a *Auditor){took(1), post(1, 0, 0), ended(9, 0, balance.Reset), post(1020, 1, 0)}},
 		"out of group":             {OutOfGroup, []func(a *Auditor){took(1), post(1, 0, 0), ended(9, 0, balance.Reset), post(20, 1, 1)}},
-		"declined":                 {WrongNo, []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Reset), answer(10, Declined)}},
-		"declined while out":       {WrongNo, []func(a *Auditor){took(1), post(1, 0, 0), answer(10, Declined)}},
-		"held back, and stood still before": {HeldBack, []func(a *Auditor){took(2), func(a *Auditor) { a.Stood("s", 0, 100) }, post(1, 0, 0),
+		"declined":                 {DeclinedMayHaveRun, []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Reset), answer(10, Declined)}},
+		"declined while out":       {DeclinedMayHaveRun, []func(a *Auditor){took(1), post(1, 0, 0), answer(10, Declined)}},
+		"held back, and stood still before": {AnswerDelayed, []func(a *Auditor){took(2), func(a *Auditor) { a.Stood("s", 0, 100) }, post(1, 0, 0),
 			ended(9, 0, balance.Reset), answer(400, Reversed)}},
 		"stood still all the time": {"", []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Reset),
 			func(a *Auditor) { a.Stood("s", 10, 390) }, answer(400, Reversed)}},
-		"held back": {HeldBack, []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Reset), answer(400, Reversed)}},
-		"made up":   {MadeUp, []func(a *Auditor){took(0), post(1, 0, 0), answer(10, Settled)}},
-		"ran twice": {TwoEffects, []func(a *Auditor){took(2), post(1, 0, 0), made, made, answer(100, Settled)}},
-		"drained": {DrainBroken, []func(a *Auditor){took(0), func(a *Auditor) {
+		"held back": {AnswerDelayed, []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Reset), answer(400, Reversed)}},
+		"made up":   {ResultNotFromWorker, []func(a *Auditor){took(0), post(1, 0, 0), answer(10, Settled)}},
+		"ran twice": {RanTwice, []func(a *Auditor){took(2), post(1, 0, 0), made, made, answer(100, Settled)}},
+		"drained": {PostedToDrained, []func(a *Auditor){took(0), func(a *Auditor) {
 			a.Listed(0, "s", "w", balance.Draining, 0)
 		}, post(60, 0, 0), made, answer(100, Settled)}},
 		"within the grace": {"", []func(a *Auditor){took(0), func(a *Auditor) {
 			a.Listed(0, "s", "w", balance.Draining, 0)
 		}, post(40, 0, 0), made, answer(100, Settled)}},
-		"flooded":                           {Flooded, []func(a *Auditor){func(a *Auditor) { a.Fell(1, "w", 0.7, "much") }}},
+		"flooded":                           {ColdWorkerOverload, []func(a *Auditor){func(a *Auditor) { a.Fell(1, "w", 0.7, "much") }}},
 		"flooded by those who did not know": {"", []func(a *Auditor){func(a *Auditor) { a.Fell(1, "w", 0.5, "much") }}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := New(terms)
-			for _, do := range c.does {
-				do(a)
+			for _, event := range c.events {
+				event(a)
 			}
 			a.Close(9999)
 			var got []string
-			for _, b := range a.Breaks() {
-				got = append(got, b.Rule)
-				if b.Ref != "" && len(b.History) == 0 {
-					t.Errorf("%s has no history", b)
+			for _, v := range a.Violations() {
+				got = append(got, v.Rule)
+				if v.Ref != "" && len(v.History) == 0 {
+					t.Errorf("%s has no history", v)
 				}
 			}
-			// What is wrong first counts: a story that breaks off has no answer either.
+			// Only the first violation counts: a history that stops after it has no answer either.
 			if c.want == "" && len(got) > 0 || c.want != "" && (len(got) == 0 || got[0] != c.want) {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
--- a/lab/audit/told.go
+++ b/lab/audit/told.go
@@ -2,102 +2,112 @@
 
 import "shalebeam/balance"
 
-// When a change of the list counts as told, by the operators' pages alone: what a scheduler believes, and the code by
-// which it does, have no part in it. A change counts when discovery has written it. One that a watch missed since it
-// fell silent counts 6 s after that, or 2 s after the wait of its call if that is later; one that discovery has when
-// a scheduler is told of a new address 4 s after that; in both cases all that changes from then on counts at once,
-// until an answer is written. One that a scheduler without a watch has not been told, also one from before its process
-// began, counts after the settings' time for asking, from when it was made or from the last call if that is later, and 6 s
-// after it was made in any case; while discovery is down not at all, and counted anew when it is back.
+// This file decides when a change of the list of workers counts as known to a scheduler. It follows the operators'
+// pages alone, not what a scheduler believes or how its code works.
+//
+//   - A change counts as known when discovery has written it to the scheduler.
+//   - If the scheduler's watch has fallen silent, a change that was not written counts 6 s after the watch fell silent
+//     or, if that is later, 2 s after the end of the wait of the watch's call. If the scheduler was told of a new address
+//     of discovery, a change counts 4 s after that. In both cases a change made after that time counts at once, until an
+//     answer is written.
+//   - If the scheduler has no watch, a change that it was not told of, also one from before its process began, counts
+//     after Terms.MustAsk, from when the change was made or, if that is later, from the scheduler's last call, but at
+//     the latest 6 s after the change was made. While discovery is down no change counts in this way, and the times run
+//     anew from when it is back.
+//
+// Times are milliseconds.
 const (
-	silentFor  = 6000.0
-	afterAWait = 2000.0
-	movedFor   = 4000.0
+	silentKnownMS     = 6000.0 // after a watch fell silent, or after a change was made
+	afterCallWaitMS   = 2000.0 // after the end of the wait of a silent watch's call
+	newAddressKnownMS = 4000.0 // after a scheduler was told of a new address
 )
 
-// change is what became of a worker in the list.
+// change is one change of a worker's entry in the list.
 type change struct {
 	at    float64
-	seq   int
+	seq   int // version of the list that has it
 	state balance.State
-	start float64
+	start float64 // when the worker last started
 }
 
-// ear is how a scheduler is told.
-type ear struct {
-	seq   int // the last version that was written to it
-	on    bool
-	asked float64
-	lost  float64 // from then on all counts as told; below 0: it does not
+// watch is the state of a scheduler's connection to discovery, as far as discovery sees it.
+type watch struct {
+	seq        int     // last version of the list that was written to the scheduler
+	on         bool    // a watch is established
+	calledAt   float64 // of the scheduler's last call
+	allKnownAt float64 // from then on every change counts as known; below 0: it does not
 }
 
-// Changed tells that discovery has a change.
+// Changed reports that discovery has made a change of a worker's entry, in version seq of the list.
 func (a *Auditor) Changed(at float64, seq int, worker string, state balance.State, start float64) {
 	a.changes[worker] = append(a.changes[worker], change{at, seq, state, start})
 }
 
-// Hears tells that a scheduler's process begins with the list of a version.
+// Hears reports that a scheduler's process starts with version seq of the list.
 func (a *Auditor) Hears(at float64, sched string, seq int) {
-	a.ears[sched] = &ear{seq: seq, asked: at, lost: -1}
+	a.watches[sched] = &watch{seq: seq, calledAt: at, allKnownAt: -1}
 }
 
-// Asked tells that a scheduler called discovery: for a new watch, or to go on with one.
+// Asked reports that a scheduler called discovery: with anew for a new watch, else to renew its watch.
 func (a *Auditor) Asked(at float64, sched string, anew bool) {
-	if e := a.ears[sched]; e != nil {
-		e.asked, e.on = at, e.on && !anew
+	if w := a.watches[sched]; w != nil {
+		w.calledAt, w.on = at, w.on && !anew
 	}
 }
 
-// Wrote tells that discovery wrote all up to a version to a scheduler. What a former address says ends no silence.
+// Wrote reports that discovery wrote all changes up to version seq to a scheduler. An answer from a former address of
+// discovery does not end the watch's silence.
 func (a *Auditor) Wrote(sched string, seq int, former bool) {
-	if e := a.ears[sched]; e != nil {
-		if e.seq = max(e.seq, seq); !former {
-			e.on, e.lost = true, -1
+	if w := a.watches[sched]; w != nil {
+		if w.seq = max(w.seq, seq); !former {
+			w.on, w.allKnownAt = true, -1
 		}
 	}
 }
 
-// Unwatched tells that a scheduler's watch ended, or a call for one failed.
+// Unwatched reports that a scheduler's watch ended, or that a call for one failed.
 func (a *Auditor) Unwatched(sched string) {
-	if e := a.ears[sched]; e != nil {
-		e.on = false
+	if w := a.watches[sched]; w != nil {
+		w.on = false
 	}
 }
 
-// Muted tells that a scheduler's watch fell silent; its call was made at a time and may wait so long.
+// Muted reports that a scheduler's watch fell silent. Its call was made at called and may wait for wait ms.
 func (a *Auditor) Muted(at float64, sched string, called, wait float64) {
-	a.loses(sched, max(at+silentFor, called+wait+afterAWait))
+	a.knowsAllFrom(sched, max(at+silentKnownMS, called+wait+afterCallWaitMS))
 }
 
-// Moved tells that a scheduler was told of a new address of discovery.
-func (a *Auditor) Moved(at float64, sched string) { a.loses(sched, at+movedFor) }
+// Moved reports that a scheduler was told of a new address of discovery.
+func (a *Auditor) Moved(at float64, sched string) { a.knowsAllFrom(sched, at+newAddressKnownMS) }
 
-func (a *Auditor) loses(sched string, at float64) {
-	if e := a.ears[sched]; e != nil && (e.lost < 0 || at < e.lost) {
-		e.lost = at
+// knowsAllFrom has every change count as known to a scheduler from a time on, or from an earlier one if that is set.
+func (a *Auditor) knowsAllFrom(sched string, at float64) {
+	if w := a.watches[sched]; w != nil && (w.allKnownAt < 0 || at < w.allKnownAt) {
+		w.allKnownAt = at
 	}
 }
 
-// Down tells that discovery went down, or is back.
+// Down reports that discovery went down or came back.
 func (a *Auditor) Down(at float64, down bool) {
-	if a.down = down; !down {
-		a.backAt = at
+	if a.discoveryDown = down; !down {
+		a.discoveryUpAt = at
 	}
 }
 
-// counted is the last change of a worker that counts as told to a scheduler though it was never written, and since when.
-func (a *Auditor) counted(at float64, sched, worker string) (c change, told float64, ok bool) {
-	e, all := a.ears[sched], a.changes[worker]
-	if e == nil {
+// presumedKnown returns the last change of a worker that counts as known to a scheduler though discovery did not write
+// it, and since when it counts.
+func (a *Auditor) presumedKnown(at float64, sched, worker string) (c change, knownAt float64, ok bool) {
+	w, all := a.watches[sched], a.changes[worker]
+	if w == nil {
 		return c, 0, false
 	}
-	for i := len(all) - 1; i >= 0 && all[i].seq > e.seq; i-- {
-		if e.lost >= 0 && at >= max(e.lost, all[i].at) {
-			return all[i], max(e.lost, all[i].at), true
+	for i := len(all) - 1; i >= 0 && all[i].seq > w.seq; i-- {
+		if w.allKnownAt >= 0 && at >= max(w.allKnownAt, all[i].at) {
+			return all[i], max(w.allKnownAt, all[i].at), true
 		}
-		told := min(max(all[i].at, e.asked, a.backAt)+a.terms.MustAsk, max(all[i].at, a.backAt)+silentFor)
-		if a.terms.MustAsk > 0 && !e.on && !a.down && at >= told {
-			return all[i], told, true
+		knownAt := min(max(all[i].at, w.calledAt, a.discoveryUpAt)+a.terms.MustAsk, max(all[i].at, a.discoveryUpAt)+silentKnownMS)
+		if a.terms.MustAsk > 0 && !w.on && !a.discoveryDown && at >= knownAt {
+			return all[i], knownAt, true
 		}
 	}
 	return c, 0, false
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -35,7 +35,7 @@
 	Decisions string         `json:"decisions,omitempty"` // a digest of all, in simulated time
 	Memory    int            `json:"memory_kb,omitempty"` // the most that a scheduler's process held, on sockets
 	Counts    map[string]int `json:"breaks"`
-	Breaks    []audit.Break  `json:"break_stories,omitempty"`
+	Breaks    []audit.Violation  `json:"break_stories,omitempty"`
 	History   []string       `json:"history,omitempty"`
 	Seconds   []Second       `json:"seconds,omitempty"`
 	hist      *hdrhistogram.Histogram
@@ -169,7 +169,7 @@
 		}
 	}
 	r.Ended = int(at)
-	r.Breaks, r.History = a.Breaks(), a.History()
+	r.Breaks, r.History = a.Violations(), a.History()
 	for rule, n := range a.Counts() {
 		r.Counts[rule] = n
 	}
