--- a/cmd/beamlab/cluster.go
+++ b/cmd/beamlab/cluster.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -16,35 +15,36 @@
 	"shalebeam/lab/council"
 )
 
+// clusterCmd groups the commands that play agents and schedulers together.
 type clusterCmd struct {
-	Days clusterDays `cmd:"" help:"Play seeded days of real agents and schedulers with faults between them."`
-	Runs clusterRuns `cmd:"" help:"Play seeded runs of the record in simulated time: hundreds of agents, disks that lie."`
-	Pace clusterPace `cmd:"" help:"Measure: time without an owner, changes a second."`
-	Demo clusterDemo `cmd:"" help:"Three agents, four schedulers, workers and load on loopback, and a beamctl line that works."`
+	Days clusterDays `cmd:"" help:"Play seeded runs of agent and scheduler processes with injected faults."`
+	Runs clusterRuns `cmd:"" help:"Play seeded runs of the replicated record in simulated time, with up to hundreds of agents and faulty disks."`
+	Pace clusterPace `cmd:"" help:"Measure failover times, change rates and operations on real processes."`
+	Demo clusterDemo `cmd:"" help:"Start three agents, four schedulers, workers and load on loopback and print beamctl commands to try."`
 }
 
 type clusterDays struct {
-	Seed       uint64        `default:"1" help:"The first day's seed."`
-	Days       int           `default:"1" help:"How many."`
-	Jobs       int           `default:"2" help:"Days at once; a day is a dozen processes."`
+	Seed       uint64        `default:"1" help:"The seed of the first run."`
+	Days       int           `default:"1" help:"Number of runs."`
+	Jobs       int           `default:"2" help:"Number of concurrent runs; each is a dozen processes."`
 	Plant      string        `placeholder:"BUG" help:"Plant a bug: ${bugs}."`
-	Keep       string        `placeholder:"FOLDER" help:"Keep logs and disks there."`
-	Programs   string        `placeholder:"FOLDER" help:"Of shalebeam and beamagent built with the tag faults; by default they are built now."`
-	Agents     int           `default:"3" help:"How many agents."`
-	Voters     int           `default:"3" help:"How many of them keep the record: 3 or 5."`
-	Schedulers int           `default:"4" help:"How many schedulers."`
-	Workers    int           `default:"9" help:"How many workers."`
-	For        time.Duration `default:"10s" help:"How long faults come in a day."`
-	Operations bool          `help:"Agents run the schedulers; operations, releases, halts and ways back are among what happens."`
+	Keep       string        `placeholder:"FOLDER" help:"Keep logs and data directories in this directory."`
+	Programs   string        `placeholder:"FOLDER" help:"Directory of shalebeam and beamagent, built with the tag faults; by default they are built first."`
+	Agents     int           `default:"3" help:"Number of agents."`
+	Voters     int           `default:"3" help:"Number of agents that keep a replica of the record: 3 or 5."`
+	Schedulers int           `default:"4" help:"Number of schedulers."`
+	Workers    int           `default:"9" help:"Number of workers."`
+	For        time.Duration `default:"10s" help:"For how long faults are injected in each run."`
+	Operations bool          `help:"Agents run the schedulers, and operations, releases, halts and rollbacks take place."`
 }
 
-// Run plays the days and names each that broke something, with the command that plays it again.
+// Run plays the seeds and prints each violation with the command that plays its seed again.
 func (c *clusterDays) Run(ctx context.Context) error {
 	if c.Plant != "" && !slices.Contains(cluster.Bugs, c.Plant) {
 		return fmt.Errorf("--plant: %q is none of %s", c.Plant, strings.Join(cluster.Bugs, ", "))
 	}
 	if c.Voters != 3 && c.Voters != 5 {
-		return errors.New("--voters is 3 or 5")
+		return fmt.Errorf("--voters: expected 3 or 5, got %d", c.Voters)
 	}
 	dir, err := os.MkdirTemp("", "beamlab-cluster-")
 	if err != nil {
@@ -56,24 +56,24 @@
 		programs = filepath.Join(dir, "bin")
 		cmd := exec.CommandContext(ctx, "go", "build", "-tags", "faults", "-o", programs+"/", "./cmd/shalebeam", "./cmd/beamagent")
 		if out, err := cmd.CombinedOutput(); err != nil {
-			return fmt.Errorf("the programs can't be built here (see --programs): %w\n%s", err, out)
+			return fmt.Errorf("building shalebeam and beamagent failed (see --programs): %w\n%s", err, out)
 		}
 	}
 	if c.Keep != "" {
 		dir = c.Keep
 	}
 	var mu sync.Mutex
-	var jobs sync.WaitGroup
-	broken, ops, yes, open := 0, 0, 0, 0
-	healed := []float64{}
+	var players sync.WaitGroup
+	broken, ops, confirmed, open := 0, 0, 0, 0
+	healSeconds := []float64{}
 	seeds := make(chan uint64)
 	for range max(c.Jobs, 1) {
-		jobs.Go(func() {
+		players.Go(func() {
 			for seed := range seeds {
-				at := filepath.Join(dir, fmt.Sprint("day", seed))
-				_ = os.RemoveAll(at) // kept from a run before: disks that know another fleet
+				runDir := filepath.Join(dir, fmt.Sprint("day", seed))
+				_ = os.RemoveAll(runDir) // an earlier run with --keep may have left the data of another fleet
 				r, err := cluster.Play(ctx, cluster.Options{Seed: seed, Agents: c.Agents, Voters: c.Voters, Schedulers: c.Schedulers,
-					Workers: c.Workers, For: c.For, Runs: c.Operations, Bug: c.Plant, Dir: at, Program: filepath.Join(programs, "shalebeam"),
+					Workers: c.Workers, For: c.For, Runs: c.Operations, Bug: c.Plant, Dir: runDir, Program: filepath.Join(programs, "shalebeam"),
 					Agent: filepath.Join(programs, "beamagent")})
 				mu.Lock()
 				switch {
@@ -82,8 +82,8 @@
 					broken++
 					fmt.Printf("day %d: could not be played: %v\n", seed, err)
 				default:
-					ops, yes, open = ops+r.Ops, yes+r.Yes, open+r.Open
-					healed = append(healed, r.Healed)
+					ops, confirmed, open = ops+r.Ops, confirmed+r.Yes, open+r.Open
+					healSeconds = append(healSeconds, r.Healed)
 					fmt.Printf("day %d: %d operations, %d by all, %d open, healed in %.1f s, %d postings: %d broken\n", seed, r.Ops, r.Yes,
 						r.Open, r.Healed, r.Postings, len(r.Breaks))
 					if len(r.Breaks) > 0 {
@@ -101,9 +101,9 @@
 				}
 				mu.Unlock()
 				if c.Keep == "" {
-					os.RemoveAll(at)
+					os.RemoveAll(runDir)
 				} else if r != nil {
-					_ = os.WriteFile(filepath.Join(at, "faults.txt"), []byte(strings.Join(r.Faults, "\n")+"\n"), 0o600)
+					_ = os.WriteFile(filepath.Join(runDir, "faults.txt"), []byte(strings.Join(r.Faults, "\n")+"\n"), 0o600)
 				}
 			}
 		})
@@ -115,47 +115,50 @@
 		}
 	}
 	close(seeds)
-	jobs.Wait()
-	slices.Sort(healed)
-	if n := len(healed); n > 0 {
-		fmt.Printf("%d days: %d broken; %d operations, %d by all, %d open; healed in %.1f s (median), %.1f s at worst\n", n, broken, ops, yes, open,
-			healed[n/2], healed[n-1])
+	players.Wait()
+	slices.Sort(healSeconds)
+	if n := len(healSeconds); n > 0 {
+		fmt.Printf("%d days: %d broken; %d operations, %d by all, %d open; healed in %.1f s (median), %.1f s at worst\n", n, broken, ops, confirmed, open,
+			healSeconds[n/2], healSeconds[n-1])
 	}
 	if broken > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return ctx.Err()
 }
 
+// operationStartMS is the time of a council run, in ms, at which its operation starts.
+const operationStartMS = 3000
+
 type clusterRuns struct {
-	Seed       uint64  `default:"1" help:"The first run's seed."`
-	Runs       int     `default:"100" help:"How many, one after the other: each stands alone for its seed."`
+	Seed       uint64  `default:"1" help:"The seed of the first run."`
+	Runs       int     `default:"100" help:"Number of runs, played one after another; a run depends on its seed alone."`
 	Plant      string  `placeholder:"BUG" help:"Plant a bug: ${bugs}."`
-	Agents     int     `default:"9" help:"How many agents."`
-	Voters     int     `default:"5" help:"How many voters."`
-	Schedulers int     `default:"4" help:"How many schedulers."`
-	For        float64 `default:"15000" help:"How many ms faults come."`
-	Calm       bool    `help:"No faults, no halts, and every released program is well."`
-	Ops        bool    `help:"Agents run the schedulers; an operation is carried, halted, turned back."`
-	Workers    int     `default:"0" help:"How many workers are part of it."`
+	Agents     int     `default:"9" help:"Number of agents."`
+	Voters     int     `default:"5" help:"Number of agents that keep a replica of the record."`
+	Schedulers int     `default:"4" help:"Number of schedulers."`
+	For        float64 `default:"15000" help:"For how many ms faults are injected."`
+	Calm       bool    `help:"Inject no faults and no halts, and let every released program be healthy."`
+	Ops        bool    `help:"Agents run the schedulers, and an operation is carried out, halted and rolled back."`
+	Workers    int     `default:"0" help:"Number of workers that the operation includes."`
 }
 
-// Run plays the runs and names each that broke something, with the command that plays it again.
+// Run plays the seeds and prints each violation with the command that plays its seed again.
 func (c *clusterRuns) Run(ctx context.Context) error {
-	broken, left, changes, owners, refused, replaced, letters := 0, 0, 0, 0, 0, 0, 0
+	broken, halted, changes, owners, refused, replaced, messages := 0, 0, 0, 0, 0, 0, 0
 	played := 0
-	calls, most, times := 0, 0, []float64{}
+	calls, mostCalls, seconds := 0, 0, []float64{}
 	for seed := c.Seed; seed < c.Seed+uint64(c.Runs) && ctx.Err() == nil; seed++ {
 		r := council.Play(council.Options{Seed: seed, Voters: c.Voters, Agents: c.Agents, Schedulers: c.Schedulers, For: c.For, Bug: c.Plant, Ops: c.Ops,
 			Workers: c.Workers, Calm: c.Calm})
 		played++
-		changes, owners, refused, replaced, letters = changes+r.Changes, owners+r.Owners, refused+r.Refused, replaced+r.Replaced, letters+r.Letters
-		calls, most, left = calls+r.Calls, max(most, r.Most), left+r.Left
+		changes, owners, refused, replaced, messages = changes+r.Changes, owners+r.Owners, refused+r.Refused, replaced+r.Replaced, messages+r.Letters
+		calls, mostCalls, halted = calls+r.Calls, max(mostCalls, r.Most), halted+r.Left
 		if r.Ended > 0 {
-			times = append(times, (r.Ended-3000)/1000)
+			seconds = append(seconds, (r.Ended-operationStartMS)/1000)
 		}
 		if c.Calm && r.Ended > 0 {
-			fmt.Printf("run %d: over after %.1f s, at the least %.1f s: %.2f times\n", seed, (r.Ended-3000)/1000, r.Least/1000, (r.Ended-3000)/r.Least)
+			fmt.Printf("run %d: over after %.1f s, at the least %.1f s: %.2f times\n", seed, (r.Ended-operationStartMS)/1000, r.Least/1000, (r.Ended-operationStartMS)/r.Least)
 		}
 		if len(r.Breaks) > 0 {
 			broken++
@@ -164,47 +167,47 @@
 		}
 	}
 	fmt.Printf("%d runs: %d broken; %d changes, %d owners, %d late calls refused, %d voters replaced, %d letters\n", played, broken, changes, owners,
-		refused, replaced, letters)
-	if slices.Sort(times); len(times) > 0 {
+		refused, replaced, messages)
+	if slices.Sort(seconds); len(seconds) > 0 {
 		fmt.Printf("operations: over after %.1f s (median), %.1f s at worst; %d halted for a person; %d calls at agents, at most %d out together\n",
-			times[len(times)/2], times[len(times)-1], left, calls, most)
+			seconds[len(seconds)/2], seconds[len(seconds)-1], halted, calls, mostCalls)
 	}
 	if broken > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return ctx.Err()
 }
 
 type clusterPace struct {
-	What       string `arg:"" enum:"kill,stop,cut,changes,idle,halt,halt-alone,back,restart" help:"kill, stop, cut: time without an owner when it is; changes: how many a second; idle: what goes to and fro; halt, halt-alone: to the last new step, with and without a majority; back: from a failed gate; restart: all, by limit."`
-	Times      int    `default:"20" help:"How often."`
-	Agents     int    `default:"3" help:"How many agents."`
-	Schedulers int    `default:"4" help:"How many schedulers."`
-	Programs   string `required:"" help:"Folder of shalebeam and beamagent."`
+	What       string `arg:"" enum:"kill,stop,cut,changes,idle,halt,halt-alone,back,restart" help:"kill, stop, cut: time without an owner after that fault of the owner; changes: changes per second; idle: messages and bytes per second; halt, halt-alone: time from a halt to the last new step, with and without a majority; back: time of a rollback after a failed gate; restart: time to restart all schedulers, by limit."`
+	Times      int    `default:"20" help:"Number of measurements."`
+	Agents     int    `default:"3" help:"Number of agents."`
+	Schedulers int    `default:"4" help:"Number of schedulers."`
+	Programs   string `required:"" help:"Directory of shalebeam and beamagent."`
 }
 
-// Run measures on real processes.
+// Run plays a fleet of processes without random faults and measures what What names.
 func (c *clusterPace) Run(ctx context.Context) error {
 	dir, err := os.MkdirTemp("", "beamlab-pace-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	runs := slices.Contains([]string{"halt", "halt-alone", "back", "restart"}, c.What)
+	operations := slices.Contains([]string{"halt", "halt-alone", "back", "restart"}, c.What)
 	load, length := 0.1, time.Second
-	if runs {
+	if operations {
 		load, length = 0.5, time.Duration(c.Times)*12*time.Second
 	}
-	r, err := cluster.Play(ctx, cluster.Options{Seed: 1, Agents: c.Agents, Dir: dir, For: length, Load: load, Runs: runs, Schedulers: c.Schedulers,
+	r, err := cluster.Play(ctx, cluster.Options{Seed: 1, Agents: c.Agents, Dir: dir, For: length, Load: load, Runs: operations, Schedulers: c.Schedulers,
 		Program: filepath.Join(c.Programs, "shalebeam"), Agent: filepath.Join(c.Programs, "beamagent"), Act: func(d *cluster.Day) {
 			if c.What == "changes" {
 				for _, callers := range []int{1, 64} {
-					each, syncs := d.Changes(callers, 5*time.Second)
-					fmt.Printf("%d callers: %.0f changes a second, %.0f syncs a second and voter, %.2f changes a sync\n", callers, each, syncs, each/syncs)
+					changes, syncs := d.Changes(callers, 5*time.Second)
+					fmt.Printf("%d callers: %.0f changes a second, %.0f syncs a second and voter, %.2f changes a sync\n", callers, changes, syncs, changes/syncs)
 				}
 				return
 			}
-			middle := func(all []float64) string {
+			medianAndWorst := func(all []float64) string { // all: sorted times in ms
 				if len(all) == 0 {
 					return "none"
 				}
@@ -212,16 +215,16 @@
 			}
 			switch c.What {
 			case "idle":
-				letters, bytes := d.Idle(10 * time.Second)
-				fmt.Printf("%d agents, %d schedulers, idle: %.0f letters, %.0f kB a second between all processes\n", c.Agents, c.Schedulers, letters, bytes/1000)
+				messages, bytes := d.Idle(10 * time.Second)
+				fmt.Printf("%d agents, %d schedulers, idle: %.0f letters, %.0f kB a second between all processes\n", c.Agents, c.Schedulers, messages, bytes/1000)
 				return
 			case "halt", "halt-alone":
-				last, yes := d.HaltPace(c.Times, c.What == "halt-alone")
-				fmt.Printf("%s: %d times, to the last new step %s; to the yes %s\n", c.What, len(last), middle(last), middle(yes))
+				lastStep, confirmed := d.HaltPace(c.Times, c.What == "halt-alone")
+				fmt.Printf("%s: %d times, to the last new step %s; to the yes %s\n", c.What, len(lastStep), medianAndWorst(lastStep), medianAndWorst(confirmed))
 				return
 			case "back":
-				halts, backs := d.BackPace(c.Times)
-				fmt.Printf("back: %d times, from the start to the halt %s; from the halt until all are back %s\n", len(halts), middle(halts), middle(backs))
+				toHalt, toRollback := d.BackPace(c.Times)
+				fmt.Printf("back: %d times, from the start to the halt %s; from the halt until all are back %s\n", len(toHalt), medianAndWorst(toHalt), medianAndWorst(toRollback))
 				return
 			case "restart":
 				for _, share := range []float64{0.05, 0.1, 0.25, 1} {
@@ -230,8 +233,8 @@
 				}
 				return
 			}
-			g := d.Gaps(c.What, c.Times)
-			fmt.Printf("%s: %d times, without an owner %.0f ms (median), %.0f ms at worst; the term is 1000 ms\n", c.What, len(g), g[len(g)/2], g[len(g)-1])
+			gaps := d.Gaps(c.What, c.Times)
+			fmt.Printf("%s: %d times, without an owner %.0f ms (median), %.0f ms at worst; the term is 1000 ms\n", c.What, len(gaps), gaps[len(gaps)/2], gaps[len(gaps)-1])
 		}})
 	if err != nil {
 		return err
@@ -243,21 +246,21 @@
 }
 
 type clusterDemo struct {
-	Operations bool          `help:"Agents run the schedulers, so that they can be restarted, drained and released."`
-	For        time.Duration `default:"10m" help:"How long, unless Ctrl-C comes first."`
-	Fault      []string      `sep:"none" placeholder:"FAULT" help:"As 'kill a0 at=5s for=3s', 'stop a1 ...', 'cut a2 ...', 'stall a2 ...', 'kill s1 ...'. May be given more than once."`
+	Operations bool          `help:"Agents run the schedulers, so that these can be restarted, drained and released."`
+	For        time.Duration `default:"10m" help:"How long to run, unless ended earlier by Ctrl-C."`
+	Fault      []string      `sep:"none" placeholder:"FAULT" help:"Inject a fault, such as 'kill a0 at=5s for=3s', 'stop a1 ...', 'cut a2 ...', 'stall a2 ...', 'kill s1 ...'. May be given more than once."`
 }
 
-// Run brings up a fleet on loopback with the ordinary programs, and prints the lines to try.
+// Run starts a fleet on loopback with the programs in beamlab's directory and prints beamctl commands to try.
 func (c *clusterDemo) Run(ctx context.Context) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	beside := func(name string) string { return filepath.Join(filepath.Dir(self), name) }
+	inOwnDir := func(name string) string { return filepath.Join(filepath.Dir(self), name) }
 	for _, name := range []string{"shalebeam", "beamagent", "beamctl"} {
-		if _, err := os.Stat(beside(name)); err != nil {
-			return fmt.Errorf("%s is not beside beamlab: make build", name)
+		if _, err := os.Stat(inOwnDir(name)); err != nil {
+			return fmt.Errorf("%s is not in beamlab's directory; build it with: make build", name)
 		}
 	}
 	var faults []cluster.Fault
@@ -275,16 +278,16 @@
 	defer os.RemoveAll(dir)
 	ctx, stop := context.WithTimeout(ctx, c.For)
 	defer stop()
-	_, err = cluster.Play(ctx, cluster.Options{Seed: 1, Dir: dir, Hold: true, Runs: c.Operations, Program: beside("shalebeam"), Agent: beside("beamagent"),
+	_, err = cluster.Play(ctx, cluster.Options{Seed: 1, Dir: dir, Hold: true, Runs: c.Operations, Program: inOwnDir("shalebeam"), Agent: inOwnDir("beamagent"),
 		Tell: func(text string) { fmt.Println(text) }, Act: func(d *cluster.Day) {
 			addrs, worker, zone := d.Try()
 			fmt.Printf("\nthree agents and four schedulers run. In another window:\n\n")
-			fmt.Printf("  export BEAM_AGENT=%s\n  %s status\n", strings.Join(addrs, ","), beside("beamctl"))
-			fmt.Printf("  %s worker down %s --zone %s --why maintenance\n  %s worker up %s\n  %s events\n\n", beside("beamctl"), worker, zone,
-				beside("beamctl"), worker, beside("beamctl"))
+			fmt.Printf("  export BEAM_AGENT=%s\n  %s status\n", strings.Join(addrs, ","), inOwnDir("beamctl"))
+			fmt.Printf("  %s worker down %s --zone %s --why maintenance\n  %s worker up %s\n  %s events\n\n", inOwnDir("beamctl"), worker, zone,
+				inOwnDir("beamctl"), worker, inOwnDir("beamctl"))
 			if c.Operations {
-				fmt.Printf("  %s restart s0 s1 s2 s3\n  %s drain s1\n  %s why s2\n  %s undrain s1\n  %s halt all --why look\n  %s lift all\n\n", beside("beamctl"),
-					beside("beamctl"), beside("beamctl"), beside("beamctl"), beside("beamctl"), beside("beamctl"))
+				fmt.Printf("  %s restart s0 s1 s2 s3\n  %s drain s1\n  %s why s2\n  %s undrain s1\n  %s halt all --why look\n  %s lift all\n\n", inOwnDir("beamctl"),
+					inOwnDir("beamctl"), inOwnDir("beamctl"), inOwnDir("beamctl"), inOwnDir("beamctl"), inOwnDir("beamctl"))
 			}
 			d.Script(faults)
 		}})
--- a/cmd/beamlab/commands.go
+++ b/cmd/beamlab/commands.go
@@ -24,48 +24,49 @@
 	"shalebeam/lab/tally"
 )
 
-// errBroken ends a command, with exit code 3, in which a rule was broken.
-var errBroken = errors.New("a rule was broken")
+// errRuleBroken ends a command in which a rule was violated, with exit code 3.
+var errRuleBroken = errors.New("a rule was broken")
 
-// common is what all commands that play have.
-type common struct {
+// playFlags are the arguments and flags of the commands that play an experiment file.
+type playFlags struct {
 	File  string   `arg:"" help:"Experiment file."`
-	Seeds int      `default:"1" help:"How many seeds, from the file's own on."`
-	Seed  *uint64  `help:"The first seed, in place of the file's."`
-	Set   []string `placeholder:"KEY=VALUE" help:"Set a key of the file anew, as clients.load=0.9."`
-	Jobs  int      `default:"${jobs}" help:"Runs played at once. The results are the same with any number."`
-	output
+	Seeds int      `default:"1" help:"Number of seeds, counted up from the first one."`
+	Seed  *uint64  `help:"The first seed; by default the one in the file."`
+	Set   []string `placeholder:"KEY=VALUE" help:"Override a key of the file, such as clients.load=0.9."`
+	Jobs  int      `default:"${jobs}" help:"Number of concurrent runs. It does not change the results."`
+	outputFlags
 }
 
-// way is how a plan is played.
-type way struct {
+// modeFlags say how a plan is played.
+type modeFlags struct {
 	Way     string `enum:"simulated,sockets" default:"simulated" help:"Play in simulated time, or in real time on loopback sockets."`
-	Program string `default:"" placeholder:"FILE" help:"The shalebeam program to play with on sockets; by default the one beside beamlab."`
-	Logs    string `placeholder:"FOLDER" help:"Keep the schedulers' configurations and logs there."`
+	Program string `default:"" placeholder:"FILE" help:"The shalebeam program that plays on sockets; by default the one in beamlab's directory."`
+	Logs    string `placeholder:"FOLDER" help:"Keep the schedulers' configurations and logs in this directory."`
 }
 
-// play is the tasks' own way to be played, nil for simulated time. On sockets runs share the cores, so one is
-// played at a time.
-func (y *way) play(c *common) (func(context.Context, runner.Task) (*tally.Result, error), error) {
-	if y.Way != "simulated" {
+// play returns the function that plays a task, see player. Runs on sockets compete for the cores, so it limits them to
+// one at a time.
+func (m *modeFlags) play(c *playFlags) (func(context.Context, runner.Task) (*tally.Result, error), error) {
+	if m.Way != "simulated" {
 		c.Jobs = 1
 	}
-	return y.player(c.Quiet)
+	return m.player(c.Quiet)
 }
 
-func (y *way) player(quiet bool) (func(context.Context, runner.Task) (*tally.Result, error), error) {
-	if y.Way == "simulated" {
+// player returns the function that plays a task on sockets, nil for simulated time.
+func (m *modeFlags) player(quiet bool) (func(context.Context, runner.Task) (*tally.Result, error), error) {
+	if m.Way == "simulated" {
 		return nil, nil
 	}
-	program, err := y.program()
+	program, err := m.program()
 	if err != nil {
 		return nil, err
 	}
 	return func(ctx context.Context, t runner.Task) (*tally.Result, error) {
 		if t.Policy != "adus" {
-			return nil, fmt.Errorf("policy %q: on sockets the program decides by itself", t.Policy)
+			return nil, fmt.Errorf("policy %q: on sockets only adus can be played, as the shalebeam program decides", t.Policy)
 		}
-		opt := live.Options{Program: program, Dir: y.Logs, Keep: t.Keep}
+		opt := live.Options{Program: program, Dir: m.Logs, Keep: t.Keep}
 		if !quiet {
 			opt.Progress = func(done float64) { fmt.Fprintf(os.Stderr, "\r%s, seed %d: %3.0f%%", t.Plan.Name, t.Seed, 100*done) }
 		}
@@ -73,9 +74,10 @@
 	}, nil
 }
 
-func (y *way) program() (string, error) {
-	if y.Program != "" {
-		return y.Program, nil
+// program returns the path of the shalebeam program.
+func (m *modeFlags) program() (string, error) {
+	if m.Program != "" {
+		return m.Program, nil
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -83,22 +85,23 @@
 	}
 	beside := filepath.Join(filepath.Dir(self), "shalebeam")
 	if _, err := os.Stat(beside); err != nil {
-		return "", fmt.Errorf("--program: no shalebeam beside beamlab: %w", err)
+		return "", fmt.Errorf("--program is not given, and there is no shalebeam in beamlab's directory: %w", err)
 	}
 	return beside, nil
 }
 
-// output says where results go.
-type output struct {
+// outputFlags say where results are written.
+type outputFlags struct {
 	JSON  bool   `name:"json" help:"Write results as JSON to standard output."`
-	Page  string `placeholder:"FILE" help:"Write a page with plots."`
-	Quiet bool   `short:"q" help:"No progress."`
+	Page  string `placeholder:"FILE" help:"Write an HTML page with plots."`
+	Quiet bool   `short:"q" help:"Show no progress."`
 }
 
-// Help names the policies.
-func (common) Help() string { return "Policies: " + strings.Join(policy.Names(), ", ") + "." }
+// Help returns the help text, which lists the policies.
+func (playFlags) Help() string { return "Policies: " + strings.Join(policy.Names(), ", ") + "." }
 
-func (c *common) load(sets ...string) (*plan.Plan, error) {
+// load reads the experiment file with the changes of --set, sets and --seed.
+func (c *playFlags) load(sets ...string) (*plan.Plan, error) {
 	raw, err := os.ReadFile(c.File)
 	if err != nil {
 		return nil, err
@@ -118,25 +121,26 @@
 	return p, nil
 }
 
-// progress shows how many runs have ended, on standard error, a few times a second at the most.
-func (o *output) progress(of int) func(i int, r *tally.Result) {
+// progress returns a function that shows on standard error how many of total runs have ended, at most every 200 ms.
+func (o *outputFlags) progress(total int) func(i int, r *tally.Result) {
 	if o.Quiet {
 		return nil
 	}
-	done, at := 0, time.Time{}
+	done, shownAt := 0, time.Time{}
 	return func(i int, r *tally.Result) {
-		if done++; time.Since(at) > 200*time.Millisecond || done == of {
-			at = time.Now()
-			fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, of)
-			if done == of {
+		if done++; time.Since(shownAt) > 200*time.Millisecond || done == total {
+			shownAt = time.Now()
+			fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, total)
+			if done == total {
 				fmt.Fprintln(os.Stderr)
 			}
 		}
 	}
 }
 
-// write gives a document out in the ways asked for, and in words by say where it is not JSON.
-func (o *output) write(d *report.Doc, say func(w io.Writer)) error {
+// write writes a document as the flags ask: as a page, and as JSON or else as the text that writeText writes. It returns
+// errRuleBroken if the auditor found violations of adus; of other policies and planted bugs they are expected.
+func (o *outputFlags) write(d *report.Doc, writeText func(w io.Writer)) error {
 	if o.Page != "" {
 		f, err := os.Create(o.Page)
 		if err != nil {
@@ -157,40 +161,40 @@
 		}
 	} else {
 		if d.Partial {
-			fmt.Println("stopped before its end; what was played until then:")
+			fmt.Println("stopped early; these are the results until then:")
 		}
-		say(os.Stdout)
+		writeText(os.Stdout)
 	}
 	for _, r := range d.Runs {
-		if r != nil && r.BreakCount() > 0 && !strings.Contains(r.Policy, ":") && strings.HasPrefix(r.Policy, "adus") {
-			return errBroken
+		if r != nil && r.ViolationCount() > 0 && !strings.Contains(r.Policy, ":") && strings.HasPrefix(r.Policy, "adus") {
+			return errRuleBroken
 		}
 	}
 	return nil
 }
 
-// say tells of one run in words.
-func say(w io.Writer, r *tally.Result) {
+// writeRun writes the results of one run as text.
+func writeRun(w io.Writer, r *tally.Result) {
 	fmt.Fprintf(w, "%s, %s, seed %d (%s): G %.3f, %d jobs, %d postings, busy %.2f, p50 %.0f ms, p99 %.0f ms\n",
 		r.Plan, r.Policy, r.Seed, r.Way, r.G, r.Offered, r.Postings, r.Busy, r.Latency.P50, r.Latency.P99)
 	fmt.Fprintf(w, "  %-16s %8s %8s %8s %9s %9s %9s %7s\n", "scheme", "jobs", "in time", "late", "declined", "reversed",
 		"no answer", "G")
 	for _, c := range r.Schemes {
 		fmt.Fprintf(w, "  %-16s %8d %8d %8d %9d %9d %9d %7.3f\n", c.Name, c.Offered, c.InTime, c.Late, c.Declined,
-			c.Reversed, c.None, c.G)
+			c.Reversed, c.NoAnswer, c.G)
 	}
 	for _, b := range r.Breaks {
 		fmt.Fprintln(w, " ", b)
 	}
-	if n := r.BreakCount(); n > 0 {
+	if n := r.ViolationCount(); n > 0 {
 		fmt.Fprintf(w, "  rules broken: %v\n", r.Counts)
 	}
 }
 
 type runCmd struct {
-	common
-	way
-	Policy []string `default:"adus" help:"What decides: a policy, or POLICY:BUG with a planted bug."`
+	playFlags
+	modeFlags
+	Policy []string `default:"adus" help:"The policy that decides, or POLICY:BUG for one with a planted bug."`
 }
 
 // Run plays each policy on each seed.
@@ -199,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	play, err := c.play(&c.common)
+	play, err := c.play(&c.playFlags)
 	if err != nil {
 		return err
 	}
@@ -209,7 +213,7 @@
 			tasks = append(tasks, runner.Task{Plan: p, Seed: p.Seed + uint64(i), Policy: name, Play: play})
 		}
 	}
-	got, err := runner.All(ctx, tasks, c.Jobs, c.progress(len(tasks)))
+	got, err := runner.PlayAll(ctx, tasks, c.Jobs, c.progress(len(tasks)))
 	if err != nil {
 		return err
 	}
@@ -217,25 +221,26 @@
 	return c.write(d, func(w io.Writer) {
 		for _, r := range got {
 			if r != nil {
-				say(w, r)
+				writeRun(w, r)
 			}
 		}
 	})
 }
 
 type compareCmd struct {
-	common
-	With []string `sep:"none" placeholder:"VARIANT" help:"A variant: policy=NAME, build=BEAMLAB-PROGRAM, or KEY=VALUE of the file, several joined by commas. The first is what the others are held against."`
+	playFlags
+	With []string `sep:"none" placeholder:"VARIANT" help:"A variant: policy=NAME, build=BEAMLAB-PROGRAM or KEY=VALUE of the file, or several joined by commas. The others are compared with the first."`
 }
 
-// variant is one of a comparison.
+// variant is one variant of a comparison.
 type variant struct {
 	name   string
 	policy string
-	build  string
-	sets   []string
+	build  string   // path of another beamlab program that plays it; "": this one does
+	sets   []string // KEY=VALUE changes of the experiment file
 }
 
+// parseVariant parses the value of --with.
 func parseVariant(text string) variant {
 	v := variant{name: text, policy: "adus"}
 	for part := range strings.SplitSeq(text, ",") {
@@ -252,8 +257,8 @@
 	return v
 }
 
-// tasks of a variant, one a seed. Another build of beamlab plays them in a process of its own.
-func (c *common) tasks(v variant) ([]runner.Task, error) {
+// tasks returns the tasks of a variant, one for each seed. Another build of beamlab plays them in processes of its own.
+func (c *playFlags) tasks(v variant) ([]runner.Task, error) {
 	p, err := c.load(v.sets...)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", v.name, err)
@@ -262,15 +267,15 @@
 	for i := range max(c.Seeds, 1) {
 		t := runner.Task{Plan: p, Seed: p.Seed + uint64(i), Policy: v.policy}
 		if v.build != "" {
-			t.Play = v.other
+			t.Play = v.playWithBuild
 		}
 		tasks = append(tasks, t)
 	}
 	return tasks, nil
 }
 
-// other plays a task with another build.
-func (v variant) other(ctx context.Context, t runner.Task) (*tally.Result, error) {
+// playWithBuild plays a task with the variant's build of beamlab.
+func (v variant) playWithBuild(ctx context.Context, t runner.Task) (*tally.Result, error) {
 	text, err := t.Plan.Text()
 	if err != nil {
 		return nil, err
@@ -290,34 +295,35 @@
 		strconv.FormatUint(t.Seed, 10))
 	raw, err := cmd.Output()
 	var exit *exec.ExitError
-	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == 3) { // 3: it played, and a rule was broken
+	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == 3) { // 3: it was played, and a rule was violated
 		return nil, fmt.Errorf("%s: %w", v.build, err)
 	}
 	var d report.Doc
 	if err := json.Unmarshal(raw, &d); err != nil || len(d.Runs) != 1 {
-		return nil, fmt.Errorf("%s: no result that can be read: %w", v.build, err)
+		return nil, fmt.Errorf("%s: its output is not the JSON of one run: %w", v.build, err)
 	}
 	return d.Runs[0], nil
 }
 
-// group sums a variant's runs up, against the first variant's.
-func group(name string, runs, first []*tally.Result) report.Group {
+// summarise returns a variant's group from its complete runs, with the difference to the first variant if first is not
+// nil.
+func summarise(name string, runs, first []*tally.Result) report.Group {
 	g := report.Group{Name: name}
-	var mine, a, b []float64
+	var own, a, b []float64 // a and b: the first variant's G and this one's, for seeds that have both
 	for i, r := range runs {
 		if r == nil || r.Partial {
 			continue
 		}
-		mine = append(mine, r.G)
-		g.Breaks += r.BreakCount()
+		own = append(own, r.G)
+		g.Breaks += r.ViolationCount()
 		if first != nil && first[i] != nil && !first[i].Partial {
 			a, b = append(a, first[i].G), append(b, r.G)
 		}
 	}
-	g.G = runner.Mean(mine)
+	g.G = runner.EstimateMean(own)
 	if first != nil {
-		s := runner.Paired(a, b)
-		g.Gain = &s
+		difference := runner.PairedDifference(a, b)
+		g.Gain = &difference
 	}
 	return g
 }
@@ -325,7 +331,7 @@
 // Run plays all variants on the same seeds.
 func (c *compareCmd) Run(ctx context.Context) error {
 	if len(c.With) < 2 {
-		return fmt.Errorf("--with: a comparison needs two variants or more")
+		return fmt.Errorf("--with: a comparison needs at least two variants, got %d", len(c.With))
 	}
 	var tasks []runner.Task
 	for _, text := range c.With {
@@ -335,7 +341,7 @@
 		}
 		tasks = append(tasks, ts...)
 	}
-	got, err := runner.All(ctx, tasks, c.Jobs, c.progress(len(tasks)))
+	got, err := runner.PlayAll(ctx, tasks, c.Jobs, c.progress(len(tasks)))
 	if err != nil {
 		return err
 	}
@@ -347,7 +353,7 @@
 		if i > 0 {
 			first = got[:n]
 		}
-		d.Groups = append(d.Groups, group(text, got[i*n:(i+1)*n], first))
+		d.Groups = append(d.Groups, summarise(text, got[i*n:(i+1)*n], first))
 	}
 	return c.write(d, func(w io.Writer) {
 		fmt.Fprintf(w, "%-40s %8s %18s   %s\n", "variant", "G", "95% interval", "against the first, seed by seed")
@@ -355,7 +361,7 @@
 			fmt.Fprintf(w, "%-40s %8.4f %18s", g.Name, g.G.Mean, interval(g.G))
 			if g.Gain != nil {
 				word := "no clear difference"
-				if g.Gain.Clear() {
+				if g.Gain.Significant() {
 					word = "clear"
 				}
 				fmt.Fprintf(w, "   %+.4f %s, %s", g.Gain.Mean, interval(*g.Gain), word)
@@ -368,48 +374,49 @@
 	})
 }
 
-func interval(s runner.Span) string {
-	if s.N < 2 {
+// interval formats the confidence interval of an estimate.
+func interval(e runner.Estimate) string {
+	if e.N < 2 {
 		return "(one seed)"
 	}
-	return fmt.Sprintf("%.4f to %.4f", s.Low, s.High)
+	return fmt.Sprintf("%.4f to %.4f", e.Low, e.High)
 }
 
 type sweepCmd struct {
-	common
-	Knob   []string `sep:"none" required:"" placeholder:"KEY=A,B,C" help:"What to turn: one or two."`
-	Policy []string `default:"adus" help:"A line each."`
+	playFlags
+	Knob   []string `sep:"none" required:"" placeholder:"KEY=A,B,C" help:"A key to vary, with its values. May be given once or twice."`
+	Policy []string `default:"adus" help:"The policies, each a line of the plot."`
 }
 
 // Run plays each point of the grid.
 func (c *sweepCmd) Run(ctx context.Context) error {
 	if len(c.Knob) > 2 {
-		return fmt.Errorf("--knob: one or two")
+		return fmt.Errorf("--knob: expected at most two, got %d", len(c.Knob))
 	}
 	key, list, _ := strings.Cut(c.Knob[0], "=")
-	second := []string{""}
+	secondSets := []string{""} // KEY=VALUE for each value of the second knob
 	if len(c.Knob) == 2 {
 		k, l, _ := strings.Cut(c.Knob[1], "=")
-		second = nil
+		secondSets = nil
 		for v := range strings.SplitSeq(l, ",") {
-			second = append(second, k+"="+v)
+			secondSets = append(secondSets, k+"="+v)
 		}
 	}
 	d := &report.Doc{Title: "sweep of " + key, Knob: key}
 	var tasks []runner.Task
 	for _, name := range c.Policy {
-		for _, other := range second {
+		for _, secondSet := range secondSets {
 			for v := range strings.SplitSeq(list, ",") {
-				x := variant{name: strings.TrimSpace(name + " " + other), policy: name, sets: []string{key + "=" + v}}
-				if other != "" {
-					x.sets = append(x.sets, other)
+				x := variant{name: strings.TrimSpace(name + " " + secondSet), policy: name, sets: []string{key + "=" + v}}
+				if secondSet != "" {
+					x.sets = append(x.sets, secondSet)
 				}
 				ts, err := c.tasks(x)
 				if err != nil {
 					return err
 				}
 				tasks = append(tasks, ts...)
-				at, err := number(v)
+				at, err := axisValue(v)
 				if err != nil {
 					return fmt.Errorf("%s: %w", key, err)
 				}
@@ -417,14 +424,14 @@
 			}
 		}
 	}
-	got, err := runner.All(ctx, tasks, c.Jobs, c.progress(len(tasks)))
+	got, err := runner.PlayAll(ctx, tasks, c.Jobs, c.progress(len(tasks)))
 	if err != nil {
 		return err
 	}
 	d.Runs, d.Partial, d.About = got, ctx.Err() != nil, tasks[0].Plan.About
 	n := max(c.Seeds, 1)
 	for i := range d.Groups {
-		g := group(d.Groups[i].Name, got[i*n:(i+1)*n], nil)
+		g := summarise(d.Groups[i].Name, got[i*n:(i+1)*n], nil)
 		d.Groups[i].G, d.Groups[i].Breaks = g.G, g.Breaks
 	}
 	return c.write(d, func(w io.Writer) {
@@ -438,8 +445,8 @@
 	})
 }
 
-// number is a knob's place on the axis: a number, or a time in milliseconds.
-func number(v string) (float64, error) {
+// axisValue returns the position of a knob's value on the x axis: a number, or a time in milliseconds.
+func axisValue(v string) (float64, error) {
 	if x, err := strconv.ParseFloat(v, 64); err == nil {
 		return x, nil
 	}
@@ -449,36 +456,36 @@
 }
 
 type searchCmd struct {
-	Days      int    `default:"100" help:"Rough days to play."`
-	From      uint64 `default:"1" help:"The first one's seed."`
-	Policy    string `default:"adus" help:"What is looked at."`
-	Yardstick string `default:"sees-all" help:"The policy that shows what was possible; none for broken rules alone."`
-	Out       string `default:"worst.toml" help:"Where the worst day is written, cut down."`
-	Jobs      int    `default:"${jobs}" help:"Runs played at once."`
+	Days      int    `default:"100" help:"Number of random plans to play."`
+	From      uint64 `default:"1" help:"The seed of the first one."`
+	Policy    string `default:"adus" help:"The policy whose worst plans are searched for."`
+	Yardstick string `default:"sees-all" help:"The policy that shows which gain was possible; none: only violations count."`
+	Out       string `default:"worst.toml" help:"File for the worst plan, after it was shrunk."`
+	Jobs      int    `default:"${jobs}" help:"Number of concurrent runs."`
 }
 
-// Run searches and cuts down.
+// Run searches for the worst plan and shrinks it.
 func (c *searchCmd) Run(ctx context.Context) error {
-	var days []*plan.Plan
+	var plans []*plan.Plan
 	for i := range c.Days {
-		days = append(days, plan.Rough(c.From+uint64(i)))
+		plans = append(plans, plan.Rough(c.From+uint64(i)))
 	}
-	s := &runner.Search{Policy: c.Policy, Yardstick: c.Yardstick, Most: c.Jobs,
-		Tell: func(text string) { fmt.Fprintln(os.Stderr, "cut down to", text) }}
+	s := &runner.Search{Policy: c.Policy, Baseline: c.Yardstick, MaxParallel: c.Jobs,
+		Progress: func(text string) { fmt.Fprintln(os.Stderr, "shrunk to", text) }}
 	if c.Yardstick == "none" {
-		s.Yardstick = ""
+		s.Baseline = ""
 	}
-	all, err := s.Worst(ctx, days)
+	all, err := s.Rank(ctx, plans)
 	if err != nil {
 		return err
 	}
 	if len(all) == 0 {
-		return fmt.Errorf("stopped before any day was played")
+		return fmt.Errorf("stopped before any plan was played to its end")
 	}
-	for i, b := range all[:min(len(all), 10)] {
-		fmt.Printf("%2d. %-12s G %.3f, %.3f below the yardstick, rules broken: %v\n", i+1, b.Plan.Name, b.G, b.Lost, b.Rules)
+	for i, f := range all[:min(len(all), 10)] {
+		fmt.Printf("%2d. %-12s G %.3f, %.3f below the yardstick, rules broken: %v\n", i+1, f.Plan.Name, f.G, f.Shortfall, f.Rules)
 	}
-	worst, err := s.Cut(ctx, all[0])
+	worst, err := s.Shrink(ctx, all[0])
 	if err != nil && ctx.Err() == nil {
 		return err
 	}
@@ -491,25 +498,25 @@
 	}
 	fmt.Printf("%s: %s cut down in %d runs to %d faults, %.0f ms, %d schedulers, %d workers: G %.3f, %.3f below the "+
 		"yardstick, rules broken: %v\n", c.Out, all[0].Plan.Name, worst.Played, len(worst.Plan.Faults),
-		float64(worst.Plan.Length), worst.Plan.Schedulers.Count, worst.Plan.Fleet(), worst.G, worst.Lost, worst.Rules)
+		float64(worst.Plan.Length), worst.Plan.Schedulers.Count, worst.Plan.Fleet(), worst.G, worst.Shortfall, worst.Rules)
 	if len(worst.Rules) > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
 
 type soakCmd struct {
-	Days   int    `default:"1000" help:"Rough days to play."`
-	From   uint64 `default:"1" help:"The first one's seed."`
-	Policy string `default:"adus" help:"What decides."`
-	Jobs   int    `default:"${jobs}" help:"Runs played at once."`
-	Staff  bool   `help:"On these days staff take workers out, and the settings change."`
-	Told   bool   `help:"Days on which workers leave while watches fall silent, are reset or moved, or discovery is down."`
-	way
-	output
+	Days   int    `default:"1000" help:"Number of random plans to play."`
+	From   uint64 `default:"1" help:"The seed of the first one."`
+	Policy string `default:"adus" help:"The policy that decides."`
+	Jobs   int    `default:"${jobs}" help:"Number of concurrent runs."`
+	Staff  bool   `help:"Plans in which operators take workers out and the settings change."`
+	Told   bool   `help:"Plans in which workers leave while watches fall silent, are reset or moved, or discovery is down."`
+	modeFlags
+	outputFlags
 }
 
-// Run plays rough days and stops at none.
+// Run plays random plans and goes on after those that violate a rule.
 func (c *soakCmd) Run(ctx context.Context) error {
 	play, err := c.player(true)
 	if err != nil {
@@ -526,7 +533,7 @@
 		}
 		tasks = append(tasks, runner.Task{Plan: p, Seed: p.Seed, Policy: c.Policy, Play: play})
 	}
-	got, err := runner.All(ctx, tasks, c.Jobs, c.progress(len(tasks)))
+	got, err := runner.PlayAll(ctx, tasks, c.Jobs, c.progress(len(tasks)))
 	if err != nil {
 		return err
 	}
@@ -543,14 +550,14 @@
 		for rule, n := range r.Counts {
 			rules[rule] += n
 		}
-		if r.BreakCount() > 0 {
+		if r.ViolationCount() > 0 {
 			broken++
 			d.Runs = append(d.Runs, r)
 		}
 	}
 	return c.write(d, func(w io.Writer) {
 		for _, r := range d.Runs {
-			say(w, r)
+			writeRun(w, r)
 		}
 		fmt.Fprintf(w, "%d days, %d jobs, %d postings, decisions %016x: %d days with broken rules %v\n", days, jobs, posts,
 			decisions.Sum64(), broken, rules)
@@ -559,17 +566,17 @@
 
 type paceCmd struct {
 	Program string        `required:"" placeholder:"FILE" help:"A shalebeam program."`
-	Against string        `required:"" placeholder:"FILE" help:"Another one to hold it against, as an earlier build."`
-	Rounds  int           `default:"5" help:"Rounds of each, in turn."`
-	For     time.Duration `default:"3s" help:"How long a round counts."`
+	Against string        `required:"" placeholder:"FILE" help:"Another one to compare it with, such as an earlier build."`
+	Rounds  int           `default:"5" help:"Rounds of each; the two programs alternate."`
+	For     time.Duration `default:"3s" help:"Measured duration of a round."`
 	Workers int           `default:"100"`
-	Conns   int           `default:"64" help:"Connections that ask again and again."`
-	Open    int           `default:"400" help:"Txns that stay open meanwhile."`
+	Conns   int           `default:"64" help:"Connections that send one request after another."`
+	Open    int           `default:"400" help:"Txns that stay open during the measurement."`
 }
 
-// Run plays the two in turn, so that what else the machine does falls on both.
+// Run alternates between the two programs, so that other load on the machine affects both alike.
 func (c *paceCmd) Run(ctx context.Context) error {
-	var mine, other, ratio []float64
+	var rates, againstRates, ratio []float64
 	for i := range c.Rounds {
 		for _, program := range []string{c.Against, c.Program} {
 			rate, err := (&live.Pace{Program: program, Workers: c.Workers, Conns: c.Conns, Open: c.Open, For: c.For}).Run(ctx)
@@ -577,43 +584,43 @@
 				return fmt.Errorf("%s: %w", program, err)
 			}
 			if program == c.Program {
-				mine = append(mine, rate)
+				rates = append(rates, rate)
 			} else {
-				other = append(other, rate)
+				againstRates = append(againstRates, rate)
 			}
 		}
-		ratio = append(ratio, mine[i]/other[i])
+		ratio = append(ratio, rates[i]/againstRates[i])
 		fmt.Printf("round %d: ratio %.2f\n", i+1, ratio[i])
 	}
-	s := runner.Mean(ratio)
-	fmt.Printf("%s carries %.2f times (%s) what %s does, with %d workers, %d txns that stay open\n", c.Program, s.Mean,
-		interval(s), c.Against, c.Workers, c.Open)
+	estimate := runner.EstimateMean(ratio)
+	fmt.Printf("%s carries %.2f times (%s) what %s does, with %d workers, %d txns that stay open\n", c.Program, estimate.Mean,
+		interval(estimate), c.Against, c.Workers, c.Open)
 	return nil
 }
 
 type traceCmd struct {
-	common
-	way
-	Txn    string `arg:"" help:"Its reference, as t12-0: the first try of job 12."`
-	Policy string `default:"adus" help:"What decides."`
+	playFlags
+	modeFlags
+	Txn    string `arg:"" help:"Reference of the txn, such as t12-0 for the first attempt of job 12."`
+	Policy string `default:"adus" help:"The policy that decides."`
 }
 
-// Run plays a seed and tells of one txn.
+// Run plays one seed and prints the history of one txn.
 func (c *traceCmd) Run(ctx context.Context) error {
 	p, err := c.load()
 	if err != nil {
 		return err
 	}
-	play, err := c.play(&c.common)
+	play, err := c.play(&c.playFlags)
 	if err != nil {
 		return err
 	}
-	got, err := runner.All(ctx, []runner.Task{{Plan: p, Seed: p.Seed, Policy: c.Policy, Keep: c.Txn, Play: play}}, 1, nil)
+	got, err := runner.PlayAll(ctx, []runner.Task{{Plan: p, Seed: p.Seed, Policy: c.Policy, Keep: c.Txn, Play: play}}, 1, nil)
 	if err != nil {
 		return err
 	}
 	if len(got[0].History) == 0 {
-		return fmt.Errorf("no scheduler took a txn %s", c.Txn)
+		return fmt.Errorf("no scheduler accepted a txn %s", c.Txn)
 	}
 	for _, l := range got[0].History {
 		fmt.Println(l)
@@ -623,12 +630,12 @@
 
 type reportCmd struct {
 	File    string `arg:"" help:"Results, as written with --json."`
-	Out     string `default:"report.html" help:"The page."`
-	Plots   string `placeholder:"FOLDER" help:"Write the plots there as files too."`
-	Picture string `enum:"svg,png" default:"svg" help:"Their format: svg or png."`
+	Out     string `default:"report.html" help:"File for the HTML page."`
+	Plots   string `placeholder:"FOLDER" help:"Write the plots as files into this directory too."`
+	Picture string `enum:"svg,png" default:"svg" help:"Format of these files: svg or png."`
 }
 
-// Run makes a page of results.
+// Run makes a page, and optionally plot files, from results.
 func (c *reportCmd) Run() error {
 	raw, err := os.ReadFile(c.File)
 	if err != nil {
@@ -667,4 +674,5 @@
 	return err
 }
 
+// jobs is the default of --jobs.
 func jobs() string { return strconv.Itoa(runtime.NumCPU()) }
--- a/cmd/beamlab/demo.go
+++ b/cmd/beamlab/demo.go
@@ -14,13 +14,15 @@
 	"shalebeam/lab/plan"
 )
 
+// demoPlan is the experiment that the demo plays.
+//
 //go:embed demo.toml
 var demoPlan []byte
 
 type demoCmd struct {
-	For     time.Duration `default:"10m" help:"How long, unless Ctrl-C comes first."`
-	Fault   []string      `sep:"none" placeholder:"FAULT" help:"Script a fault, as 'do=kill on=workers share=0.5 at=5s for=10s'. May be given more than once."`
-	Program string        `placeholder:"FILE" help:"The shalebeam program; by default the one beside beamlab."`
+	For     time.Duration `default:"10m" help:"How long to run, unless ended earlier by Ctrl-C."`
+	Fault   []string      `sep:"none" placeholder:"FAULT" help:"Inject a fault, such as 'do=kill on=workers share=0.5 at=5s for=10s'. May be given more than once."`
+	Program string        `placeholder:"FILE" help:"The shalebeam program; by default the one in beamlab's directory."`
 }
 
 // Run starts discovery, workers and two schedulers on free loopback ports, with some load.
@@ -47,18 +49,18 @@
 	if err != nil {
 		return fmt.Errorf("--fault: %w", err)
 	}
-	program, err := (&way{Program: c.Program}).program()
+	program, err := (&modeFlags{Program: c.Program}).program()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.For+time.Minute)
 	defer cancel()
-	v := view{since: time.Now()}
+	v := outcomeView{startedAt: time.Now()}
 	go v.show(ctx)
-	r, err := live.Play(ctx, p, p.Seed, live.Options{Program: program, Guests: true, Outcome: v.over,
+	r, err := live.Play(ctx, p, p.Seed, live.Options{Program: program, Guests: true, Outcome: v.count,
 		Tell: func(text string) { fmt.Fprintf(os.Stderr, "\r%-78s\n", "* "+text) },
 		Serving: func(addr, scheme string) {
-			fmt.Printf("%d workers, %d schedulers, discovery: all on loopback, all of it ends with Ctrl-C. A txn that settles:\n\n"+
+			fmt.Printf("%d workers, %d schedulers and discovery run on loopback until Ctrl-C. An example of a txn that settles:\n\n"+
 				"    curl -d body -H \"Request-Id: $RANDOM\" -H 'Request-Timeout: 5000m' http://%s/%s\n\n", p.Fleet(),
 				p.Schedulers.Count, addr, scheme)
 		}})
@@ -66,30 +68,32 @@
 		return err
 	}
 	fmt.Println()
-	say(os.Stdout, r)
-	if r.BreakCount() > 0 {
-		return errBroken
+	writeRun(os.Stdout, r)
+	if r.ViolationCount() > 0 {
+		return errRuleBroken
 	}
 	return nil
 }
 
-// view is the live line of outcomes.
-type view struct {
-	since time.Time
-	mu    sync.Mutex
-	got   map[string]int
+// outcomeView counts the outcomes of jobs and shows them on standard error.
+type outcomeView struct {
+	startedAt time.Time
+	mu        sync.Mutex     // guards counts
+	counts    map[string]int // by load.Job.Got
 }
 
-func (v *view) over(j *load.Job) {
+// count counts the outcome of a job that ended.
+func (v *outcomeView) count(j *load.Job) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.got == nil {
-		v.got = map[string]int{}
+	if v.counts == nil {
+		v.counts = map[string]int{}
 	}
-	v.got[j.Got]++
+	v.counts[j.Got]++
 }
 
-func (v *view) show(ctx context.Context) {
+// show updates the line of outcomes every second until ctx is done.
+func (v *outcomeView) show(ctx context.Context) {
 	for t := time.NewTicker(time.Second); ; {
 		select {
 		case <-ctx.Done():
@@ -99,12 +103,12 @@
 		}
 		v.mu.Lock()
 		all := 0
-		for _, n := range v.got {
+		for _, n := range v.counts {
 			all += n
 		}
 		fmt.Fprintf(os.Stderr, "\r%4.0f s: %d jobs over: settled %d, declined %d, reversed %d, left %d, none %d   ",
-			time.Since(v.since).Seconds(), all, v.got[load.Settled], v.got[load.Declined], v.got[load.Reversed],
-			v.got[load.Left], v.got[load.Refused]+v.got[load.Broken]+v.got[load.Expired])
+			time.Since(v.startedAt).Seconds(), all, v.counts[load.Settled], v.counts[load.Declined], v.counts[load.Reversed],
+			v.counts[load.Left], v.counts[load.Refused]+v.counts[load.Broken]+v.counts[load.Expired])
 		v.mu.Unlock()
 	}
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report draws what experiments measured: one HTML page that needs nothing beside itself, with its
-// plots as SVG inside, or the plots as files of their own.
+// Package report presents the results of experiments: as one self-contained HTML page with embedded SVG plots, or as
+// separate plot files.
 package report
 
 import (
@@ -25,37 +25,38 @@
 	"shalebeam/lab/tally"
 )
 
-// Doc is all that one command measured; it is what --json writes and the report command reads.
+// Doc holds all results of one command. --json writes it, and the report command reads it.
 type Doc struct {
 	Title   string          `json:"title"`
 	About   string          `json:"about,omitempty"`
 	Partial bool            `json:"partial,omitempty"`
 	Runs    []*tally.Result `json:"runs"`
-	Groups  []Group         `json:"groups,omitempty"` // variants, of compare and sweep
-	Knob    string          `json:"knob,omitempty"`   // what a sweep turned, along its x axis
+	Groups  []Group         `json:"groups,omitempty"` // variants, by compare and sweep
+	Knob    string          `json:"knob,omitempty"`   // the key that a sweep varied along the x axis
 }
 
-// Group is one variant over its seeds.
+// Group summarises one variant over its seeds.
 type Group struct {
-	Name   string       `json:"name"`
-	Line   string       `json:"line,omitempty"` // of a sweep's plot
-	X      float64      `json:"x,omitempty"`
-	G      runner.Span  `json:"g"`
-	Gain   *runner.Span `json:"against_first,omitempty"` // paired with the first variant, seed by seed
-	Breaks int          `json:"breaks"`
+	Name   string           `json:"name"`
+	Line   string           `json:"line,omitempty"` // legend of its line in a sweep's plot
+	X      float64          `json:"x,omitempty"`    // value of Doc.Knob; a time is in ms
+	G      runner.Estimate  `json:"g"`
+	Gain   *runner.Estimate `json:"against_first,omitempty"` // difference to the first variant, paired by seed
+	Breaks int              `json:"breaks"`                  // number of violations
 }
 
-// Plot is a picture with its name.
+// Plot is a plot with the name of its file, without extension.
 type Plot struct {
 	Name string
 	plot *plot.Plot
 }
 
+// colours are the colours of a plot's lines, in order.
 var colours = []color.Color{color.RGBA{0x1f, 0x6f, 0xb4, 255}, color.RGBA{0xd9, 0x5f, 0x02, 255},
 	color.RGBA{0x2c, 0x9c, 0x5b, 255}, color.RGBA{0xb5, 0x2b, 0x6e, 255}, color.RGBA{0x66, 0x66, 0x66, 255},
 	color.RGBA{0x8a, 0x6d, 0x1d, 255}}
 
-// Plots draws what there is to be seen in a document.
+// Plots draws all plots for which the document has data. On an error it returns those that succeeded.
 func (d *Doc) Plots() (plots []Plot, err error) {
 	add := func(name string, p *plot.Plot, e error) {
 		if e != nil && err == nil {
@@ -66,10 +67,10 @@
 		}
 	}
 	if len(d.Groups) > 0 && d.Knob != "" {
-		p, e := d.sweep()
+		p, e := d.plotSweep()
 		add("sweep", p, e)
 	} else if len(d.Groups) > 1 {
-		p, e := d.bars()
+		p, e := d.plotVariants()
 		add("compare", p, e)
 	}
 	if len(d.Groups) == 0 {
@@ -77,16 +78,17 @@
 			if r == nil || i >= 6 {
 				break
 			}
-			p, e := seconds(r)
+			p, e := plotSeconds(r)
 			add(fmt.Sprintf("run-%d-%s", i, r.Policy), p, e)
 		}
 	}
-	p, e := d.latency()
+	p, e := d.plotLatency()
 	add("latency", p, e)
 	return plots, err
 }
 
-func line(p *plot.Plot, name string, i int, xy plotter.XYs) error {
+// addLine adds line i and its legend to a plot; lines beyond the number of colours are dashed.
+func addLine(p *plot.Plot, name string, i int, xy plotter.XYs) error {
 	l, err := plotter.NewLine(xy)
 	if err != nil {
 		return err
@@ -100,6 +102,7 @@
 	return nil
 }
 
+// newPlot returns a plot with a grid and labelled axes.
 func newPlot(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -108,15 +111,15 @@
 	return p
 }
 
-// seconds shows a run by the second.
-func seconds(r *tally.Result) (*plot.Plot, error) {
+// plotSeconds plots the counts of each second of a run; nil if the run has none.
+func plotSeconds(r *tally.Result) (*plot.Plot, error) {
 	if len(r.Seconds) == 0 {
 		return nil, nil
 	}
 	p := newPlot(fmt.Sprintf("%s, %s, seed %d (%s)", r.Plan, r.Policy, r.Seed, r.Way), "second", "jobs a second")
 	for i, c := range []struct {
-		name string
-		of   func(tally.Second) float64
+		name  string
+		value func(tally.Second) float64
 	}{{"came", func(s tally.Second) float64 { return float64(s.Came) }},
 		{"late", func(s tally.Second) float64 { return float64(s.Late) }},
 		{"in time", func(s tally.Second) float64 { return float64(s.InTime) }},
@@ -125,9 +128,9 @@
 		{"capacity (cores)", func(s tally.Second) float64 { return s.Capacity }}} {
 		xy := make(plotter.XYs, len(r.Seconds))
 		for k, s := range r.Seconds {
-			xy[k] = plotter.XY{X: float64(k), Y: c.of(s)}
+			xy[k] = plotter.XY{X: float64(k), Y: c.value(s)}
 		}
-		if err := line(p, c.name, i, xy); err != nil {
+		if err := addLine(p, c.name, i, xy); err != nil {
 			return nil, err
 		}
 	}
@@ -135,10 +138,10 @@
 	return p, nil
 }
 
-// latency shows the latencies of all runs of each policy, from the median on, towards ever rarer ones.
-func (d *Doc) latency() (*plot.Plot, error) {
+// plotLatency plots the latency quantiles of all runs from the median upwards; nil if there are none.
+func (d *Doc) plotLatency() (*plot.Plot, error) {
 	p := newPlot("latency of settled jobs, from first try", "part that is faster", "ms")
-	p.X.Tick.Marker = nines{}
+	p.X.Tick.Marker = quantileTicks{}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	n := 0
 	for _, r := range d.Runs {
@@ -154,7 +157,7 @@
 		if len(xy) < 2 || n >= 2*len(colours) {
 			continue
 		}
-		if err := line(p, fmt.Sprintf("%s, %s, seed %d", r.Plan, r.Policy, r.Seed), n, xy); err != nil {
+		if err := addLine(p, fmt.Sprintf("%s, %s, seed %d", r.Plan, r.Policy, r.Seed), n, xy); err != nil {
 			return nil, err
 		}
 		n++
@@ -166,10 +169,11 @@
 	return p, nil
 }
 
-// nines marks an axis of -log10(1-q).
-type nines struct{}
+// quantileTicks labels an axis of -log10(1-q) with quantiles q.
+type quantileTicks struct{}
 
-func (nines) Ticks(from, to float64) (ticks []plot.Tick) {
+// Ticks implements plot.Ticker.
+func (quantileTicks) Ticks(from, to float64) (ticks []plot.Tick) {
 	for _, q := range []string{"0.5", "0.9", "0.99", "0.999", "0.9999"} {
 		var x float64
 		fmt.Sscan(q, &x)
@@ -180,13 +184,15 @@
 	return ticks
 }
 
-type bars struct {
+// meansWithIntervals are points with vertical error bars.
+type meansWithIntervals struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-func whiskers(groups []Group, x func(i int, g Group) float64) bars {
-	b := bars{make(plotter.XYs, len(groups)), make(plotter.YErrors, len(groups))}
+// confidenceIntervals returns the mean G of each group at x with its interval.
+func confidenceIntervals(groups []Group, x func(i int, g Group) float64) meansWithIntervals {
+	b := meansWithIntervals{make(plotter.XYs, len(groups)), make(plotter.YErrors, len(groups))}
 	for i, g := range groups {
 		b.XYs[i] = plotter.XY{X: x(i, g), Y: g.G.Mean}
 		b.YErrors[i].Low, b.YErrors[i].High = g.G.Mean-g.G.Low, g.G.High-g.G.Mean
@@ -194,9 +200,10 @@
 	return b
 }
 
-func (d *Doc) bars() (*plot.Plot, error) {
+// plotVariants plots G by variant.
+func (d *Doc) plotVariants() (*plot.Plot, error) {
 	p := newPlot("G by variant, with 95% intervals", "", "G")
-	b := whiskers(d.Groups, func(i int, _ Group) float64 { return float64(i) })
+	b := confidenceIntervals(d.Groups, func(i int, _ Group) float64 { return float64(i) })
 	e, err := plotter.NewYErrorBars(b)
 	if err != nil {
 		return nil, err
@@ -216,8 +223,8 @@
 	return p, nil
 }
 
-// sweep shows G along the knob, a line for each policy or other knob.
-func (d *Doc) sweep() (*plot.Plot, error) {
+// plotSweep plots G against Doc.Knob, with a line for each value of Group.Line.
+func (d *Doc) plotSweep() (*plot.Plot, error) {
 	p := newPlot("G against "+d.Knob+", with 95% intervals", d.Knob, "G")
 	var lines []string
 	by := map[string][]Group{}
@@ -230,8 +237,8 @@
 		least, most = min(least, g.X), max(most, g.X)
 	}
 	for i, name := range lines {
-		b := whiskers(by[name], func(_ int, g Group) float64 { return g.X })
-		if err := line(p, name, i, b.XYs); err != nil {
+		b := confidenceIntervals(by[name], func(_ int, g Group) float64 { return g.X })
+		if err := addLine(p, name, i, b.XYs); err != nil {
 			return nil, err
 		}
 		e, err := plotter.NewYErrorBars(b)
@@ -248,13 +255,15 @@
 	return p, nil
 }
 
+// Size of a plot.
 const (
-	wide = 24 * vg.Centimeter
-	high = 11 * vg.Centimeter
+	plotWidth  = 24 * vg.Centimeter
+	plotHeight = 11 * vg.Centimeter
 )
 
+// svg draws the plot as an SVG element.
 func (p Plot) svg() (template.HTML, error) {
-	c := vgsvg.New(wide, high)
+	c := vgsvg.New(plotWidth, plotHeight)
 	p.plot.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
@@ -264,10 +273,10 @@
 	if i := strings.Index(text, "<svg"); i > 0 {
 		text = text[i:]
 	}
-	return template.HTML(text), nil // made here alone: text in it was escaped by the canvas
+	return template.HTML(text), nil // safe: the canvas escapes the text in it
 }
 
-// Save writes the plots as files into a folder, as "svg" or "png".
+// Save writes the plots as files of a format, "svg" or "png", into a directory.
 func (d *Doc) Save(dir, format string) error {
 	plots, err := d.Plots()
 	if err != nil {
@@ -279,11 +288,11 @@
 	for _, p := range plots {
 		var to io.WriterTo
 		if format == "svg" {
-			c := vgsvg.New(wide, high)
+			c := vgsvg.New(plotWidth, plotHeight)
 			p.plot.Draw(draw.New(c))
 			to = c
 		} else {
-			c := vgimg.New(wide, high)
+			c := vgimg.New(plotWidth, plotHeight)
 			p.plot.Draw(draw.New(c))
 			to = vgimg.PngCanvas{Canvas: c}
 		}
@@ -302,18 +311,18 @@
 }
 
 //go:embed page.html
-var page string
+var pageText string
 
-var pageOf = template.Must(template.New("page").Funcs(template.FuncMap{
-	"span": func(s runner.Span) string {
-		if s.N < 2 {
-			return fmt.Sprintf("%.3f", s.Mean)
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
+	"estimate": func(e runner.Estimate) string {
+		if e.N < 2 {
+			return fmt.Sprintf("%.3f", e.Mean)
 		}
-		return fmt.Sprintf("%.3f (%.3f to %.3f)", s.Mean, s.Low, s.High)
+		return fmt.Sprintf("%.3f (%.3f to %.3f)", e.Mean, e.Low, e.High)
 	},
-}).Parse(page))
+}).Parse(pageText))
 
-// HTML writes the page.
+// HTML writes the document as a page.
 func (d *Doc) HTML(w io.Writer) error {
 	plots, err := d.Plots()
 	if err != nil {
@@ -327,7 +336,7 @@
 		}
 		svgs = append(svgs, s)
 	}
-	return pageOf.Execute(w, struct {
+	return pageTemplate.Execute(w, struct {
 		*Doc
 		Plots []template.HTML
 	}{d, svgs})
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -15,8 +15,8 @@
 	"shalebeam/lab/tally"
 )
 
-// A page made of results that went through JSON has its plots and tables, and asks for nothing from elsewhere.
-func TestPage(t *testing.T) {
+// A page of results that were written and read as JSON has its plots and tables and loads nothing from elsewhere.
+func TestPageIsSelfContained(t *testing.T) {
 	p := plan.Rough(5)
 	r, err := sim.Play(context.Background(), p, 5, "adus:declines-all", sim.Options{Seconds: true})
 	if err != nil {
@@ -26,11 +26,11 @@
 		doc   Doc
 		plots int
 	}{
-		"run": {Doc{Title: "a run", Runs: r1(r)}, 2},
-		"compare": {Doc{Title: "a comparison", Runs: r1(r), Groups: []Group{{Name: "one", G: runner.Mean([]float64{1, 0.9})},
-			{Name: "two <b>", G: runner.Mean([]float64{0.5})}}}, 2},
-		"sweep": {Doc{Title: "a sweep", Knob: "clients.load", Runs: r1(r), Groups: []Group{{Line: "adus", X: 1,
-			G: runner.Mean([]float64{1, 0.9})}, {Line: "adus", X: 100, G: runner.Mean([]float64{1, 0.8})}}}, 2},
+		"run": {Doc{Title: "a run", Runs: oneRun(r)}, 2},
+		"compare": {Doc{Title: "a comparison", Runs: oneRun(r), Groups: []Group{{Name: "one", G: runner.EstimateMean([]float64{1, 0.9})},
+			{Name: "two <b>", G: runner.EstimateMean([]float64{0.5})}}}, 2},
+		"sweep": {Doc{Title: "a sweep", Knob: "clients.load", Runs: oneRun(r), Groups: []Group{{Line: "adus", X: 1,
+			G: runner.EstimateMean([]float64{1, 0.9})}, {Line: "adus", X: 100, G: runner.EstimateMean([]float64{1, 0.8})}}}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			raw, err := json.Marshal(c.doc)
@@ -55,7 +55,7 @@
 				}
 			}
 			if !strings.Contains(page, d.Title) || !strings.Contains(page, "declined") {
-				t.Error("the page lacks its title or the rule that was broken")
+				t.Error("the page lacks its title or the violated rule")
 			}
 			dir := t.TempDir()
 			for _, format := range []string{"svg", "png"} {
@@ -67,10 +67,10 @@
 				t.Errorf("%v", files)
 			}
 			if png, err := os.ReadFile(filepath.Join(dir, "latency.png")); err != nil || !bytes.HasPrefix(png, []byte("\x89PNG")) {
-				t.Errorf("no picture: %v", err)
+				t.Errorf("latency.png is not a PNG file: %v", err)
 			}
 		})
 	}
 }
 
-func r1(r *tally.Result) []*tally.Result { return []*tally.Result{r} }
+func oneRun(r *tally.Result) []*tally.Result { return []*tally.Result{r} }
--- a/lab/runner/pair.go
+++ b/lab/runner/pair.go
@@ -7,39 +7,40 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Span is a mean with the interval that holds the true one with 95% confidence, by Student's t.
-type Span struct {
+// Estimate is a mean with its 95% confidence interval by Student's t-distribution.
+type Estimate struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
-	N    int     `json:"n"`
+	N    int     `json:"n"` // number of samples
 }
 
-// Mean makes a span of samples. With fewer than two there is no interval: its ends are the mean.
-func Mean(x []float64) Span {
-	s := Span{N: len(x)}
+// EstimateMean returns the mean of samples. With fewer than two samples both ends of the interval are the mean.
+func EstimateMean(x []float64) Estimate {
+	e := Estimate{N: len(x)}
 	if len(x) == 0 {
-		return s
+		return e
 	}
-	s.Mean = stat.Mean(x, nil)
-	s.Low, s.High = s.Mean, s.Mean
+	e.Mean = stat.Mean(x, nil)
+	e.Low, e.High = e.Mean, e.Mean
 	if len(x) == 1 {
-		return s
+		return e
 	}
 	half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(0.975) *
 		stat.StdDev(x, nil) / math.Sqrt(float64(len(x)))
-	s.Low, s.High = s.Mean-half, s.Mean+half
-	return s
+	e.Low, e.High = e.Mean-half, e.Mean+half
+	return e
 }
 
-// Paired is the mean of b less a, seed by seed: what the seeds have in common falls out.
-func Paired(a, b []float64) Span {
-	d := make([]float64, min(len(a), len(b)))
-	for i := range d {
-		d[i] = b[i] - a[i]
+// PairedDifference returns the mean of b[i]-a[i], where i stands for a seed: the variation between seeds that a and b
+// share cancels out.
+func PairedDifference(a, b []float64) Estimate {
+	differences := make([]float64, min(len(a), len(b)))
+	for i := range differences {
+		differences[i] = b[i] - a[i]
 	}
-	return Mean(d)
+	return EstimateMean(differences)
 }
 
-// Clear tells whether the interval lies on one side of 0.
-func (s Span) Clear() bool { return s.N > 1 && (s.Low > 0 || s.High < 0) }
+// Significant reports whether the interval excludes 0.
+func (e Estimate) Significant() bool { return e.N > 1 && (e.Low > 0 || e.High < 0) }
--- a/lab/runner/runner.go
+++ b/lab/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner plays many runs side by side and keeps their results in the order they were asked for, so that
-// how many are played at once changes nothing but the time it takes.
+// Package runner plays many runs concurrently and returns their results in the order of the tasks, so that the number
+// of concurrent runs changes only the time it takes.
 package runner
 
 import (
@@ -11,38 +11,38 @@
 	"shalebeam/lab/tally"
 )
 
-// Task is one run.
+// Task describes one run.
 type Task struct {
 	Plan   *plan.Plan
 	Seed   uint64
 	Policy string
-	Keep   string // a txn whose history is kept
-	// Play plays it in another way than in simulated time, where it is given.
+	Keep   string // ref of a txn whose history is kept; "": none
+	// Play replaces the simulated run, unless it is nil.
 	Play func(ctx context.Context, t Task) (*tally.Result, error)
 }
 
-// All plays tasks, at most so many at once, and calls each, if it is given, as each one ends, one at a time.
-// When ctx is done it stops: what had not begun has no result, and what had is partial. The first error ends
-// all.
-func All(ctx context.Context, tasks []Task, most int, each func(i int, r *tally.Result)) ([]*tally.Result, error) {
-	got := make([]*tally.Result, len(tasks))
+// PlayAll plays tasks, at most maxParallel at once. It calls onResult, unless it is nil, as each run ends, one call at
+// a time. When ctx is done it stops: runs that had not begun have a nil result, and those that had a partial one. The
+// first error stops all runs.
+func PlayAll(ctx context.Context, tasks []Task, maxParallel int, onResult func(i int, r *tally.Result)) ([]*tally.Result, error) {
+	results := make([]*tally.Result, len(tasks))
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	next := make(chan int)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var first error
-	for range max(min(most, len(tasks)), 1) {
+	var firstErr error
+	for range max(min(maxParallel, len(tasks)), 1) {
 		wg.Go(func() {
 			for i := range next {
 				r, err := play(ctx, tasks[i])
 				mu.Lock()
-				if err != nil && first == nil && ctx.Err() == nil {
-					first = err
+				if err != nil && firstErr == nil && ctx.Err() == nil {
+					firstErr = err
 					cancel(err)
 				}
-				if got[i] = r; r != nil && each != nil {
-					each(i, r)
+				if results[i] = r; r != nil && onResult != nil {
+					onResult(i, r)
 				}
 				mu.Unlock()
 			}
@@ -59,9 +59,10 @@
 	}
 	close(next)
 	wg.Wait()
-	return got, first
+	return results, firstErr
 }
 
+// play plays one task.
 func play(ctx context.Context, t Task) (*tally.Result, error) {
 	if t.Play != nil {
 		return t.Play(ctx, t)
--- a/lab/runner/runner_test.go
+++ b/lab/runner/runner_test.go
@@ -11,8 +11,8 @@
 	"shalebeam/lab/tally"
 )
 
-// One run at a time or eight, the results are the same, in the same order.
-func TestAnyNumberAtOnceGivesTheSame(t *testing.T) {
+// With one run at a time or eight the results are the same, in the same order.
+func TestResultsDoNotDependOnParallelism(t *testing.T) {
 	var tasks []Task
 	for seed := range uint64(10) {
 		p := plan.Rough(100 + seed)
@@ -21,8 +21,8 @@
 		tasks = append(tasks, Task{Plan: p, Seed: seed, Policy: "adus"}, Task{Plan: p, Seed: seed, Policy: "two"})
 	}
 	var texts []string
-	for _, most := range []int{1, 8} {
-		got, err := All(context.Background(), tasks, most, nil)
+	for _, maxParallel := range []int{1, 8} {
+		got, err := PlayAll(context.Background(), tasks, maxParallel, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,7 +37,7 @@
 	}
 }
 
-// Stopped early, what has begun is partial and what has not is missing.
+// When the context ends, the result of a run that has begun is partial, and that of one that has not is nil.
 func TestStoppedRunsArePartial(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	p := plan.Rough(1)
@@ -47,31 +47,32 @@
 		x.Play = nil
 		return play(ctx, x)
 	}
-	got, err := All(ctx, tasks, 1, nil)
+	got, err := PlayAll(ctx, tasks, 1, nil)
 	if err != nil || got[0] == nil || got[0].Partial || got[1] == nil || !got[1].Partial || got[2] != nil {
 		t.Errorf("%v %v", got, err)
 	}
 }
 
-func TestPairedTakesOutWhatSeedsShare(t *testing.T) {
+func TestPairedDifferenceCancelsSharedVariation(t *testing.T) {
 	a := []float64{0.1, 0.5, 0.9, 0.3}
 	b := []float64{0.12, 0.51, 0.92, 0.31}
-	if s := Paired(a, b); !s.Clear() || math.Abs(s.Mean-0.015) > 1e-9 {
+	if s := PairedDifference(a, b); !s.Significant() || math.Abs(s.Mean-0.015) > 1e-9 {
 		t.Errorf("%+v", s)
 	}
 	// Student's t with 3 degrees of freedom: 3.182 standard errors.
-	if s := Mean(a); math.Abs(s.High-s.Mean-3.182*0.3416/2) > 1e-3 || s.Clear() == (s.Low < 0) {
+	if s := EstimateMean(a); math.Abs(s.High-s.Mean-3.182*0.3416/2) > 1e-3 || s.Significant() == (s.Low < 0) {
 		t.Errorf("%+v", s)
 	}
-	if s := Mean(a[:1]); s.Clear() || s.High != s.Low {
+	if s := EstimateMean(a[:1]); s.Significant() || s.High != s.Low {
 		t.Errorf("%+v", s)
 	}
 }
 
-// A bad day is cut down to what makes it bad: of six faults the one that the planted bug needs stays.
-func TestSearchCutsDown(t *testing.T) {
+// Shrink removes from a plan what does not cause its violation: of six faults only the one that triggers the planted bug
+// stays.
+func TestShrinkKeepsOnlyTheCause(t *testing.T) {
 	if testing.Short() {
-		t.Skip("nothing in it runs side by side")
+		t.Skip("the short run is for the race detector, and no part of this test runs concurrently")
 	}
 	p := plan.Rough(2)
 	p.Length, p.Schedulers.Count = 6000, 3
@@ -81,13 +82,13 @@
 			Factor: 0.5})
 	}
 	p.Faults = append(p.Faults, plan.Fault{Do: "drain", On: "workers", Share: 0.5, At: 2000, For: 3000})
-	s := &Search{Policy: "adus:ignores-drains", Most: 4}
-	all, err := s.Worst(context.Background(), []*plan.Plan{p})
+	s := &Search{Policy: "adus:ignores-drains", MaxParallel: 4}
+	all, err := s.Rank(context.Background(), []*plan.Plan{p})
 	if err != nil || !slices.Contains(all[0].Rules, "drain") {
 		t.Fatal(all, err)
 	}
-	less, err := s.Cut(context.Background(), all[0])
-	if err != nil || len(less.Plan.Faults) != 1 || less.Plan.Faults[0].Do != "drain" || less.Plan.Schedulers.Count != 1 {
-		t.Errorf("%v: %d faults, %d schedulers", err, len(less.Plan.Faults), less.Plan.Schedulers.Count)
+	shrunk, err := s.Shrink(context.Background(), all[0])
+	if err != nil || len(shrunk.Plan.Faults) != 1 || shrunk.Plan.Faults[0].Do != "drain" || shrunk.Plan.Schedulers.Count != 1 {
+		t.Errorf("%v: %d faults, %d schedulers", err, len(shrunk.Plan.Faults), shrunk.Plan.Schedulers.Count)
 	}
 }
--- a/lab/runner/search.go
+++ b/lab/runner/search.go
@@ -9,37 +9,39 @@
 	"shalebeam/lab/tally"
 )
 
-// Bad is how bad a day is: broken rules above all, then what the best policy earns beyond the one looked at.
-type Bad struct {
-	Plan   *plan.Plan
-	Rules  []string
-	Lost   float64 // G of the yardstick less G
-	G      float64
-	Played int // runs that it took
+// Finding is the outcome of a plan for the policy under search.
+type Finding struct {
+	Plan      *plan.Plan
+	Rules     []string // violated rules
+	Shortfall float64  // G of the baseline policy minus G
+	G         float64
+	Played    int // number of runs that it took
 }
 
-// Search looks for the worst days.
+// Search looks for the plans with the worst outcomes: those with the most violated rules and, among equals, with the
+// greatest shortfall against a baseline policy.
 type Search struct {
-	Policy    string
-	Yardstick string // the policy that shows what was possible; "" where only breaks count
-	Most      int    // runs at once
-	Tell      func(text string)
+	Policy      string
+	Baseline    string // the policy that shows which gain was possible; "": only violations count
+	MaxParallel int    // number of concurrent runs
+	Progress    func(text string)
 }
 
-// look plays one plan with both policies.
-func (s *Search) look(ctx context.Context, p *plan.Plan) (Bad, error) {
+// playOne plays one plan with both policies.
+func (s *Search) playOne(ctx context.Context, p *plan.Plan) (Finding, error) {
 	tasks := []Task{{Plan: p, Seed: p.Seed, Policy: s.Policy}}
-	if s.Yardstick != "" {
-		tasks = append(tasks, Task{Plan: p, Seed: p.Seed, Policy: s.Yardstick})
+	if s.Baseline != "" {
+		tasks = append(tasks, Task{Plan: p, Seed: p.Seed, Policy: s.Baseline})
 	}
-	got, err := All(ctx, tasks, 2, nil)
-	if err != nil || slices.Contains(got, nil) {
-		return Bad{}, fmt.Errorf("%s: not played: %w", p.Name, firstOf(err, ctx.Err()))
+	results, err := PlayAll(ctx, tasks, 2, nil)
+	if err != nil || slices.Contains(results, nil) {
+		return Finding{}, fmt.Errorf("%s: not played: %w", p.Name, firstError(err, ctx.Err()))
 	}
-	return s.judge(p, got), nil
+	return s.finding(p, results), nil
 }
 
-func firstOf(errs ...error) error {
+// firstError returns the first error that is not nil.
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -48,35 +50,36 @@
 	return nil
 }
 
-func (s *Search) judge(p *plan.Plan, got []*tally.Result) Bad {
-	b := Bad{Plan: p, Rules: got[0].Rules(), G: got[0].G, Played: len(got)}
-	if len(got) > 1 {
-		b.Lost = got[1].G - got[0].G
+// finding returns the finding of a plan from the results of the policy and, if there is one, the baseline.
+func (s *Search) finding(p *plan.Plan, results []*tally.Result) Finding {
+	f := Finding{Plan: p, Rules: results[0].Rules(), G: results[0].G, Played: len(results)}
+	if len(results) > 1 {
+		f.Shortfall = results[1].G - results[0].G
 	}
-	return b
+	return f
 }
 
-// Worst plays the days and returns them with the worst first.
-func (s *Search) Worst(ctx context.Context, days []*plan.Plan) ([]Bad, error) {
+// Rank plays the plans and returns their findings, the worst first. It leaves out plans that were not played.
+func (s *Search) Rank(ctx context.Context, plans []*plan.Plan) ([]Finding, error) {
 	var tasks []Task
-	for _, p := range days {
+	for _, p := range plans {
 		tasks = append(tasks, Task{Plan: p, Seed: p.Seed, Policy: s.Policy})
-		if s.Yardstick != "" {
-			tasks = append(tasks, Task{Plan: p, Seed: p.Seed, Policy: s.Yardstick})
+		if s.Baseline != "" {
+			tasks = append(tasks, Task{Plan: p, Seed: p.Seed, Policy: s.Baseline})
 		}
 	}
-	got, err := All(ctx, tasks, s.Most, nil)
+	results, err := PlayAll(ctx, tasks, s.MaxParallel, nil)
 	if err != nil {
 		return nil, err
 	}
-	each := len(tasks) / max(len(days), 1)
-	var all []Bad
-	for i, p := range days {
-		if mine := got[i*each : (i+1)*each]; !slices.Contains(mine, nil) {
-			all = append(all, s.judge(p, mine))
+	perPlan := len(tasks) / max(len(plans), 1)
+	var all []Finding
+	for i, p := range plans {
+		if own := results[i*perPlan : (i+1)*perPlan]; !slices.Contains(own, nil) {
+			all = append(all, s.finding(p, own))
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Bad) int {
+	slices.SortStableFunc(all, func(a, b Finding) int {
 		switch {
 		case a.worse(b):
 			return -1
@@ -88,75 +91,78 @@
 	return all, nil
 }
 
-func (b Bad) worse(than Bad) bool {
-	if len(b.Rules) != len(than.Rules) {
-		return len(b.Rules) > len(than.Rules)
+// worse reports whether f is worse than another finding.
+func (f Finding) worse(than Finding) bool {
+	if len(f.Rules) != len(than.Rules) {
+		return len(f.Rules) > len(than.Rules)
 	}
-	return b.Lost > than.Lost
+	return f.Shortfall > than.Shortfall
 }
 
-// same tells whether a cut-down day still shows what the whole one did: the same first broken rule, or at least
-// four fifths of the loss.
-func (b Bad) same(as Bad) bool {
-	if len(as.Rules) > 0 {
-		return slices.Contains(b.Rules, as.Rules[0])
+// reproduces reports whether the finding of a shrunk plan still shows that of the whole one: it violates the same first
+// rule or, where none was violated, has at least four fifths of the shortfall.
+func (f Finding) reproduces(whole Finding) bool {
+	if len(whole.Rules) > 0 {
+		return slices.Contains(f.Rules, whole.Rules[0])
 	}
-	return b.Lost >= 0.8*as.Lost
+	return f.Shortfall >= 0.8*whole.Shortfall
 }
 
-// Cut takes away from a bad day what is not needed for it to be bad: faults, then time, then schedulers and
-// workers, over and over until nothing more can go.
-func (s *Search) Cut(ctx context.Context, bad Bad) (Bad, error) {
-	for again := true; again; {
-		again = false
-		for _, less := range smaller(bad.Plan) {
-			if less.Check() != nil {
+// Shrink removes from a finding's plan what is not needed to reproduce it: faults, then time, then schedulers and
+// workers, and repeats that until no smaller plan reproduces it.
+func (s *Search) Shrink(ctx context.Context, found Finding) (Finding, error) {
+	for shrunk := true; shrunk; {
+		shrunk = false
+		for _, smaller := range smallerPlans(found.Plan) {
+			if smaller.Check() != nil {
 				continue
 			}
-			got, err := s.look(ctx, less)
+			got, err := s.playOne(ctx, smaller)
 			if err != nil {
-				return bad, err
+				return found, err
 			}
-			bad.Played += got.Played
-			if !got.same(bad) {
+			found.Played += got.Played
+			if !got.reproduces(found) {
 				continue
 			}
-			got.Played = bad.Played
-			if s.Tell != nil {
-				s.Tell(fmt.Sprintf("%d faults, %v ms, %d schedulers, %d workers", len(less.Faults), less.Length,
-					less.Schedulers.Count, less.Fleet()))
+			got.Played = found.Played
+			if s.Progress != nil {
+				s.Progress(fmt.Sprintf("%d faults, %v ms, %d schedulers, %d workers", len(smaller.Faults), smaller.Length,
+					smaller.Schedulers.Count, smaller.Fleet()))
 			}
-			bad, again = got, true
+			found, shrunk = got, true
 			break
 		}
 	}
-	return bad, nil
+	return found, nil
 }
 
-// smaller are all plans that are one step smaller, the greatest steps first.
-func smaller(p *plan.Plan) (all []*plan.Plan) {
-	with := func(change func(q *plan.Plan)) {
+// smallerPlans returns all plans that are one step smaller than p: first those without one fault, then the one of 0.7
+// times the length, then the one with a scheduler less, then those with half the workers of one group.
+func smallerPlans(p *plan.Plan) (all []*plan.Plan) {
+	addChanged := func(change func(q *plan.Plan)) {
 		q := *p
 		q.Workers, q.Faults = slices.Clone(p.Workers), slices.Clone(p.Faults)
-		// The rate stays what it was: else a smaller fleet would bring less work by itself.
+		// Clients is left as it is, so that a smaller fleet does not get less work by itself. That holds for Clients.Rate;
+		// with Clients.Load the rate of arrivals follows the capacity of the workers.
 		change(&q)
 		all = append(all, &q)
 	}
 	for i := range p.Faults {
-		with(func(q *plan.Plan) { q.Faults = slices.Delete(q.Faults, i, i+1) })
+		addChanged(func(q *plan.Plan) { q.Faults = slices.Delete(q.Faults, i, i+1) })
 	}
 	if p.Length > 2000 {
-		with(func(q *plan.Plan) {
+		addChanged(func(q *plan.Plan) {
 			q.Length = plan.Span(int(0.7 * float64(q.Length)))
 			q.Faults = slices.DeleteFunc(q.Faults, func(f plan.Fault) bool { return f.At >= q.Length })
 		})
 	}
 	if p.Schedulers.Count > 1 {
-		with(func(q *plan.Plan) { q.Schedulers.Count-- })
+		addChanged(func(q *plan.Plan) { q.Schedulers.Count-- })
 	}
 	for i, w := range p.Workers {
 		if w.Count > 1 {
-			with(func(q *plan.Plan) { q.Workers[i].Count = w.Count / 2 })
+			addChanged(func(q *plan.Plan) { q.Workers[i].Count = w.Count / 2 })
 		}
 	}
 	return all
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -1,6 +1,6 @@
-// Package tally keeps what an experiment measured: outcomes by scheme, latencies, a row for each second, and
-// the auditor's breaks. Times are milliseconds. A result holds nothing of the machine it was made on, so that
-// the same seed gives the same bytes.
+// Package tally collects the measurements of an experiment: outcomes by scheme, latencies, counts for each second,
+// and the auditor's violations. Times are milliseconds. A result of simulated time contains nothing that depends on
+// the machine, so that the same seed gives the same bytes.
 package tally
 
 import (
@@ -14,49 +14,49 @@
 	"shalebeam/lab/plan"
 )
 
-// Result is one run's.
+// Result holds the measurements of one run.
 type Result struct {
-	Plan      string         `json:"plan"`
-	Policy    string         `json:"policy"`
-	Way       string         `json:"way"` // simulated, or sockets
-	Seed      uint64         `json:"seed"`
-	Partial   bool           `json:"partial,omitempty"` // it was stopped before its end
-	G         float64        `json:"g"`                 // gain earned of the gain offered
-	Offered   int            `json:"offered"`
-	Schemes   []Scheme       `json:"schemes"`
-	Latency   Latency        `json:"latency_ms"`
-	Curve     [][2]float64   `json:"curve"` // parts, and the latency below which each lies, for a plot
-	Postings  int            `json:"postings"`
-	Fleet     *Fleet         `json:"fleet,omitempty"` // in simulated time
-	Busy      float64        `json:"busy"`            // part of the fleet's time that was worked
-	Wasted    float64        `json:"wasted"`          // part of that work whose result nobody got
-	Ended     int            `json:"ended_ms"`
-	Steps     int            `json:"steps"`
-	Decisions string         `json:"decisions,omitempty"` // a digest of all, in simulated time
-	Memory    int            `json:"memory_kb,omitempty"` // the most that a scheduler's process held, on sockets
-	Counts    map[string]int `json:"breaks"`
-	Breaks    []audit.Violation  `json:"break_stories,omitempty"`
-	History   []string       `json:"history,omitempty"`
-	Seconds   []Second       `json:"seconds,omitempty"`
-	hist      *hdrhistogram.Histogram
-	offered   float64
-	earned    float64
+	Plan      string                  `json:"plan"`
+	Policy    string                  `json:"policy"`
+	Way       string                  `json:"way"` // how it was played: simulated or sockets
+	Seed      uint64                  `json:"seed"`
+	Partial   bool                    `json:"partial,omitempty"` // the run was stopped early
+	G         float64                 `json:"g"`                 // gain earned as a part of the gain offered
+	Offered   int                     `json:"offered"`           // number of jobs
+	Schemes   []Scheme                `json:"schemes"`
+	Latency   Latency                 `json:"latency_ms"`
+	Curve     [][2]float64            `json:"curve"` // points of a plot: a part of the settled jobs, and the latency in ms below which it lies
+	Postings  int                     `json:"postings"`
+	Fleet     *Fleet                  `json:"fleet,omitempty"`         // only in simulated time
+	Busy      float64                 `json:"busy"`                    // part of the fleet's core time that was used
+	Wasted    float64                 `json:"wasted"`                  // part of that time whose result nobody received
+	Ended     int                     `json:"ended_ms"`                // when the run ended
+	Steps     int                     `json:"steps"`                   // events of simulated time
+	Decisions string                  `json:"decisions,omitempty"`     // digest of all decisions, only in simulated time
+	Memory    int                     `json:"memory_kb,omitempty"`     // greatest resident size of a scheduler's process, only on sockets
+	Counts    map[string]int          `json:"breaks"`                  // violations by rule
+	Breaks    []audit.Violation       `json:"break_stories,omitempty"` // the first violations, with their histories
+	History   []string                `json:"history,omitempty"`       // of the txn that was to be traced
+	Seconds   []Second                `json:"seconds,omitempty"`
+	latencies *hdrhistogram.Histogram // of settled jobs, in microseconds
+	offered   float64                 // gain
+	earned    float64                 // gain
 }
 
-// Fleet counts what all schedulers together ask of the rest, beside postings.
+// Fleet counts the messages of all schedulers together, other than postings.
 type Fleet struct {
-	Calls    int `json:"calls"` // for the list, each for a new watch
-	Failed   int `json:"failed_calls"`
-	Renewals int `json:"renewals"` // calls by which a watch went on
-	Lines    int `json:"lines"`    // of the list, as they were told
+	Calls    int `json:"calls"`        // of discovery for a new watch
+	Failed   int `json:"failed_calls"` // those calls that failed
+	Renewals int `json:"renewals"`     // calls that continued a watch
+	Lines    int `json:"lines"`        // list entries that discovery sent
 	Probes   int `json:"probes"`
-	Dials    int `json:"connections"` // made or tried
-	Messages int `json:"messages"`    // as sent, to any number
-	Heard    int `json:"heard"`       // as they came to each
-	Bytes    int `json:"heard_bytes"`
+	Dials    int `json:"connections"` // established or attempted
+	Messages int `json:"messages"`    // datagrams to peers, each counted once for all its receivers
+	Heard    int `json:"heard"`       // datagrams received, counted for each receiver
+	Bytes    int `json:"heard_bytes"` // of the datagrams received
 }
 
-// Scheme counts one scheme's jobs by how they ended.
+// Scheme counts the jobs of one scheme by outcome.
 type Scheme struct {
 	Name     string  `json:"name"`
 	Offered  int     `json:"offered"`
@@ -64,14 +64,14 @@
 	Late     int     `json:"late"`
 	Declined int     `json:"declined"`
 	Reversed int     `json:"reversed"`
-	None     int     `json:"no_answer"` // refused, broken, expired or left
-	Tries    int     `json:"tries"`
+	NoAnswer int     `json:"no_answer"` // refused, broken, expired or left, see package load
+	Tries    int     `json:"tries"`     // attempts of all its jobs
 	G        float64 `json:"g"`
-	offered  float64
-	earned   float64
+	offered  float64 // gain
+	earned   float64 // gain
 }
 
-// Latency has quantiles from first try to the settling answer.
+// Latency holds quantiles of the time from a job's first attempt to the answer that settled it.
 type Latency struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
@@ -79,27 +79,28 @@
 	Max float64 `json:"max"`
 }
 
-// Second is one second of the run, by when jobs came and ended.
+// Second counts the jobs that arrived and ended in one second of the run.
 type Second struct {
 	Came     int     `json:"came"`
 	InTime   int     `json:"in_time"`
 	Late     int     `json:"late"`
 	Declined int     `json:"declined"`
-	Other    int     `json:"other"`
-	Open     int     `json:"open"`
-	Capacity float64 `json:"capacity"` // cores that the fleet could give
+	Other    int     `json:"other"`    // reversed, or without an answer
+	Open     int     `json:"open"`     // jobs that were open when it was recorded
+	Capacity float64 `json:"capacity"` // of the fleet, in cores at speed 1
 }
 
-// New begins a result.
+// New returns an empty result. way is how the run is played, see Result.Way.
 func New(p *plan.Plan, policy, way string, seed uint64) *Result {
 	r := &Result{Plan: p.Name, Policy: policy, Way: way, Seed: seed, Counts: map[string]int{},
-		hist: hdrhistogram.New(1, 3600*1000*1000, 3)}
+		latencies: hdrhistogram.New(1, 3600*1000*1000, 3)}
 	for _, c := range p.Schemes {
 		r.Schemes = append(r.Schemes, Scheme{Name: c.Name})
 	}
 	return r
 }
 
+// second returns the counts of the second that includes a time; times after 24 h belong to the last one.
 func (r *Result) second(at float64) *Second {
 	i := min(int(max(at, 0)/1000), 24*3600)
 	for len(r.Seconds) <= i {
@@ -108,7 +109,7 @@
 	return &r.Seconds[i]
 }
 
-// Came counts a job.
+// Came counts a job that arrived.
 func (r *Result) Came(j *load.Job) {
 	c := &r.Schemes[j.Scheme]
 	c.Offered++
@@ -118,7 +119,7 @@
 	r.second(j.At).Came++
 }
 
-// Over counts a job's end.
+// Over counts a job that ended.
 func (r *Result) Over(p *plan.Plan, j *load.Job, at float64) {
 	c, s := &r.Schemes[j.Scheme], r.second(at)
 	c.Tries += j.Tries
@@ -127,7 +128,7 @@
 		gain := j.Gain(p, at)
 		c.earned += gain
 		r.earned += gain
-		_ = r.hist.RecordValue(int64(max(at-j.At, 0) * 1000))
+		_ = r.latencies.RecordValue(int64(max(at-j.At, 0) * 1000))
 		if at <= j.Due {
 			c.InTime++
 			s.InTime++
@@ -142,29 +143,29 @@
 		c.Reversed++
 		s.Other++
 	default:
-		c.None++
+		c.NoAnswer++
 		s.Other++
 	}
 }
 
-// Look notes how many jobs are open and what the fleet can give at a time.
+// Look records the number of open jobs and the fleet's capacity in cores at a time.
 func (r *Result) Look(at float64, open int, capacity float64) {
 	s := r.second(at)
 	s.Open, s.Capacity = open, round(capacity)
 }
 
-// Close works the figures out.
+// Close computes the figures of a run that ended at a time.
 func (r *Result) Close(a *audit.Auditor, at float64) {
 	r.G = ratio(r.earned, r.offered)
 	for i := range r.Schemes {
 		r.Schemes[i].G = ratio(r.Schemes[i].earned, r.Schemes[i].offered)
 	}
-	q := func(x float64) float64 { return float64(r.hist.ValueAtQuantile(x)) / 1000 }
-	if r.hist.TotalCount() > 0 {
-		r.Latency = Latency{q(50), q(90), q(99), float64(r.hist.Max()) / 1000}
+	quantile := func(percent float64) float64 { return float64(r.latencies.ValueAtQuantile(percent)) / 1000 }
+	if r.latencies.TotalCount() > 0 {
+		r.Latency = Latency{quantile(50), quantile(90), quantile(99), float64(r.latencies.Max()) / 1000}
 		for _, part := range []float64{0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98, 0.99, 0.995, 0.998, 0.999} {
-			if float64(r.hist.TotalCount())*(1-part) >= 1 { // fewer say nothing of so rare a thing
-				r.Curve = append(r.Curve, [2]float64{part, q(100 * part)})
+			if float64(r.latencies.TotalCount())*(1-part) >= 1 { // below one job the quantile means nothing
+				r.Curve = append(r.Curve, [2]float64{part, quantile(100 * part)})
 			}
 		}
 	}
@@ -175,15 +176,15 @@
 	}
 }
 
-// BreakCount is how many rules were broken in all.
-func (r *Result) BreakCount() (n int) {
+// ViolationCount returns the number of violations of all rules.
+func (r *Result) ViolationCount() (n int) {
 	for _, k := range r.Counts {
 		n += k
 	}
 	return n
 }
 
-// Rules are the names of those broken, sorted.
+// Rules returns the names of the violated rules, sorted.
 func (r *Result) Rules() (names []string) {
 	for rule := range r.Counts {
 		names = append(names, rule)
@@ -192,6 +193,7 @@
 	return names
 }
 
+// ratio returns a/b to 6 decimals, and 0 where b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -199,4 +201,5 @@
 	return math.Round(a/b*1e6) / 1e6
 }
 
+// round returns x to 3 decimals.
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
