--- a/Makefile
+++ b/Makefile
@@ -11,6 +11,6 @@
 	go vet ./...
 	go tool -modfile=tools/go.mod staticcheck ./...
 
-# CONFIG names the file that tells the scheduler of its machine, else BALANCER_CONFIG does; README.md has its form.
+# CONFIG is the path of the scheduler's configuration file; without it BALANCER_CONFIG is used. README.md describes the file.
 run: build
 	bin/shalebeam serve $(if $(CONFIG),--config $(CONFIG))
