--- a/cmd/beamlab/commands.go
+++ b/cmd/beamlab/commands.go
@@ -83,11 +83,11 @@
 	if err != nil {
 		return "", err
 	}
-	beside := filepath.Join(filepath.Dir(self), "shalebeam")
-	if _, err := os.Stat(beside); err != nil {
+	path := filepath.Join(filepath.Dir(self), "shalebeam")
+	if _, err := os.Stat(path); err != nil {
 		return "", fmt.Errorf("--program is not given, and there is no shalebeam in beamlab's directory: %w", err)
 	}
-	return beside, nil
+	return path, nil
 }
 
 // outputFlags say where results are written.
@@ -538,14 +538,14 @@
 		return err
 	}
 	d := &report.Doc{Title: fmt.Sprintf("%d rough days, %s", c.Days, c.Policy), Partial: ctx.Err() != nil}
-	days, jobs, posts, broken := 0, 0, 0, 0
+	days, jobs, postings, broken := 0, 0, 0, 0
 	decisions := xxhash.New()
 	rules := map[string]int{}
 	for _, r := range got {
 		if r == nil {
 			continue
 		}
-		days, jobs, posts = days+1, jobs+r.Offered, posts+r.Postings
+		days, jobs, postings = days+1, jobs+r.Offered, postings+r.Postings
 		decisions.WriteString(r.Decisions)
 		for rule, n := range r.Counts {
 			rules[rule] += n
@@ -559,7 +559,7 @@
 		for _, r := range d.Runs {
 			writeRun(w, r)
 		}
-		fmt.Fprintf(w, "%d days, %d jobs, %d postings, decisions %016x: %d days with broken rules %v\n", days, jobs, posts,
+		fmt.Fprintf(w, "%d days, %d jobs, %d postings, decisions %016x: %d days with broken rules %v\n", days, jobs, postings,
 			decisions.Sum64(), broken, rules)
 	})
 }
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -235,8 +235,8 @@
 	t.stuckAt = math.Inf(1)
 }
 
-// checkDrained checks that the scheduler was not told earlier than the grace period that the worker of a posting drains, is
-// removed or was taken out by operators.
+// checkDrained checks that a posting is not sent to a worker later than the grace period after operators took it out or
+// the scheduler was told that it drains or is removed.
 func (a *Auditor) checkDrained(at float64, sched, ref, worker string) {
 	name, _, _ := strings.Cut(sched, ".") // drops the number of the process, which simulated time does not have
 	if since, ok := a.takenOut[name][worker]; ok && at > since+a.terms.Grace {
@@ -260,7 +260,8 @@
 	}
 }
 
-// Made reports that a worker has finished a posting with a result. With drop it recognised a repeat and did not run it.
+// Made reports that a worker has run a posting, and its result. With drop the posting was a repeat that the worker
+// recognised and did not run.
 func (a *Auditor) Made(at float64, ref string, no int, worker, result string, drop bool) {
 	t := a.txns[ref]
 	if t == nil {
@@ -421,7 +422,7 @@
 	l[worker] = listed{state, at, start}
 }
 
-// Knows reports whether a scheduler was told of a worker's start at that time.
+// Knows reports whether the list that a scheduler was told has a worker's start at the time start.
 func (a *Auditor) Knows(sched, worker string, start float64) bool {
 	l, ok := a.lists[sched][worker]
 	return ok && l.start == start
--- a/lab/audit/audit_test.go
+++ b/lab/audit/audit_test.go
@@ -33,7 +33,7 @@
 			post(200, 1, 7), made, answer(300, Settled)}},
 		"repeated after it never ran": {"", []func(a *Auditor){took(2), post(1, 0, 7), ended(100, 0, balance.Full),
 			post(200, 1, 8), made, answer(300, Settled)}},
-		"given up at once":         {"", []func(a *Auditor){took(2), post(1, 0, 7), ended(100, 0, balance.Reset), answer(110, Reversed)}},
+		"answered at once":         {"", []func(a *Auditor){took(2), post(1, 0, 7), ended(100, 0, balance.Reset), answer(110, Reversed)}},
 		"client left":              {"", []func(a *Auditor){took(2), func(a *Auditor) { a.Left(10, "t") }}},
 		"its scheduler was killed": {"", []func(a *Auditor){took(2), func(a *Auditor) { a.Died(10, "s", true) }}},
 		"no answer":                {LostTxn, []func(a *Auditor){took(0)}},
@@ -47,9 +47,9 @@
 		"out of group":             {OutOfGroup, []func(a *Auditor){took(1), post(1, 0, 0), ended(9, 0, balance.Reset), post(20, 1, 1)}},
 		"declined":                 {DeclinedMayHaveRun, []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Reset), answer(10, Declined)}},
 		"declined while out":       {DeclinedMayHaveRun, []func(a *Auditor){took(1), post(1, 0, 0), answer(10, Declined)}},
-		"held back, and stood still before": {AnswerDelayed, []func(a *Auditor){took(2), func(a *Auditor) { a.Stood("s", 0, 100) }, post(1, 0, 0),
+		"held back beyond a pause": {AnswerDelayed, []func(a *Auditor){took(2), func(a *Auditor) { a.Stood("s", 0, 100) }, post(1, 0, 0),
 			ended(9, 0, balance.Reset), answer(400, Reversed)}},
-		"stood still all the time": {"", []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Reset),
+		"paused all the time": {"", []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Reset),
 			func(a *Auditor) { a.Stood("s", 10, 390) }, answer(400, Reversed)}},
 		"held back": {AnswerDelayed, []func(a *Auditor){took(2), post(1, 0, 0), ended(9, 0, balance.Reset), answer(400, Reversed)}},
 		"made up":   {ResultNotFromWorker, []func(a *Auditor){took(0), post(1, 0, 0), answer(10, Settled)}},
@@ -57,11 +57,11 @@
 		"drained": {PostedToDrained, []func(a *Auditor){took(0), func(a *Auditor) {
 			a.Listed(0, "s", "w", balance.Draining, 0)
 		}, post(60, 0, 0), made, answer(100, Settled)}},
-		"within the grace": {"", []func(a *Auditor){took(0), func(a *Auditor) {
+		"within the grace period": {"", []func(a *Auditor){took(0), func(a *Auditor) {
 			a.Listed(0, "s", "w", balance.Draining, 0)
 		}, post(40, 0, 0), made, answer(100, Settled)}},
-		"flooded":                           {ColdWorkerOverload, []func(a *Auditor){func(a *Auditor) { a.Fell(1, "w", 0.7, "much") }}},
-		"flooded by those who did not know": {"", []func(a *Auditor){func(a *Auditor) { a.Fell(1, "w", 0.5, "much") }}},
+		"flooded": {ColdWorkerOverload, []func(a *Auditor){func(a *Auditor) { a.Fell(1, "w", 0.7, "much") }}},
+		"flooded by schedulers that did not know": {"", []func(a *Auditor){func(a *Auditor) { a.Fell(1, "w", 0.5, "much") }}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := New(terms)
--- a/lab/plan/random.go
+++ b/lab/plan/random.go
@@ -9,7 +9,7 @@
 // settings, a scheme of each effect, and one to eight faults that may overlap. Many such plans are played to find
 // violations of the auditor's rules.
 func Rough(seed uint64) *Plan {
-	r := rand.New(rand.NewPCG(seed, 0x726f756768))
+	r := rand.New(rand.NewPCG(seed, 0x726f756768)) // stream "rough" in ASCII
 	intBetween := func(from, to int) int { return from + r.IntN(to-from+1) }
 	spanBetween := func(from, to int) Span { return Span(intBetween(from, to)) }
 	chance := func(p float64) bool { return r.Float64() < p }
@@ -23,8 +23,8 @@
 		Times: 2 + 2*r.Float64(), Down: 6000}
 	for i, effect := range []string{"repeatable", "referenced", "once-only"} {
 		c := Scheme{Name: effect, Effect: effect, Group: oneOf("all", "zone", "cell"), Window: spanBetween(1000, 6000),
-			SLA: spanBetween(500, 2000), Stretch: 2, Expiry: spanBetween(3000, 8000), Gain: float64(intBetween(1, 4)), Part: float64(intBetween(1, 5)),
-			Hinted: hintedShare(r), Rough: 0.6 * r.Float64(), Cost: Distribution{Law: "lognormal", Median: spanBetween(30, 250),
+			SLA: spanBetween(500, 2000), Stretch: 2, Expiry: spanBetween(3000, 8000), Gain: float64(intBetween(1, 4)),
+			Part: float64(intBetween(1, 5)), Hinted: hintedShare(r), Rough: 0.6 * r.Float64(), Cost: Distribution{Law: "lognormal", Median: spanBetween(30, 250),
 				Sigma: 1.2 * r.Float64(), Most: 3000}}
 		if chance(0.6) {
 			c.Late = 0.2
@@ -77,7 +77,7 @@
 // settings change.
 func Operated(seed uint64) *Plan {
 	p := Rough(seed)
-	r := rand.New(rand.NewPCG(seed, 0x7374616666))
+	r := rand.New(rand.NewPCG(seed, 0x7374616666)) // stream "staff" in ASCII
 	timeWithin := func(part float64) Span { return Span(float64(int(part * r.Float64() * float64(p.Length)))) }
 	for range 1 + r.IntN(3) {
 		p.Faults = append(p.Faults, Fault{Do: "maintain", On: "workers", At: timeWithin(0.7), For: Span(500 + r.IntN(4000)),
@@ -94,7 +94,7 @@
 // watches fall silent, are reset or moved, or discovery is down or cut off, while workers drain.
 func Told(seed uint64) *Plan {
 	p := Rough(seed)
-	r := rand.New(rand.NewPCG(seed, 0x746f6c64))
+	r := rand.New(rand.NewPCG(seed, 0x746f6c64)) // stream "told" in ASCII
 	spanBetween := func(from, to int) Span { return Span(from + r.IntN(to-from+1)) }
 	n := []int{2, 3, 6, 8, 20, 60, 150, 350}[r.IntN(8)]
 	p.Name, p.Length, p.Schedulers.Count = fmt.Sprint("told-", seed), spanBetween(18000, 26000), n
@@ -127,7 +127,9 @@
 		drain := Fault{Do: "drain", On: "workers", At: at + spanBetween(0, 7000), Over: spanBetween(0, 2000),
 			Share: 0.1 + 0.3*r.Float64(), For: spanBetween(2000, 20000)}
 		p.Faults = append(p.Faults, f, drain)
-		if r.IntN(3) == 0 && len(p.Faults) == 2 { // connections are established only after the grace period, news of the drain arrives within it
+		// A delay by which the news of the drain arrives within the grace period, and new connections are established only
+		// after it.
+		if r.IntN(3) == 0 && len(p.Faults) == 2 {
 			p.Faults = append(p.Faults, Fault{Do: "delay", On: "network", Share: 1, At: drain.At, For: 4000,
 				Factor: min(0.5*float64(p.Discovery.Grace), 300)})
 		}
