--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -290,7 +290,7 @@
 		return
 	}
 	p.inFlight, p.ended, p.mayHaveRun = false, true, !how.NeverRan()
-	a.record(t, at, "", no, Outcome(how))
+	a.record(t, at, "", no, outcomeName(how))
 	// On sockets a result that the worker wrote may never have reached the scheduler, if the worker was killed or cut
 	// off just then. Only the scheduler's answer shows from outside what it knows.
 	if t.final == "" && a.mustAnswer(t) && !(how == balance.Done && a.terms.SentIn > 0) {
@@ -321,8 +321,8 @@
 	return len(t.postings) >= a.terms.MaxPosts || mayHaveRun && a.terms.Schemes[t.scheme].Effect == balance.OnceOnly
 }
 
-// Outcome returns the name of an outcome in histories.
-func Outcome(how balance.Outcome) string {
+// outcomeName returns the name of an outcome in histories.
+func outcomeName(how balance.Outcome) string {
 	names := []string{"done", "erred", "full", "timed out", "no connection", "reset", "called off", "never sent"}
 	if how < 0 || int(how) >= len(names) {
 		return fmt.Sprint("outcome ", int(how))
