--- a/lab/cluster/cluster_test.go
+++ b/lab/cluster/cluster_test.go
@@ -78,26 +78,26 @@
 	r := played(t, Options{Seed: 11, Agents: 3, Act: func(d *Day) {
 		old, fence := d.Owner("a")
 		worker := d.WorkerIn("a")
-		d.Link(fmt.Sprint("a", old), "s0", Stalled, Stalled)
-		if d.Worker(0, worker, true, d.addrs(nil), time.Second) {
-			d.Break("all obeyed, and one can't be reached")
+		d.SetLink(fmt.Sprint("a", old), "s0", LinkStalled, LinkStalled)
+		if d.SetWorkerOut(0, worker, true, d.agentAddrs(nil), time.Second) {
+			d.ReportBreak("all obeyed, and one can't be reached")
 		}
-		d.Still(old, 5*time.Second)
+		d.Pause(old, 5*time.Second)
 		others := []string{}
 		for i := range d.agents {
 			if i != old {
-				others = append(others, d.At(i)...)
+				others = append(others, d.AddrOf(i)...)
 			}
 		}
-		d.Until("a successor", func() bool {
+		d.WaitUntil("a successor", func() bool {
 			now, higher := d.Owner("a")
 			return now >= 0 && now != old && higher > fence
 		})
-		d.Worker(0, worker, false, others, 0)
-		d.Until("the successor has told s0", func() bool {
-			return d.Number(0, "zone/a") > fence
+		d.SetWorkerOut(0, worker, false, others, 0)
+		d.WaitUntil("the successor has told s0", func() bool {
+			return d.FenceKnownBy(0, "zone/a") > fence
 		})
-		d.Link(fmt.Sprint("a", old), "s0", Whole, Whole)
+		d.SetLink(fmt.Sprint("a", old), "s0", LinkUp, LinkUp)
 		time.Sleep(4 * time.Second) // the old owner wakes meanwhile
 	}})
 	clean(t, r)
@@ -113,31 +113,31 @@
 	t.Parallel()
 	r := played(t, Options{Seed: 12, Act: func(d *Day) {
 		lead := -1
-		d.Until("a leader", func() bool {
-			lead = d.leads()
+		d.WaitUntil("a leader", func() bool {
+			lead = d.leader()
 			return lead >= 0
 		})
-		d.Links(lead, Gone, Gone)
+		d.SetLinks(lead, LinkReset, LinkReset)
 		c := fleet.Command{Caller: "both", Number: 1, Do: "out", ID: "x5", Zone: "a", By: "ann", Why: "caller both"}
-		if a, err := d.Ask(lead, c); err == nil && a.Done {
-			d.Break("a leader that is cut off said yes")
+		if a, err := d.SendCommand(lead, c); err == nil && a.Done {
+			d.ReportBreak("a leader that is cut off said yes")
 		}
-		d.Until("it refuses at once", func() bool {
+		d.WaitUntil("it refuses at once", func() bool {
 			began := time.Now()
-			_, err := d.Ask(lead, fleet.Command{Caller: "late", Number: 1, Do: "out", ID: "x6", Zone: "a", By: "ann"})
+			_, err := d.SendCommand(lead, fleet.Command{Caller: "late", Number: 1, Do: "out", ID: "x6", Zone: "a", By: "ann"})
 			var no *agent.Refusal
 			return errors.As(err, &no) && no.Status == 503 && time.Since(began) < time.Second
 		})
 		other := (lead + 1) % len(d.agents)
-		d.Until("the others go on", func() bool {
-			a, err := d.Ask(other, c)
+		d.WaitUntil("the others go on", func() bool {
+			a, err := d.SendCommand(other, c)
 			return err == nil && a.Done
 		})
-		d.Worker(0, d.WorkerIn("b"), true, d.At(other), 5*time.Second)
+		d.SetWorkerOut(0, d.WorkerIn("b"), true, d.AddrOf(other), 5*time.Second)
 		time.Sleep(time.Second)
-		d.Links(lead, Whole, Whole)
-		d.Until("it follows", func() bool {
-			a, err := d.Ask(lead, c)
+		d.SetLinks(lead, LinkUp, LinkUp)
+		d.WaitUntil("it follows", func() bool {
+			a, err := d.SendCommand(lead, c)
 			return err == nil && a.Done
 		})
 	}})
@@ -150,7 +150,7 @@
 	t.Parallel()
 	r := played(t, Options{Seed: 13, Act: func(d *Day) {
 		worker := d.WorkerIn("a")
-		d.Worker(0, worker, true, d.addrs(nil), 10*time.Second)
+		d.SetWorkerOut(0, worker, true, d.agentAddrs(nil), 10*time.Second)
 		for i := range d.agents {
 			d.Kill(i)
 		}
@@ -159,19 +159,19 @@
 		for i := range d.agents {
 			d.Start(i)
 		}
-		d.Until("all obey again", func() bool { return d.Obeyed(worker, d.addrs(nil)) })
-		old := d.agents[2].copyLog()
-		d.Worker(0, d.WorkerIn("b"), true, d.addrs(nil), 10*time.Second)
+		d.WaitUntil("all obey again", func() bool { return d.AllAcknowledged(worker, d.agentAddrs(nil)) })
+		old := d.agents[2].readLog()
+		d.SetWorkerOut(0, d.WorkerIn("b"), true, d.agentAddrs(nil), 10*time.Second)
 		d.Kill(2)
-		if err := d.agents[2].putLog(old); err != nil {
-			d.Break("%v", err)
+		if err := d.agents[2].writeLog(old); err != nil {
+			d.ReportBreak("%v", err)
 		}
 		d.Start(2)
-		d.Until("the older disk is found out, and its voter replaced", func() bool {
-			r, err := d.read(d.ctx)
+		d.WaitUntil("the older disk is found out, and its voter replaced", func() bool {
+			r, err := d.readRecord(d.ctx)
 			return err == nil && r.Voters[3] == "" && len(r.Voters) == 3
 		})
-		d.Worker(0, worker, false, d.addrs(nil), 0)
+		d.SetWorkerOut(0, worker, false, d.agentAddrs(nil), 0)
 	}})
 	clean(t, r)
 }
@@ -182,32 +182,32 @@
 func TestTwoDisksLie(t *testing.T) {
 	t.Parallel()
 	r := played(t, Options{Seed: 14, Act: func(d *Day) {
-		d.Worker(0, d.WorkerIn("b"), true, d.addrs(nil), 5*time.Second)
+		d.SetWorkerOut(0, d.WorkerIn("b"), true, d.agentAddrs(nil), 5*time.Second)
 		for _, p := range d.agents[:2] {
-			p.faults(map[string]any{"LieSync": true})
+			p.setFaults(map[string]any{"LieSync": true})
 		}
-		d.Until("it is on record", func() bool {
-			a, err := d.person(fleet.Command{Do: "out", ID: "x7", Zone: "a", By: "ann"})
+		d.WaitUntil("it is on record", func() bool {
+			a, err := d.sendAsOperator(fleet.Command{Do: "out", ID: "x7", Zone: "a", By: "ann"})
 			return err == nil && a.Done
 		})
 		d.Kill(0)
 		d.Kill(1)
-		d.Links(2, Gone, Gone)
+		d.SetLinks(2, LinkReset, LinkReset)
 		for _, p := range d.agents[:2] {
-			p.faults(map[string]any{})
+			p.setFaults(map[string]any{})
 			_ = p.start()
 		}
 		found := func() bool {
-			if rec, err := d.read(d.ctx); err == nil && !rec.Workers["x7"].Out {
-				d.Break("a read shows the record without what was answered yes")
+			if rec, err := d.readRecord(d.ctx); err == nil && !rec.Workers["x7"].Out {
+				d.ReportBreak("a read shows the record without what was answered yes")
 				return true
 			}
 			return strings.Contains(d.agents[0].tail(1<<20)+d.agents[1].tail(1<<20), quorum.ErrBehind.Error())
 		}
 		for end := time.Now().Add(6 * time.Second); time.Now().Before(end) && !found(); time.Sleep(50 * time.Millisecond) {
 		}
-		d.Links(2, Whole, Whole)
-		d.Until("a voter says that its disk lacks something", found)
+		d.SetLinks(2, LinkUp, LinkUp)
+		d.WaitUntil("a voter says that its disk lacks something", found)
 	}})
 	for _, b := range r.Breaks {
 		if !strings.Contains(b, "the record in reach") { // it is out of reach till a person decides
--- a/lab/cluster/day.go
+++ b/lab/cluster/day.go
@@ -1,7 +1,11 @@
-// Package cluster plays days of several processes: real agents and schedulers, with the lab's workers, discovery and load,
-// each link between two processes through a relay, and faults of links, processes, disks and clocks that overlap, by seed.
-// What judges a day is independent of what is judged: workers' own notes of postings, every caller's call and answer, and
-// what the schedulers logged to have taken.
+// Package cluster runs whole clusters of real agent and scheduler processes under fault injection. One run is a "day": it
+// starts agents and schedulers together with the lab's own workers, discovery and load generator, connects agents to other
+// processes through TCP relays, and injects overlapping faults of links, processes, disks and clocks chosen by a seed. The
+// agents replicate the record, which is the fleet's state (members, intents for workers, leases, operations), among those
+// of them that are voters. Each zone and each operation is a matter, leased to one agent, its owner, under a fencing token.
+//
+// The checks on a day don't rely on the program under test: they use the postings that workers recorded, the calls and
+// answers of every caller, and the log lines in which schedulers and agents report what they applied.
 package cluster
 
 import (
@@ -27,86 +31,90 @@
 	"shalebeam/lab/plan"
 )
 
-// Options are one day's.
+// Options configure one day. A zero count, duration or load is replaced by a default.
 type Options struct {
 	Seed       uint64
-	Agents     int // the first Voters of them keep the record
+	Agents     int // number of agents; the first Voters of them replicate the record
 	Voters     int
 	Schedulers int
 	Workers    int
-	For        time.Duration // that faults come
-	Program    string        // shalebeam, and beamagent, built with the tag faults
-	Agent      string
-	Dir        string
-	Bug        string // one planted
-	Calm       bool   // no faults by themselves
-	Load       float64
-	Tell       func(string)
-	// Act has a test play its own day in place of the seeded one; faults end when it returns.
+	For        time.Duration // how long faults are injected
+	Program    string        // path of shalebeam, built with the tag faults
+	Agent      string        // path of beamagent, built with the tag faults
+	Dir        string        // for configurations, logs and disks
+	Bug        string        // the bug of Bugs that the processes are started with, "" for none
+	NoFaults   bool          // inject no seeded faults
+	Load       float64       // the plan's clients.load
+	Tell       func(string)  // called with each line of the event log
+	// Act runs in place of the seeded callers and faults. When it returns, all remaining faults are ended.
 	Act func(d *Day)
-	// Runs has agents run the schedulers, and operations and halts among what happens.
+	// Runs has agents start and stop the scheduler processes. Seeded days then include operations and halts.
 	Runs bool
-	// Hold goes on until ctx is done, in place of ending: for a demonstration.
+	// Hold keeps the day running until ctx is done, without checks at the end, for a demonstration.
 	Hold bool
 }
 
-// Report is what came of a day.
+// Report is the result of a day.
 type Report struct {
 	Seed     uint64
-	Breaks   []string
-	Ops      int // commands that were answered, and reads
-	Yes      int // changes that every scheduler said yes to
-	Open     int // never answered
-	Faults   []string
-	Postings int
-	Most     int     // schedulers out by will together, by truth
-	Healed   float64 // s from the end of faults until every scheduler knew who is out
+	Breaks   []string // violations of what a day checks, at most 50 plus those of txns
+	Ops      int      // commands and reads that were answered
+	Yes      int      // workers taken out with an acknowledgement of every scheduler
+	Open     int      // commands that were never answered
+	Faults   []string // the event log: injected faults and operators' actions, with seconds since the start
+	Postings int      // that workers received
+	MostOut  int      // the most schedulers out of service at once on purpose, by the lab's own health checks
+	Healed   float64  // seconds from the end of faults until every scheduler had the workers out that the record has out
 }
 
+// day is a running day.
 type day struct {
-	opt    Options
-	ctx    context.Context
-	dir    string
-	r      *rand.Rand
-	begun  time.Time
-	agents []*proc
-	live   *live.Fleet
-	links  map[string]*relay // "a0>a1", "a0>s3"
-	http   *http.Client
+	opt       Options
+	ctx       context.Context
+	dir       string
+	random    *rand.Rand // used by the fault loop alone
+	startedAt time.Time  // when all schedulers served
+	agents    []*agentProcess
+	live      *live.Fleet
+	links     map[string]*relay // by caller and callee: "a0>a1", "a0>s3"; "a0>s3'" for s3's second process in an upgrade
+	http      *http.Client      // for calls of the lab itself, with a timeout of 1 s
 
-	mu     sync.Mutex
-	rep    Report
-	hist   history
-	nextID uint64
-	behind map[int]bool
-	locks  map[string]*sync.Mutex // by worker
-	number map[string]uint64
-	// holding: of calls that lie in their connections there is one at a time, else they undo each other's workers.
-	holding atomic.Bool
-	limits  []fleet.Limit
-	pauses  []pause
-	turn    int
-	calm    atomic.Bool // callers wait
+	mu             sync.Mutex // guards the fields below that are not atomic; history has a mutex of its own
+	report         Report
+	history        history
+	lastVoterID    uint64                 // the last id given to a replacing voter
+	replacing      map[int]bool           // by agent index: voters whose replacement is under way
+	workerLocks    map[string]*sync.Mutex // by worker
+	commandNumbers map[string]uint64      // by caller: the number of its last command
+	// exclusiveFault is set during a fault that delays calls of an owner or cuts one off: two at once would undo each other's
+	// change of a worker.
+	exclusiveFault   atomic.Bool
+	limits           []fleet.Limit // in force, see SetLimits
+	haltWindows      []haltWindow
+	operatorCommands int         // commands that operators sent, which numbers them
+	callersPaused    atomic.Bool // callers send nothing meanwhile
 }
 
-// Day is what a test of its own acts on.
+// Day is a running day, for Options.Act.
 type Day struct{ *day }
 
-// term is that of claims: on a third of the days longer than it takes to choose a leader.
-func (d *day) term() time.Duration {
+// leaseTerm is how long a lease of a matter lasts without renewal. On every third seed it is longer than the election of a
+// leader takes.
+func (d *day) leaseTerm() time.Duration {
 	if d.opt.Seed%3 == 0 || d.opt.Bug == "new-leader-hurries" {
 		return 4 * time.Second
 	}
 	return time.Second
 }
 
-func (o *Options) fill() {
+// setDefaults sets the fields that are zero.
+func (o *Options) setDefaults() {
 	if o.Voters == 0 {
 		o.Voters = 3
 	}
 	o.Agents = max(o.Agents, o.Voters)
 	if o.Bug == "new-leader-hurries" {
-		o.Agents = max(o.Agents, o.Voters+2) // its owner has to be cut off, and a majority be left
+		o.Agents = max(o.Agents, o.Voters+2) // the bug shows when an owner that is no voter is cut off and a majority of voters is left
 	}
 	if o.Schedulers == 0 {
 		o.Schedulers = 4
@@ -119,13 +127,14 @@
 	}
 	if o.Load == 0 {
 		o.Load = 0.4
-		if o.Runs { // twice as many processes, and this machine's cores for all of them
+		if o.Runs { // there may be twice as many scheduler processes, which share this machine's cores
 			o.Load = 0.25
 		}
 	}
 }
 
-const planOf = `name = "cluster"
+// planFormat is the lab's plan of a day in TOML: length, number of schedulers, number of workers and load are filled in.
+const planFormat = `name = "cluster"
 length = %q
 [schedulers]
 count = %d
@@ -171,18 +180,20 @@
 lag = "20ms"
 `
 
-const healMost = 30 * time.Second // after faults: voters are replaced, owners change; then 10 s for all to know
+// recoveryTimeout bounds how long the record may be out of reach: voters are replaced and owners change meanwhile.
+// Schedulers then have another 10 s to agree with the record.
+const recoveryTimeout = 30 * time.Second
 
-// Play plays one day.
+// Play runs one day and returns its report. An error means that the day could not be run; violations are in Report.Breaks.
 func Play(ctx context.Context, opt Options) (*Report, error) {
-	opt.fill()
+	opt.setDefaults()
 	var err error
 	if opt.Dir, err = filepath.Abs(opt.Dir); err != nil {
 		return nil, err
 	}
-	d := &day{opt: opt, ctx: ctx, dir: opt.Dir, r: rand.New(rand.NewPCG(opt.Seed, 7)), links: map[string]*relay{},
-		http: agent.NewHTTP(nil, time.Second), behind: map[int]bool{}, locks: map[string]*sync.Mutex{}, number: map[string]uint64{},
-		nextID: 100, rep: Report{Seed: opt.Seed}}
+	d := &day{opt: opt, ctx: ctx, dir: opt.Dir, random: rand.New(rand.NewPCG(opt.Seed, 7)), links: map[string]*relay{},
+		http: agent.NewHTTP(nil, time.Second), replacing: map[int]bool{}, workerLocks: map[string]*sync.Mutex{}, commandNumbers: map[string]uint64{},
+		lastVoterID: 100, report: Report{Seed: opt.Seed}}
 	var cancel context.CancelFunc
 	d.ctx, cancel = context.WithCancel(ctx)
 	defer cancel()
@@ -191,70 +202,70 @@
 	}
 	length := opt.For
 	if opt.Runs && opt.Act == nil {
-		length += 15 * time.Second // load goes on while all is brought back
+		length += 15 * time.Second // load goes on while restoreService brings every member back
 	}
 	if opt.Hold {
 		length = time.Hour
 	}
-	p, err := plan.Parse(fmt.Appendf(nil, planOf, length.String(), opt.Schedulers, opt.Workers, opt.Load))
+	p, err := plan.Parse(fmt.Appendf(nil, planFormat, length.String(), opt.Schedulers, opt.Workers, opt.Load))
 	if err != nil {
 		return nil, err
 	}
-	if err := d.addresses(); err != nil {
+	if err := d.assignAddresses(); err != nil {
 		return nil, err
 	}
 	defer d.close()
 	for _, a := range d.agents {
 		if opt.Runs {
-			break // they begin once they know whom to run
+			break // startAgents starts them, once the schedulers that they run are known
 		}
 		if err := a.start(); err != nil {
 			return nil, err
 		}
 	}
-	var failed error
-	got, err := live.Play(d.ctx, p, opt.Seed, live.Options{Program: opt.Program, Env: []string{"SHALEBEAM_BUG=" + opt.Bug}, Dir: filepath.Join(d.dir, "schedulers"),
-		Agent: func(no int) string { return d.agents[no%len(d.agents)].file.Listen },
-		Mark:  d.mark(), Logs: d.dir, Begin: d.begin, Told: d.told,
+	var runErr error
+	result, err := live.Play(d.ctx, p, opt.Seed, live.Options{Program: opt.Program, Env: []string{"SHALEBEAM_BUG=" + opt.Bug}, Dir: filepath.Join(d.dir, "schedulers"),
+		Agent: func(index int) string { return d.agents[index%len(d.agents)].file.Listen },
+		Mark:  d.environmentMark(), Logs: d.dir, Begin: d.startAgents, Told: d.toldToEnd,
 		Fleet: func(f *live.Fleet) func() {
 			d.live = f
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				failed = d.play()
+				runErr = d.run()
 			}()
 			return func() { <-done }
 		}})
 	if err != nil && !opt.Hold {
 		return nil, err
 	}
-	if failed != nil {
-		return nil, failed
+	if runErr != nil {
+		return nil, runErr
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if got != nil {
-		d.rep.Postings = got.Postings
-		alone := d.alone()
-		for _, b := range got.Breaks {
-			if text := b.String(); !strings.Contains(text, "staff took it out") || !alone.MatchString(text) {
-				d.rep.Breaks = append(d.rep.Breaks, "txns: "+text)
+	if result != nil {
+		d.report.Postings = result.Postings
+		unsure := d.unsureLives()
+		for _, b := range result.Breaks {
+			if text := b.String(); !strings.Contains(text, "staff took it out") || !unsure.MatchString(text) {
+				d.report.Breaks = append(d.report.Breaks, "txns: "+text)
 			}
 		}
 	}
-	return &d.rep, nil
+	return &d.report, nil
 }
 
-// addresses gives every process its place, and every link its relay.
-func (d *day) addresses() error {
+// assignAddresses gives every agent its address, configuration and data folder, and a relay to each agent that it calls.
+func (d *day) assignAddresses() error {
 	var voters []agent.Voter
 	for i := range d.opt.Agents {
 		addr, err := live.FreeAddr()
 		if err != nil {
 			return err
 		}
-		p := &proc{d: d, no: i, file: agent.File{Name: fmt.Sprint("a", i), Zone: []string{"a", "b"}[i%2], Listen: addr,
-			Term: agent.Span(d.term()), Via: map[string]string{}}}
+		p := &agentProcess{d: d, index: i, file: agent.File{Name: fmt.Sprint("a", i), Zone: []string{"a", "b"}[i%2], Listen: addr,
+			Term: agent.Span(d.leaseTerm()), Via: map[string]string{}}}
 		p.file.Data = filepath.Join(d.dir, p.file.Name)
 		d.agents = append(d.agents, p)
 		if i < d.opt.Voters {
@@ -264,11 +275,11 @@
 	for _, p := range d.agents {
 		p.file.Voter = slices.Clone(voters)
 		for _, o := range d.agents {
-			// Of hundreds, each has a relay to the voters alone: that is where they ask.
-			if o == p || d.opt.Agents > 30 && o.no >= d.opt.Voters {
+			// With more than 30 agents, each has relays to the voters alone, as agents ask only those for the record.
+			if o == p || d.opt.Agents > 30 && o.index >= d.opt.Voters {
 				continue
 			}
-			if err := d.link(p, o.file.Name, o.file.Listen); err != nil {
+			if err := d.addRelay(p, o.file.Name, o.file.Listen); err != nil {
 				return err
 			}
 		}
@@ -276,7 +287,8 @@
 	return nil
 }
 
-func (d *day) link(p *proc, name, addr string) error {
+// addRelay has calls of an agent to a process at addr go through a new relay, which d.links lists as "agent>name".
+func (d *day) addRelay(p *agentProcess, name, addr string) error {
 	r, err := newRelay(addr)
 	if err != nil {
 		return err
@@ -286,6 +298,7 @@
 	return nil
 }
 
+// close kills all agents and closes all relays.
 func (d *day) close() {
 	for _, p := range d.agents {
 		p.kill()
@@ -295,33 +308,36 @@
 	}
 }
 
-func (d *day) say(format string, args ...any) {
-	text := fmt.Sprintf("%6.2f ", time.Since(d.begun).Seconds()) + fmt.Sprintf(format, args...)
+// logEvent adds a line to the event log, with the seconds since the day's start.
+func (d *day) logEvent(format string, args ...any) {
+	text := fmt.Sprintf("%6.2f ", time.Since(d.startedAt).Seconds()) + fmt.Sprintf(format, args...)
 	d.mu.Lock()
-	d.rep.Faults = append(d.rep.Faults, text)
+	d.report.Faults = append(d.report.Faults, text)
 	d.mu.Unlock()
 	if d.opt.Tell != nil {
 		d.opt.Tell(text)
 	}
 }
 
-func (d *day) broke(format string, args ...any) {
+// reportBreak records a violation of what a day checks; beyond 50 they are dropped.
+func (d *day) reportBreak(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.rep.Breaks) < 50 {
-		d.rep.Breaks = append(d.rep.Breaks, fmt.Sprintf(format, args...))
+	if len(d.report.Breaks) < 50 {
+		d.report.Breaks = append(d.report.Breaks, fmt.Sprintf(format, args...))
 	}
 }
 
-// play is the day, once all schedulers serve: agents learn of the schedulers, then callers and faults, then the end.
-func (d *day) play() error {
-	d.begun = time.Now()
+// run goes through the phases of a day once all schedulers serve: it adds the schedulers to the agents' configurations, runs
+// callers and faults, ends the faults, waits for recovery and runs the checks.
+func (d *day) run() error {
+	d.startedAt = time.Now()
 	for i, m := range d.live.Schedulers() {
 		if d.opt.Runs {
 			break
 		}
 		for _, p := range d.agents {
-			if err := d.link(p, m.ID, m.Mgmt); err != nil {
+			if err := d.addRelay(p, m.ID, m.Mgmt); err != nil {
 				return err
 			}
 		}
@@ -332,13 +348,13 @@
 		if d.opt.Runs {
 			break
 		}
-		p.kill() // and started again with what it has to know
+		p.kill() // restarted with the schedulers in its configuration
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	if err := d.await(20*time.Second+time.Duration(d.opt.Agents)*300*time.Millisecond, "every scheduler on record, every zone owned", func() error {
-		r, err := d.read(d.ctx)
+	if err := d.waitFor(20*time.Second+time.Duration(d.opt.Agents)*300*time.Millisecond, "every scheduler on record, every zone owned", func() error {
+		r, err := d.readRecord(d.ctx)
 		if err != nil {
 			return err
 		}
@@ -355,10 +371,10 @@
 		return err
 	}
 	ctx, stop := context.WithCancel(d.ctx)
-	go d.watch()
+	go d.replaceFailedVoters()
 	if d.opt.Runs {
-		go d.sample()
-		go d.renewals()
+		go d.checkLimitsContinuously()
+		go d.runWorkerRenewals()
 	}
 	var callers sync.WaitGroup
 	if d.opt.Hold {
@@ -373,49 +389,50 @@
 		d.opt.Act(&Day{d})
 	} else {
 		for i := range 5 {
-			callers.Go(func() { d.caller(ctx, i) })
+			callers.Go(func() { d.runCaller(ctx, i) })
 		}
 		if d.opt.Runs {
-			callers.Go(func() { d.operators(ctx) })
+			callers.Go(func() { d.runOperators(ctx) })
 		}
-		d.faults()
+		d.injectFaults()
 	}
 	stop()
-	d.heal()
+	d.endFaults()
 	callers.Wait()
 	healed := time.Now()
-	err := d.await(healMost, "the record in reach", func() error {
-		_, err := d.read(d.ctx)
+	err := d.waitFor(recoveryTimeout, "the record in reach", func() error {
+		_, err := d.readRecord(d.ctx)
 		return err
 	})
 	if err != nil {
-		d.broke("%v", err)
+		d.reportBreak("%v", err)
 		return nil
 	}
 	if d.opt.Runs && d.opt.Act == nil {
-		d.settle()
+		d.restoreService()
 	}
-	// Owners may have to wait for a term, and a new leader for another; then all know within ten seconds.
-	if err := d.await(3*d.term()+10*time.Second, "every scheduler knows who is out", d.allKnow); err != nil {
-		d.broke("%v", err)
+	// A new leader waits for one lease term and a new owner for another; schedulers then agree within ten seconds.
+	if err := d.waitFor(3*d.leaseTerm()+10*time.Second, "every scheduler knows who is out", d.schedulersMatchRecord); err != nil {
+		d.reportBreak("%v", err)
 	}
-	d.rep.Healed = time.Since(healed).Seconds()
-	d.judge()
+	d.report.Healed = time.Since(healed).Seconds()
+	d.checkDay()
 	return nil
 }
 
-func (d *day) await(most time.Duration, what string, ok func() error) error {
+// waitFor calls condition every 50 ms until it returns nil, or returns its last error, with what was waited for, after timeout.
+func (d *day) waitFor(timeout time.Duration, what string, condition func() error) error {
 	var err error
-	for end := time.Now().Add(most); time.Now().Before(end) && d.ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		if err = ok(); err == nil {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && d.ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
+		if err = condition(); err == nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("not in %v: %s: %w", most, what, err)
+	return fmt.Errorf("not in %v: %s: %w", timeout, what, err)
 }
 
-// addrs lists where agents are asked, in an order of the caller's own.
-func (d *day) addrs(r *rand.Rand) (all []string) {
+// agentAddrs lists the addresses of all agents, shuffled by r unless that is nil.
+func (d *day) agentAddrs(r *rand.Rand) (all []string) {
 	for _, p := range d.agents {
 		all = append(all, p.file.Listen)
 	}
@@ -425,25 +442,26 @@
 	return all
 }
 
-func (d *day) read(ctx context.Context) (*fleet.Record, error) {
+// readRecord reads the record from the first agent that answers; the read is linearizable.
+func (d *day) readRecord(ctx context.Context) (*fleet.Record, error) {
 	var raw json.RawMessage
-	if err := (&agent.Caller{HTTP: d.http, Addrs: d.addrs(nil)}).Get(ctx, "/v1/read", &raw); err != nil {
+	if err := (&agent.Caller{HTTP: d.http, Addrs: d.agentAddrs(nil)}).Get(ctx, "/v1/read", &raw); err != nil {
 		return nil, err
 	}
 	r := fleet.NewRecord()
 	return r, r.Restore(raw)
 }
 
-// allKnow tells whether every scheduler has out just what the record has.
-func (d *day) allKnow() error {
-	r, err := d.read(d.ctx)
+// schedulersMatchRecord checks that every scheduler has exactly those workers out that the record has out.
+func (d *day) schedulersMatchRecord() error {
+	r, err := d.readRecord(d.ctx)
 	if err != nil {
 		return err
 	}
 	want := r.OutIn("")
 	for i, m := range d.live.Schedulers() {
-		k, err := d.knownBy(i)
-		if got := slices.Sorted(maps.Keys(k.Out)); err != nil || !slices.Equal(got, want) {
+		state, err := d.schedulerState(i)
+		if got := slices.Sorted(maps.Keys(state.Out)); err != nil || !slices.Equal(got, want) {
 			return fmt.Errorf("%s has out %v, the record %v", m.ID, got, want)
 		}
 	}
@@ -452,56 +470,59 @@
 
 // ---- callers ----
 
-// lock has a worker changed by one caller at a time: else nobody could say from when on nothing may reach it.
-func (d *day) lock(worker string) *sync.Mutex {
+// workerLock returns the mutex under which one caller at a time changes a worker. With two at once it would be unknown from
+// when on no new posting may reach the worker.
+func (d *day) workerLock(worker string) *sync.Mutex {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.locks[worker] == nil {
-		d.locks[worker] = &sync.Mutex{}
+	if d.workerLocks[worker] == nil {
+		d.workerLocks[worker] = &sync.Mutex{}
 	}
-	return d.locks[worker]
+	return d.workerLocks[worker]
 }
 
-// caller changes and reads, as long as the day goes.
-func (d *day) caller(ctx context.Context, no int) {
-	r := rand.New(rand.NewPCG(d.opt.Seed, uint64(100+no)))
+// runCaller sends random changes and reads until ctx is done.
+func (d *day) runCaller(ctx context.Context, caller int) {
+	r := rand.New(rand.NewPCG(d.opt.Seed, uint64(100+caller)))
 	var workers []string
 	for id := range d.live.Workers() {
 		workers = append(workers, id)
 	}
 	slices.Sort(workers)
-	workers = workers[min(2, len(workers)-1):] // the first of each zone are those of held
+	workers = workers[min(2, len(workers)-1):] // delayCallPastNewer changes the first worker of each of the two zones
 	workers = workers[:max(len(workers)/3, 1)]
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(20+r.IntN(150)) * time.Millisecond)
-		if d.calm.Load() {
+		if d.callersPaused.Load() {
 			continue
 		}
 		switch r.IntN(5) {
-		case 0, 1: // on record alone: several callers at one worker
+		case 0, 1: // a worker that exists in the record alone, which several callers may change at once
 			worker := fmt.Sprint("x", r.IntN(2))
-			d.Change(no, worker, "a", []string{"out", "in"}[r.IntN(2)], d.addrs(r))
+			d.ChangeIntent(caller, worker, "a", []string{"out", "in"}[r.IntN(2)], d.agentAddrs(r))
 		case 2, 3:
 			worker := workers[r.IntN(len(workers))]
-			d.Worker(no, worker, r.IntN(5) < 3, d.addrs(r), 2*time.Second)
+			d.SetWorkerOut(caller, worker, r.IntN(5) < 3, d.agentAddrs(r), 2*time.Second)
 		case 4:
-			d.Read(no, fmt.Sprint("x", r.IntN(2)), d.addrs(r))
+			d.ReadIntent(caller, fmt.Sprint("x", r.IntN(2)), d.agentAddrs(r))
 		}
 	}
 }
 
-// Change puts an intent on record: the same command again, at other agents, until somebody says what came of it.
-func (d *day) Change(no int, worker, zone, do string, addrs []string) (fleet.Answer, bool) {
+// ChangeIntent writes the intent "out" or "in" for a worker to the record. It retries the same command (the same caller and
+// number, so it is applied once) at the agents of addrs in turn for up to recoveryTimeout, and returns false if it was never
+// answered.
+func (d *day) ChangeIntent(caller int, worker, zone, do string, addrs []string) (fleet.Answer, bool) {
 	d.mu.Lock()
-	who := fmt.Sprint("caller", no)
-	d.number[who]++
-	c := fleet.Command{V: 1, Caller: who, Number: d.number[who], Do: do, ID: worker, Zone: zone, By: who,
-		Why: fmt.Sprint(who, " ", d.number[who]), Force: true}
+	name := fmt.Sprint("caller", caller)
+	d.commandNumbers[name]++
+	c := fleet.Command{V: 1, Caller: name, Number: d.commandNumbers[name], Do: do, ID: worker, Zone: zone, By: name,
+		Why: fmt.Sprint(name, " ", d.commandNumbers[name]), Force: true}
 	d.mu.Unlock()
-	op := d.hist.begin(no, worker, do)
+	call := d.history.startCall(caller, worker, do)
 	var a fleet.Answer
 	err := errors.New("not asked")
-	for end := time.Now().Add(healMost); err != nil && time.Now().Before(end) && d.ctx.Err() == nil; {
+	for end := time.Now().Add(recoveryTimeout); err != nil && time.Now().Before(end) && d.ctx.Err() == nil; {
 		ctx, stop := context.WithTimeout(d.ctx, 2*time.Second)
 		a, err = (&agent.Caller{HTTP: d.http, Addrs: addrs}).Do(ctx, c)
 		stop()
@@ -512,34 +533,35 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		d.rep.Open++
-		op.open()
+		d.report.Open++
+		call.leaveOpen()
 		return a, false
 	}
-	d.rep.Ops++
-	op.end(a.Done, false)
+	d.report.Ops++
+	call.finish(a.Done, false)
 	return a, true
 }
 
-// Worker takes a worker out or back, and waits until every scheduler has said yes: from then on nothing new may reach it.
-func (d *day) Worker(no int, worker string, out bool, addrs []string, most time.Duration) bool {
-	l := d.lock(worker)
-	l.Lock()
-	defer l.Unlock()
+// SetWorkerOut takes a worker out of use or back into it. After taking it out it waits, up to timeout, until every scheduler
+// has acknowledged that; from then on no new posting may reach the worker, and it returns true.
+func (d *day) SetWorkerOut(caller int, worker string, out bool, addrs []string, timeout time.Duration) bool {
+	lock := d.workerLock(worker)
+	lock.Lock()
+	defer lock.Unlock()
 	if !out {
-		d.live.Out(worker, false) // from the asking on it may be in use again
-		_, ok := d.Change(no, worker, d.live.Workers()[worker], "in", addrs)
+		d.live.Out(worker, false) // schedulers may use it again as soon as the command is sent
+		_, ok := d.ChangeIntent(caller, worker, d.live.Workers()[worker], "in", addrs)
 		return ok
 	}
-	a, ok := d.Change(no, worker, d.live.Workers()[worker], "out", addrs)
+	a, ok := d.ChangeIntent(caller, worker, d.live.Workers()[worker], "out", addrs)
 	if !ok || !a.Done {
 		return false
 	}
-	for end := time.Now().Add(most); time.Now().Before(end) && d.ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		if d.Obeyed(worker, addrs) {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && d.ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
+		if d.AllAcknowledged(worker, addrs) {
 			d.live.Out(worker, true)
 			d.mu.Lock()
-			d.rep.Yes++
+			d.report.Yes++
 			d.mu.Unlock()
 			return true
 		}
@@ -547,206 +569,213 @@
 	return false
 }
 
-// Obeyed asks who has said yes to a worker being out.
-func (d *day) Obeyed(worker string, addrs []string) bool {
+// AllAcknowledged asks an agent whether every scheduler has acknowledged that a worker is out.
+func (d *day) AllAcknowledged(worker string, addrs []string) bool {
 	ctx, stop := context.WithTimeout(d.ctx, time.Second)
 	defer stop()
-	var t agent.Told
-	if err := (&agent.Caller{HTTP: d.http, Addrs: addrs}).Get(ctx, "/v1/told?worker="+worker, &t); err != nil || !t.Intent.Out ||
-		len(t.Rows) < d.opt.Schedulers {
+	var told agent.Told
+	if err := (&agent.Caller{HTTP: d.http, Addrs: addrs}).Get(ctx, "/v1/told?worker="+worker, &told); err != nil || !told.Intent.Out ||
+		len(told.Rows) < d.opt.Schedulers {
 		return false
 	}
-	for _, r := range t.Rows {
-		if r.State != fleet.Obeyed {
+	for _, row := range told.Rows {
+		if row.State != fleet.Obeyed {
 			return false
 		}
 	}
 	return true
 }
 
-// Read reads one worker's intent, as new as any answer before.
-func (d *day) Read(no int, worker string, addrs []string) {
-	op := d.hist.begin(no, worker, "read")
+// ReadIntent reads a worker's intent from the record and adds the read to the history. A read must see every change that was
+// answered before it began.
+func (d *day) ReadIntent(caller int, worker string, addrs []string) {
+	call := d.history.startCall(caller, worker, "read")
 	ctx, stop := context.WithTimeout(d.ctx, 2*time.Second)
 	defer stop()
 	var raw json.RawMessage
 	r := fleet.NewRecord()
 	if err := (&agent.Caller{HTTP: d.http, Addrs: addrs}).Get(ctx, "/v1/read", &raw); err != nil || r.Restore(raw) != nil {
-		op.drop()
+		call.discard()
 		return
 	}
 	d.mu.Lock()
-	d.rep.Ops++
+	d.report.Ops++
 	d.mu.Unlock()
-	op.end(true, r.Workers[worker].Out)
+	call.finish(true, r.Workers[worker].Out)
 }
 
 // ---- faults ----
 
-func (d *day) links1(r *rand.Rand) []*relay {
+// randomLinks picks an agent at random and returns one, half or all of its outgoing links, mixed with some incoming ones.
+func (d *day) randomLinks(r *rand.Rand) []*relay {
 	var names []string
-	one := fmt.Sprint("a", r.IntN(len(d.agents)))
+	agentName := fmt.Sprint("a", r.IntN(len(d.agents)))
 	for name := range d.links {
-		if strings.HasPrefix(name, one+">") || strings.HasSuffix(name, ">"+one) && r.IntN(2) == 0 {
+		if strings.HasPrefix(name, agentName+">") || strings.HasSuffix(name, ">"+agentName) && r.IntN(2) == 0 {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	var all []*relay
-	part := r.IntN(3) // one link, half of them, all of them
+	var picked []*relay
+	part := r.IntN(3) // 0: one link, 1: half of them, 2: all of them
 	for i, name := range names {
 		if part == 2 || part == 1 && i%2 == 0 || part == 0 && i == 0 {
-			all = append(all, d.links[name])
+			picked = append(picked, d.links[name])
 		}
 	}
-	d.say("links of %s: %d", one, len(all))
-	return all
+	d.logEvent("%d links of %s fail", len(picked), agentName)
+	return picked
 }
 
-// faults are the day's, by its seed. One voter's disk may lie in a day: of two at once nothing can be promised.
-func (d *day) faults() {
-	end := d.begun.Add(d.opt.For)
-	if d.opt.Calm {
+// injectFaults starts the seed's faults at random times, so that they overlap, and waits until the last one is over. The disk
+// of one voter alone may fail in a day: if two disks lose what they acknowledged, commits may be lost and no guarantee holds.
+func (d *day) injectFaults() {
+	end := d.startedAt.Add(d.opt.For)
+	if d.opt.NoFaults {
 		time.Sleep(time.Until(end))
 		return
 	}
-	var under sync.WaitGroup
-	victim := d.r.IntN(d.opt.Voters)
-	disk := false
+	var running sync.WaitGroup
+	victim := d.random.IntN(d.opt.Voters)
+	diskFailed := false
 	for time.Now().Before(end) && d.ctx.Err() == nil {
-		time.Sleep(time.Duration(100+d.r.IntN(700)) * time.Millisecond)
+		time.Sleep(time.Duration(100+d.random.IntN(700)) * time.Millisecond)
 		left := time.Until(end)
 		if left < 500*time.Millisecond {
 			break
 		}
-		span := min(time.Duration(200+d.r.IntN(3000))*time.Millisecond, left)
-		p := d.agents[d.r.IntN(len(d.agents))]
-		r := rand.New(rand.NewPCG(d.r.Uint64(), 3))
+		duration := min(time.Duration(200+d.random.IntN(3000))*time.Millisecond, left)
+		p := d.agents[d.random.IntN(len(d.agents))]
+		r := rand.New(rand.NewPCG(d.random.Uint64(), 3))
 		kinds := 15
 		if d.opt.Runs {
 			kinds = 18
 		}
-		what := d.r.IntN(kinds)
-		if d.opt.Bug != "" && d.r.IntN(4) > 0 {
-			what = d.aimed()
+		kind := d.random.IntN(kinds)
+		if d.opt.Bug != "" && d.random.IntN(4) > 0 {
+			kind = d.faultForBug()
 		}
-		under.Go(func() {
-			switch what {
+		running.Go(func() {
+			switch kind {
 			case 0, 1, 2:
-				mode := []Mode{Stalled, Gone, Slow}[what]
+				mode := []LinkMode{LinkStalled, LinkReset, LinkSlow}[kind]
 				there, back := mode, mode
 				switch r.IntN(3) {
 				case 0:
-					back = Whole
+					back = LinkUp
 				case 1:
-					there = Whole
+					there = LinkUp
 				}
-				d.say("mode %d/%d for %v", there, back, span)
-				links := d.links1(r)
+				d.logEvent("link mode %d there, %d back for %v", there, back, duration)
+				links := d.randomLinks(r)
 				for _, l := range links {
-					l.set(there, back)
+					l.setMode(there, back)
 				}
-				d.rest(span)
+				d.sleep(duration)
 				for _, l := range links {
-					l.set(Whole, Whole)
+					l.setMode(LinkUp, LinkUp)
 				}
 			case 3:
-				d.say("%s is killed for %v", p.file.Name, span/2)
+				d.logEvent("%s is killed for %v", p.file.Name, duration/2)
 				p.kill()
-				d.rest(span / 2)
+				d.sleep(duration / 2)
 				_ = p.start()
 			case 4, 5:
-				still := min(span, 3*d.term())
-				d.say("%s stands still for %v", p.file.Name, still)
-				p.still(still)
-				d.rest(still)
+				pause := min(duration, 3*d.leaseTerm())
+				d.logEvent("%s is paused for %v", p.file.Name, pause)
+				p.pause(pause)
+				d.sleep(pause)
 			case 6:
 				n := r.IntN(d.opt.Schedulers)
-				d.say("scheduler s%d is killed", n)
-				d.live.Kill(n, min(span, time.Second))
-				d.rest(time.Second)
+				d.logEvent("scheduler s%d is killed", n)
+				d.live.Kill(n, min(duration, time.Second))
+				d.sleep(time.Second)
 			case 7:
 				n := r.IntN(d.opt.Schedulers)
-				d.say("scheduler s%d stands still", n)
-				d.live.Stop(n, min(span, time.Second))
-				d.rest(time.Second)
+				d.logEvent("scheduler s%d is paused", n)
+				d.live.Stop(n, min(duration, time.Second))
+				d.sleep(time.Second)
 			case 8:
 				rate := []float64{0.9, 1.1}[r.IntN(2)]
-				d.say("the clock of %s runs at %g, its wall clock jumps", p.file.Name, rate)
-				p.faults(map[string]any{"Rate": rate, "Jump": float64(r.IntN(120000) - 60000)})
-				d.rest(span)
-				p.faults(map[string]any{"Rate": rate})
+				d.logEvent("the clock of %s runs at %g times its rate and its wall clock jumps", p.file.Name, rate)
+				p.setFaults(map[string]any{"Rate": rate, "Jump": float64(r.IntN(120000) - 60000)})
+				d.sleep(duration)
+				p.setFaults(map[string]any{"Rate": rate})
 			case 9:
-				d.say("many are killed at once")
+				d.logEvent("several agents are killed at once")
 				for _, o := range d.agents {
 					if r.IntN(3) > 0 {
 						o.kill()
 					}
 				}
-				d.rest(span / 3)
+				d.sleep(duration / 3)
 				for _, o := range d.agents {
 					_ = o.start()
 				}
 			case 11:
-				d.late([]string{"a", "b"}[r.IntN(2)], max(span, 2*d.term()))
+				d.delayOwnerCalls([]string{"a", "b"}[r.IntN(2)], max(duration, 2*d.leaseTerm()))
 			case 12, 13:
-				d.held(r, what == 13)
+				d.delayCallPastNewer(r, kind == 13)
 			case 14:
-				d.hurried(span)
+				d.killLeaderAfterRenewal(duration)
 			case 15:
-				d.zoneLost([]string{"a", "b"}[r.IntN(2)], span/2)
+				d.failZone([]string{"a", "b"}[r.IntN(2)], duration/2)
 			case 16:
-				d.fullAtOwner(span)
+				d.fillOwnerDisk(duration)
 			case 17:
-				d.say("discovery tells of workers by 2 s later for %v", span)
-				d.live.Late(2000, span)
-				d.rest(span)
+				d.logEvent("discovery reports changes of workers 2 s later for %v", duration)
+				d.live.Late(2000, duration)
+				d.sleep(duration)
 			case 10:
 				d.mu.Lock()
-				mine := !disk
-				disk = true
+				first := !diskFailed
+				diskFailed = true
 				d.mu.Unlock()
-				if mine {
-					d.disk(d.agents[victim], r, span)
+				if first {
+					d.injectDiskFault(d.agents[victim], r, duration)
 				}
 			}
 		})
 	}
-	under.Wait()
+	running.Wait()
 }
 
-// late has an owner's calls lie in stalled links until another owns the zone, and then arrive.
-func (d *day) late(zone string, span time.Duration) {
-	no, _ := d.Owner(zone)
-	if no < 0 {
+// delayOwnerCalls holds back the calls of a zone's owner to schedulers, then cuts the owner off from the other agents for
+// duration, which is at least two lease terms, so that another agent takes over the zone. The delayed calls arrive after that
+// with an outdated fencing token.
+func (d *day) delayOwnerCalls(zone string, duration time.Duration) {
+	owner, _ := d.Owner(zone)
+	if owner < 0 {
 		return
 	}
-	d.say("calls of a%d to schedulers lie in their links, then it is cut off for %v", no, span)
-	name := fmt.Sprint("a", no)
+	d.logEvent("calls of a%d to schedulers are delayed, then it is cut off from the agents for %v", owner, duration)
+	name := fmt.Sprint("a", owner)
 	for link, l := range d.links {
 		if strings.HasPrefix(link, name+">s") {
-			l.set(Stalled, Stalled)
+			l.setMode(LinkStalled, LinkStalled)
 		}
 	}
-	d.rest(500 * time.Millisecond)
+	d.sleep(500 * time.Millisecond)
 	for link, l := range d.links {
 		if strings.HasPrefix(link, name+">a") {
-			l.set(Gone, Gone)
+			l.setMode(LinkReset, LinkReset)
 		}
 	}
-	d.rest(span)
-	(&Day{d}).Links(no, Whole, Whole)
+	d.sleep(duration)
+	(&Day{d}).SetLinks(owner, LinkUp, LinkUp)
 }
 
-// held has an older call of an owner's lie in one connection while its newer ones pass. It arrives when all has been told
-// otherwise, or, with again, at the scheduler's next life, before its owner has seen that.
-func (d *day) held(r *rand.Rand, again bool) {
-	if !d.holding.CompareAndSwap(false, true) {
+// delayCallPastNewer holds a zone owner's call to one scheduler ("worker in") in its connection while newer calls of that owner
+// ("worker out") pass on other connections. The old call arrives after every scheduler has acknowledged the newer change or,
+// with restart, right after the scheduler was restarted and before the owner has noticed that. The scheduler must ignore it.
+func (d *day) delayCallPastNewer(r *rand.Rand, restart bool) {
+	if !d.exclusiveFault.CompareAndSwap(false, true) {
 		return
 	}
-	defer d.holding.Store(false)
-	zone, me := []string{"a", "b"}[r.IntN(2)], 1000+r.IntN(1e6) // a caller of its own: two at once would be one's commands out of order
-	no, _ := d.Owner(zone)
+	defer d.exclusiveFault.Store(false)
+	// A caller number that no other call uses: two at once under one number would send its commands out of order.
+	zone, caller := []string{"a", "b"}[r.IntN(2)], 1000+r.IntN(1e6)
+	owner, _ := d.Owner(zone)
 	var workers []string
 	for id, z := range d.live.Workers() {
 		if z == zone {
@@ -754,97 +783,99 @@
 		}
 	}
 	slices.Sort(workers)
-	// Its first worker: an owner tells of workers in their order, and this call is to be the one that lies there.
-	worker, s, addrs := workers[0], r.IntN(d.opt.Schedulers), d.addrs(r)
-	if no < 0 || !d.Worker(me, worker, true, addrs, 5*time.Second) {
+	// The zone's first worker: an owner sends workers in the order of their ids, and the delayed call must be about this one.
+	worker, s, addrs := workers[0], r.IntN(d.opt.Schedulers), d.agentAddrs(r)
+	if owner < 0 || !d.SetWorkerOut(caller, worker, true, addrs, 5*time.Second) {
 		return
 	}
-	d.say("a call of a%d to s%d on %s lies in its connection, later ones pass (s%d is started again: %t)", no, s, worker, s, again)
-	l := d.links[fmt.Sprintf("a%d>s%d", no, s)]
-	d.calm.Store(true) // an owner has one call at a time at a scheduler: this one, and nobody else's
-	defer d.calm.Store(false)
-	d.rest(500 * time.Millisecond)
-	l.set(Stalled, Stalled)
-	d.Worker(me, worker, false, addrs, 0)
-	d.rest(300 * time.Millisecond)
-	d.calm.Store(false)
-	d.rest(1200 * time.Millisecond)
-	l.hold()
-	obeyed := d.Worker(me, worker, true, addrs, 6*time.Second)
-	if obeyed && again {
+	d.logEvent("a call of a%d to s%d about %s is delayed in its connection and newer ones pass (s%d is restarted: %t)", owner, s, worker, s, restart)
+	l := d.links[fmt.Sprintf("a%d>s%d", owner, s)]
+	d.callersPaused.Store(true) // an owner has one call at a time in flight to a scheduler: it must be the one about this worker
+	defer d.callersPaused.Store(false)
+	d.sleep(500 * time.Millisecond)
+	l.setMode(LinkStalled, LinkStalled)
+	d.SetWorkerOut(caller, worker, false, addrs, 0)
+	d.sleep(300 * time.Millisecond)
+	d.callersPaused.Store(false)
+	d.sleep(1200 * time.Millisecond)
+	l.holdOpenConns()
+	acknowledged := d.SetWorkerOut(caller, worker, true, addrs, 6*time.Second)
+	if acknowledged && restart {
 		d.live.Kill(s, 50*time.Millisecond)
-		d.rest(60 * time.Millisecond)
-		obeyed = d.await(2*time.Second, "", func() error { return d.serves(s) }) == nil
+		d.sleep(60 * time.Millisecond)
+		acknowledged = d.waitFor(2*time.Second, "", func() error { return d.checkReady(s) }) == nil
 	}
-	l.release()
+	l.releaseConns()
 	for range 40 {
-		d.rest(50 * time.Millisecond)
-		if k, err := d.knownBy(s); obeyed && err == nil && k.Out[worker] == "" && !strings.Contains(d.alone().String(), fmt.Sprintf(`s%d\.`, s)) {
-			d.broke("s%d has %s in use, though all said yes to its being out", s, worker)
+		d.sleep(50 * time.Millisecond)
+		if state, err := d.schedulerState(s); acknowledged && err == nil && state.Out[worker] == "" && !strings.Contains(d.unsureLives().String(), fmt.Sprintf(`s%d\.`, s)) {
+			d.reportBreak("s%d has %s in use, though all said yes to its being out", s, worker)
 			break
 		}
 	}
-	d.Worker(me, worker, false, addrs, 0)
+	d.SetWorkerOut(caller, worker, false, addrs, 0)
 }
 
-type knownBy struct {
-	Fences map[string]uint64
-	Out    map[string]string
+// schedulerState is what a scheduler answers to GET /ops/fence.
+type schedulerState struct {
+	Fences map[string]uint64 // by matter: the highest fencing token that it has seen
+	Out    map[string]string // by worker, for those that it has out
 }
 
-// knownBy is what a scheduler says itself of who is out there, and of the numbers in force.
-func (d *day) knownBy(s int) (k knownBy, err error) {
-	addrs := []string{d.Member(s).Mgmt}
-	if d.opt.Runs { // the one that its present process has
+// schedulerState asks a scheduler which workers it has out and which fencing tokens are in force there.
+func (d *day) schedulerState(s int) (state schedulerState, err error) {
+	addrs := []string{d.Scheduler(s).Mgmt}
+	if d.opt.Runs { // during and after an upgrade its process may listen at the second address
 		addrs = append(addrs, d.live.Minders()[s].Beside)
 	}
-	return k, (&agent.Caller{HTTP: d.http, Addrs: addrs}).Get(d.ctx, "/ops/fence", &k)
+	return state, (&agent.Caller{HTTP: d.http, Addrs: addrs}).Get(d.ctx, "/ops/fence", &state)
 }
 
-func (d *day) serves(s int) error {
-	p, err := d.http.Get("http://" + d.Member(s).Mgmt + "/ops/readiness")
+// checkReady returns an error unless a scheduler's readiness endpoint answers 200.
+func (d *day) checkReady(s int) error {
+	response, err := d.http.Get("http://" + d.Scheduler(s).Mgmt + "/ops/readiness")
 	if err == nil {
-		if p.Body.Close(); p.StatusCode != 200 {
-			err = errors.New("not ready")
+		if response.Body.Close(); response.StatusCode != 200 {
+			err = fmt.Errorf("readiness of s%d: got status %d, expected 200", s, response.StatusCode)
 		}
 	}
 	return err
 }
 
-// hurried kills the voter that leads while an owner that just renewed is cut off from all agents: its term goes on, and
-// whoever leads next can't know that.
-func (d *day) hurried(span time.Duration) {
-	last, lead := len(d.agents)-1, d.leads()
-	if last < d.opt.Voters || lead < 0 || !d.holding.CompareAndSwap(false, true) {
+// killLeaderAfterRenewal kills the leader while an owner that has just renewed its lease is cut off from all agents. The lease
+// is still valid and the next leader can't know when it was renewed, so it must wait for a whole term before a new claim.
+func (d *day) killLeaderAfterRenewal(duration time.Duration) {
+	last, leader := len(d.agents)-1, d.leader()
+	if last < d.opt.Voters || leader < 0 || !d.exclusiveFault.CompareAndSwap(false, true) {
 		return
 	}
-	defer d.holding.Store(false)
+	defer d.exclusiveFault.Store(false)
 	zone := d.agents[last].file.Zone
-	_, _ = d.Ask(lead, fleet.Command{Caller: fmt.Sprint("lab", time.Now().UnixNano()), Number: 1, Do: "want", Matter: fleet.MatterOf(zone),
+	_, _ = d.SendCommand(leader, fleet.Command{Caller: fmt.Sprint("lab", time.Now().UnixNano()), Number: 1, Do: "want", Matter: fleet.MatterOf(zone),
 		Owner: d.agents[last].file.Name, By: "lab"})
-	if d.await(2*d.term(), "", func() error {
-		if no, _ := d.Owner(zone); no != last {
+	if d.waitFor(2*d.leaseTerm(), "", func() error {
+		if owner, _ := d.Owner(zone); owner != last {
 			return errors.New("not yet")
 		}
 		return nil
 	}) != nil {
 		return
 	}
-	d.say("a%d leads and is killed, a%d owns zone %s and is cut off from agents", lead, last, zone)
-	me := d.agents[last].file.Name
+	d.logEvent("a%d, the leader, is killed; a%d, the owner of zone %s, is cut off from the agents", leader, last, zone)
+	owner := d.agents[last].file.Name
 	for link, l := range d.links {
-		if from, to, _ := strings.Cut(link, ">"); from == me && to[0] == 'a' || to == me {
-			l.set(Gone, Gone)
+		if from, to, _ := strings.Cut(link, ">"); from == owner && to[0] == 'a' || to == owner {
+			l.setMode(LinkReset, LinkReset)
 		}
 	}
-	d.agents[lead].kill()
-	d.rest(max(span, 2*d.term()))
-	(&Day{d}).Links(last, Whole, Whole)
-	_ = d.agents[lead].start()
+	d.agents[leader].kill()
+	d.sleep(max(duration, 2*d.leaseTerm()))
+	(&Day{d}).SetLinks(last, LinkUp, LinkUp)
+	_ = d.agents[leader].start()
 }
 
-// leads is the number of the agent that leads, -1 for none.
-func (d *day) leads() int {
+// leader returns the index of the agent that says it is the leader, -1 if none does.
+func (d *day) leader() int {
 	for i, p := range d.agents {
 		var s agent.Status
 		if (&agent.Caller{HTTP: d.http, Addrs: []string{p.file.Listen}}).Get(d.ctx, "/v1/status", &s) == nil && s.Leads {
@@ -854,8 +885,8 @@
 	return -1
 }
 
-// aimed is a kind of fault that the planted bug shows under.
-func (d *day) aimed() int {
+// faultForBug returns the kind of fault, as numbered in injectFaults, that makes the planted bug show.
+func (d *day) faultForBug() int {
 	switch d.opt.Bug {
 	case "no-fence", "not-closed":
 		return 11
@@ -868,7 +899,7 @@
 	case "old-disk-votes", "torn-whole":
 		return 10
 	case "stale-read":
-		return []int{1, 4}[d.r.IntN(2)]
+		return []int{1, 4}[d.random.IntN(2)]
 	case "retry-twice":
 		return 0
 	case "restart-untold":
@@ -881,32 +912,33 @@
 	return 0
 }
 
-func (d *day) rest(f time.Duration) {
+// sleep waits for a time, or until the day is cancelled.
+func (d *day) sleep(duration time.Duration) {
 	select {
-	case <-time.After(f):
+	case <-time.After(duration):
 	case <-d.ctx.Done():
 	}
 }
 
-// disk is one fault of a voter's disk.
-func (d *day) disk(p *proc, r *rand.Rand, span time.Duration) {
+// injectDiskFault injects a random fault into a voter's disk, then starts the voter again if the fault has ended it.
+func (d *day) injectDiskFault(p *agentProcess, r *rand.Rand, duration time.Duration) {
 	kind := r.IntN(6)
-	d.say("the disk of %s: %s", p.file.Name, []string{"syncs lie, then it is killed", "an older copy is put back", "a torn tail",
-		"a flipped bit", "errors", "syncs of five seconds"}[kind])
+	d.logEvent("the disk of %s: %s", p.file.Name, []string{"syncs report success without writing, then it is killed",
+		"an older copy is restored", "a torn tail", "a flipped bit", "syncs fail", "syncs take 5 s"}[kind])
 	switch kind {
 	case 0:
-		p.faults(map[string]any{"LieSync": true})
-		d.rest(span / 2)
+		p.setFaults(map[string]any{"LieSync": true})
+		d.sleep(duration / 2)
 		p.kill()
-		p.faults(map[string]any{})
+		p.setFaults(map[string]any{})
 	case 1:
-		old := p.copyLog()
-		d.rest(span / 2)
+		old := p.readLog()
+		d.sleep(duration / 2)
 		p.kill()
-		_ = p.putLog(old)
+		_ = p.writeLog(old)
 	case 2:
 		p.kill()
-		_ = p.spoil(func(raw []byte) []byte {
+		_ = p.corruptLog(func(raw []byte) []byte {
 			tail := make([]byte, 1+r.IntN(60))
 			for i := range tail {
 				tail[i] = byte(r.IntN(4))
@@ -914,95 +946,97 @@
 			if r.IntN(2) == 0 || len(raw) < 200 {
 				return append(raw, tail...)
 			}
-			clear(raw[len(raw)-1-r.IntN(24):]) // the length is kept, and not all of the bytes
+			clear(raw[len(raw)-1-r.IntN(24):]) // the file keeps its length and loses its last bytes
 			return raw
 		})
 	case 3:
 		p.kill()
-		_ = p.spoil(func(raw []byte) []byte {
+		_ = p.corruptLog(func(raw []byte) []byte {
 			raw[r.IntN(len(raw))] ^= 1 << r.IntN(8)
 			return raw
 		})
 	case 4:
-		p.faults(map[string]any{"FailSync": []string{"EIO", "ENOSPC"}[r.IntN(2)]})
-		d.rest(span)
-		p.faults(map[string]any{})
+		p.setFaults(map[string]any{"FailSync": []string{"EIO", "ENOSPC"}[r.IntN(2)]})
+		d.sleep(duration)
+		p.setFaults(map[string]any{})
 	case 5:
-		p.faults(map[string]any{"SlowSync": 5000})
-		d.rest(span)
-		p.faults(map[string]any{})
+		p.setFaults(map[string]any{"SlowSync": 5000})
+		d.sleep(duration)
+		p.setFaults(map[string]any{})
 	}
-	d.rest(200 * time.Millisecond)
+	d.sleep(200 * time.Millisecond)
 	_ = p.start()
 }
 
-// fell takes an agent that ended by itself: one whose disk lacks what it acknowledged is replaced, any other that its disk
-// failed is started again.
-func (d *day) fell(p *proc) {
+// agentExited handles an agent that exited without being killed. One that was replaced by another voter stays down, one whose
+// disk failed is started again, and any other exit is a violation.
+func (d *day) agentExited(p *agentProcess) {
 	text := p.tail(3)
 	switch {
 	case strings.Contains(text, "was replaced by another"):
-		d.say("%s learnt that it was replaced", p.file.Name)
+		d.logEvent("%s stopped: it was replaced by another voter", p.file.Name)
 	case strings.Contains(text, "input/output") || strings.Contains(text, "no space"):
-		d.say("%s stopped: its disk failed", p.file.Name)
+		d.logEvent("%s stopped: its disk failed", p.file.Name)
 		time.AfterFunc(500*time.Millisecond, func() { _ = p.start() })
 	default:
-		d.broke("%s ended by itself: %s", p.file.Name, text)
+		d.reportBreak("%s ended by itself: %s", p.file.Name, text)
 	}
 }
 
-// watch replaces voters that say that their disk can't be trusted.
-func (d *day) watch() {
+// replaceFailedVoters polls all agents and replaces those voters that report that their disk lacks what they acknowledged.
+func (d *day) replaceFailedVoters() {
 	for d.ctx.Err() == nil {
-		d.rest(300 * time.Millisecond)
+		d.sleep(300 * time.Millisecond)
 		for _, p := range d.agents {
 			var s agent.Status
 			err := (&agent.Caller{HTTP: d.http, Addrs: []string{p.file.Listen}}).Get(d.ctx, "/v1/status", &s)
 			d.mu.Lock()
-			found := err == nil && s.Behind && !d.behind[p.no]
+			found := err == nil && s.Behind && !d.replacing[p.index]
 			if found {
-				d.behind[p.no] = true
+				d.replacing[p.index] = true
 			}
 			d.mu.Unlock()
 			if found {
-				d.say("%s has to be replaced", p.file.Name)
-				go d.replace(p)
+				d.logEvent("%s reports that its disk is behind and is replaced", p.file.Name)
+				go d.replaceVoter(p)
 			}
 		}
 	}
 }
 
-// replace puts a new voter in the place of one whose disk can't be trusted, as a person would.
-func (d *day) replace(p *proc) {
+// replaceVoter replaces a voter whose disk can't be trusted, as an operator would: it has the record add a new voter id at the
+// same address and remove the old one, deletes the disk and starts the agent under the new id.
+func (d *day) replaceVoter(p *agentProcess) {
 	d.mu.Lock()
-	d.nextID++
-	id := d.nextID
+	d.lastVoterID++
+	id := d.lastVoterID
 	d.mu.Unlock()
-	var old uint64
+	var oldID uint64
 	for i := range p.file.Voter {
 		if p.file.Voter[i].Name == p.file.Name {
-			old = p.file.Voter[i].ID
+			oldID = p.file.Voter[i].ID
 		}
 	}
-	change := func() bool {
-		body, _ := json.Marshal(map[string]any{"add": id, "addr": p.file.Listen, "remove": old})
+	changeVoters := func() bool {
+		body, _ := json.Marshal(map[string]any{"add": id, "addr": p.file.Listen, "remove": oldID})
 		for _, a := range d.agents {
 			if a == p {
 				continue
 			}
-			q, err := http.NewRequestWithContext(d.ctx, "POST", "http://"+a.file.Listen+"/v1/voters", strings.NewReader(string(body)))
+			request, err := http.NewRequestWithContext(d.ctx, "POST", "http://"+a.file.Listen+"/v1/voters", strings.NewReader(string(body)))
 			if err != nil {
 				return false
 			}
-			if r, err := d.http.Do(q); err == nil {
-				r.Body.Close()
+			if response, err := d.http.Do(request); err == nil {
+				response.Body.Close()
 			}
 		}
-		r, err := d.read(d.ctx)
+		r, err := d.readRecord(d.ctx)
 		return err == nil && r.Voters[id] == p.file.Listen
 	}
-	// Asked for and not confirmed, it is started all the same: till it is added it only waits, and those that start ask it.
-	for end := time.Now().Add(3 * time.Second); !change() && time.Now().Before(end); d.rest(200 * time.Millisecond) {
+	// The new voter is started even if its addition is not confirmed within 3 s: until it is added it only waits, and other
+	// voters that start ask it.
+	for end := time.Now().Add(3 * time.Second); !changeVoters() && time.Now().Before(end); d.sleep(200 * time.Millisecond) {
 	}
 	p.kill()
 	p.mu.Lock()
@@ -1012,39 +1046,39 @@
 			p.file.Voter[i].ID = id
 		}
 	}
-	p.file.Joins, p.file.Replaces = true, old
+	p.file.Joins, p.file.Replaces = true, oldID
 	p.mu.Unlock()
-	d.say("%s comes back as voter %d", p.file.Name, id)
+	d.logEvent("%s is restarted as voter %d", p.file.Name, id)
 	_ = p.start()
-	for d.ctx.Err() == nil && !change() {
-		d.rest(500 * time.Millisecond)
+	for d.ctx.Err() == nil && !changeVoters() {
+		d.sleep(500 * time.Millisecond)
 	}
 	d.mu.Lock()
-	delete(d.behind, p.no)
+	delete(d.replacing, p.index)
 	d.mu.Unlock()
 }
 
-// heal ends all faults, and has every process run.
-func (d *day) heal() {
+// endFaults ends all faults, resumes paused agents and starts those that are down.
+func (d *day) endFaults() {
 	for _, r := range d.links {
-		r.set(Whole, Whole)
+		r.setMode(LinkUp, LinkUp)
 	}
 	for _, p := range d.agents {
-		p.faults(map[string]any{})
+		p.setFaults(map[string]any{})
 		p.signal(syscall.SIGCONT)
 		_ = p.start()
 	}
-	d.say("faults are over")
+	d.logEvent("faults are over")
 }
 
-// Bugs are those that can be planted, in a build with the tag faults.
+// Bugs lists the bugs that can be planted in a build with the tag faults, to show that the checks find them.
 var Bugs = []string{"no-fence", "not-closed", "wall-clock", "new-leader-hurries", "yes-before-sync", "stale-read", "retry-twice",
 	"old-disk-votes", "torn-whole", "restart-untold", "former-start", "no-change",
 	"permit-dies", "zones-alone", "cold-in", "halt-at-owner", "back-unlimited", "step-twice", "gate-yesterday", "two-permits", "unreached-in", "stale-step"}
 
-// Owner is the number of the agent that owns a zone's matter, by the record, and the matter's own number; -1 for none.
-func (d *day) Owner(zone string) (no int, fence uint64) {
-	r, err := d.read(d.ctx)
+// Owner returns the index of the agent that owns a zone's matter by the record, -1 if none does, and the fencing token.
+func (d *day) Owner(zone string) (index int, fence uint64) {
+	r, err := d.readRecord(d.ctx)
 	if err != nil {
 		return -1, 0
 	}
@@ -1057,25 +1091,25 @@
 	return -1, m.Fence
 }
 
-// Until waits for a state.
-func (d *day) Until(what string, ok func() bool) {
-	if err := d.await(20*time.Second, what, func() error {
-		if ok() {
+// WaitUntil waits up to 20 s until condition is true, and reports a violation if it is not.
+func (d *day) WaitUntil(what string, condition func() bool) {
+	if err := d.waitFor(20*time.Second, what, func() error {
+		if condition() {
 			return nil
 		}
 		return errors.New("not yet")
 	}); err != nil {
-		d.broke("%v", err)
+		d.reportBreak("%v", err)
 	}
 }
 
-// Break has the day named as broken.
-func (d *day) Break(format string, args ...any) { d.broke(format, args...) }
+// ReportBreak records a violation that a test found.
+func (d *day) ReportBreak(format string, args ...any) { d.reportBreak(format, args...) }
 
-// At is where one agent is asked.
-func (d *day) At(no int) []string { return []string{d.agents[no].file.Listen} }
+// AddrOf returns the address of one agent, as the list that an agent.Caller takes.
+func (d *day) AddrOf(index int) []string { return []string{d.agents[index].file.Listen} }
 
-// WorkerIn is a worker of a zone.
+// WorkerIn returns a zone's first worker, "" if it has none.
 func (d *day) WorkerIn(zone string) string {
 	all := d.live.Workers()
 	for _, id := range slices.Sorted(maps.Keys(all)) {
@@ -1086,19 +1120,19 @@
 	return ""
 }
 
-// Member is a scheduler as others reach it, and its log.
-func (d *day) Member(no int) live.Member { return d.live.Schedulers()[no] }
+// Scheduler returns a scheduler's addresses and the path of its log.
+func (d *day) Scheduler(index int) live.Member { return d.live.Schedulers()[index] }
 
-// Number is the highest of a matter that a scheduler has seen, as it says itself.
-func (d *day) Number(no int, matter string) uint64 {
-	k, _ := d.knownBy(no)
-	return k.Fences[matter]
+// FenceKnownBy returns the highest fencing token of a matter that a scheduler says it has seen, 0 if it does not answer.
+func (d *day) FenceKnownBy(scheduler int, matter string) uint64 {
+	state, _ := d.schedulerState(scheduler)
+	return state.Fences[matter]
 }
 
-// Ask sends one command to one agent, once.
-func (d *day) Ask(no int, c fleet.Command) (a fleet.Answer, err error) {
+// SendCommand sends one command to one agent, with a timeout of 4 s.
+func (d *day) SendCommand(to int, c fleet.Command) (a fleet.Answer, err error) {
 	ctx, stop := context.WithTimeout(d.ctx, 4*time.Second)
 	defer stop()
 	c.V = fleet.FormOf(&c)
-	return (&agent.Caller{HTTP: agent.NewHTTP(nil, 3*time.Second), Addrs: d.At(no)}).Do(ctx, c)
+	return (&agent.Caller{HTTP: agent.NewHTTP(nil, 3*time.Second), Addrs: d.AddrOf(to)}).Do(ctx, c)
 }
--- a/lab/cluster/demo.go
+++ b/lab/cluster/demo.go
@@ -14,162 +14,174 @@
 	"shalebeam/fleet"
 )
 
-// Fault is one of a demonstration's script.
+// Fault is a fault that a demonstration injects at a given time.
 type Fault struct {
-	Do      string // kill, stop, cut, stall
-	On      string // a0, s1
-	At, For time.Duration
+	Action   string        // kill, stop (with SIGSTOP), cut (reset all links) or stall (all links)
+	Target   string        // an agent, such as a0, or a scheduler, such as s1
+	Start    time.Duration // from the start of the demonstration
+	Duration time.Duration
 }
 
-// ParseFault reads a fault, as "kill a0 at=5s for=3s".
+// ParseFault parses a fault such as "kill a0 at=5s for=3s". It starts at once and lasts 5 s where at= and for= are missing.
 func ParseFault(text string) (f Fault, err error) {
 	words := strings.Fields(text)
 	if len(words) < 2 {
-		return f, fmt.Errorf("%q: it says what to do and to whom", text)
+		return f, fmt.Errorf("%q: expected an action and a target, such as kill a0", text)
 	}
-	f = Fault{Do: words[0], On: words[1], For: 5 * time.Second}
-	if !slices.Contains([]string{"kill", "stop", "cut", "stall"}, f.Do) {
-		return f, fmt.Errorf("%q is not kill, stop, cut or stall", f.Do)
+	f = Fault{Action: words[0], Target: words[1], Duration: 5 * time.Second}
+	if !slices.Contains([]string{"kill", "stop", "cut", "stall"}, f.Action) {
+		return f, fmt.Errorf("action is %q, expected kill, stop, cut or stall", f.Action)
 	}
-	if n, err := strconv.Atoi(f.On[1:]); err != nil || n < 0 || f.On[0] != 'a' && f.On[0] != 's' || f.On[0] == 's' && f.Do != "kill" && f.Do != "stop" {
-		return f, fmt.Errorf("%q is no agent (a0) or, to kill or stop, scheduler (s0)", f.On)
+	if n, err := strconv.Atoi(f.Target[1:]); err != nil || n < 0 || f.Target[0] != 'a' && f.Target[0] != 's' || f.Target[0] == 's' && f.Action != "kill" && f.Action != "stop" {
+		return f, fmt.Errorf("target is %q, expected an agent such as a0 or, for kill and stop, a scheduler such as s0", f.Target)
 	}
 	for _, w := range words[2:] {
 		key, value, _ := strings.Cut(w, "=")
-		span, err := time.ParseDuration(value)
+		duration, err := time.ParseDuration(value)
 		switch {
 		case err != nil:
 			return f, fmt.Errorf("%q: %w", w, err)
 		case key == "at":
-			f.At = span
+			f.Start = duration
 		case key == "for":
-			f.For = span
+			f.Duration = duration
 		default:
-			return f, fmt.Errorf("%q is not at= or for=", w)
+			return f, fmt.Errorf("option is %q, expected at= or for= with a duration", w)
 		}
 	}
 	return f, nil
 }
 
-// Try is what a first user tries: the agents, a worker and its zone.
+// Try returns what a demonstration's example commands name: the addresses of all agents, a worker and its zone.
 func (d *Day) Try() (addrs []string, worker, zone string) {
 	all := d.live.Workers()
 	worker = slices.Sorted(maps.Keys(all))[0]
-	return d.addrs(nil), worker, all[worker]
+	return d.agentAddrs(nil), worker, all[worker]
 }
 
-// Script plays faults at their times, beside all else.
+// Script schedules faults at their times and returns at once.
 func (d *Day) Script(faults []Fault) {
 	for _, f := range faults {
-		time.AfterFunc(f.At, func() { d.play1(f) })
+		time.AfterFunc(f.Start, func() { d.playFault(f) })
 	}
 }
 
-func (d *Day) play1(f Fault) {
-	no, _ := strconv.Atoi(f.On[1:])
-	d.say("%s %s for %v", f.Do, f.On, f.For)
+// playFault injects one fault and ends it after its duration.
+func (d *Day) playFault(f Fault) {
+	index, _ := strconv.Atoi(f.Target[1:])
+	d.logEvent("%s %s for %v", f.Action, f.Target, f.Duration)
 	switch {
-	case f.On[0] == 's' && no < d.opt.Schedulers && f.Do == "kill":
-		d.live.Kill(no, f.For)
-	case f.On[0] == 's' && no < d.opt.Schedulers:
-		d.live.Stop(no, f.For)
-	case f.On[0] == 's' || no >= len(d.agents):
-		d.say("there is no %s", f.On)
-	case f.Do == "kill":
-		d.Kill(no)
-		d.rest(f.For)
-		d.Start(no)
-	case f.Do == "stop":
-		d.Still(no, f.For)
+	case f.Target[0] == 's' && index < d.opt.Schedulers && f.Action == "kill":
+		d.live.Kill(index, f.Duration)
+	case f.Target[0] == 's' && index < d.opt.Schedulers:
+		d.live.Stop(index, f.Duration)
+	case f.Target[0] == 's' || index >= len(d.agents):
+		d.logEvent("%s does not exist", f.Target)
+	case f.Action == "kill":
+		d.Kill(index)
+		d.sleep(f.Duration)
+		d.Start(index)
+	case f.Action == "stop":
+		d.Pause(index, f.Duration)
 	default:
-		mode := Gone
-		if f.Do == "stall" {
-			mode = Stalled
+		mode := LinkReset
+		if f.Action == "stall" {
+			mode = LinkStalled
 		}
-		d.Links(no, mode, mode)
-		d.rest(f.For)
-		d.Links(no, Whole, Whole)
+		d.SetLinks(index, mode, mode)
+		d.sleep(f.Duration)
+		d.SetLinks(index, LinkUp, LinkUp)
 	}
 }
 
-// Kill ends an agent by force, Start starts it again, Still has it stand still for so long.
-func (d *Day) Kill(no int)                   { d.agents[no].kill() }
-func (d *Day) Start(no int)                  { _ = d.agents[no].start() }
-func (d *Day) Still(no int, f time.Duration) { d.agents[no].still(f) }
+// Kill kills an agent's process and waits until it has exited.
+func (d *Day) Kill(index int) { d.agents[index].kill() }
 
-// Links sets all links of an agent to and from other processes; Link one of them.
-func (d *Day) Links(no int, there, back Mode) {
-	name := fmt.Sprint("a", no)
+// Start starts an agent that is down.
+func (d *Day) Start(index int) { _ = d.agents[index].start() }
+
+// Pause stops an agent with SIGSTOP and has it continue after duration; it returns at once.
+func (d *Day) Pause(index int, duration time.Duration) { d.agents[index].pause(duration) }
+
+// SetLinks sets the modes of all links between an agent and other processes: there for what the agent sends, back for what it
+// receives.
+func (d *Day) SetLinks(index int, there, back LinkMode) {
+	name := fmt.Sprint("a", index)
 	for link, r := range d.links {
 		if strings.HasPrefix(link, name+">") {
-			r.set(there, back)
+			r.setMode(there, back)
 		} else if strings.HasSuffix(link, ">"+name) {
-			r.set(back, there)
+			r.setMode(back, there)
 		}
 	}
 }
 
-func (d *Day) Link(from, to string, there, back Mode) { d.links[from+">"+to].set(there, back) }
+// SetLink sets the modes of one link.
+func (d *Day) SetLink(from, to string, there, back LinkMode) {
+	d.links[from+">"+to].setMode(there, back)
+}
 
-// Gaps measures how long a zone is without an owner that acts, in ms, each time that its owner is killed, stopped or cut off.
-func (d *Day) Gaps(how string, times int) (gaps []float64) {
+// Gaps measures how long zone a has no acting owner after its owner fails: how is "kill", "stop" (SIGSTOP) or "cut" (all links
+// reset). It returns the times in ms, sorted.
+func (d *Day) Gaps(how string, times int) (gapsMs []float64) {
 	for range times {
-		old, fence := d.Owner("a")
-		for ; old < 0; old, fence = d.Owner("a") {
+		owner, fence := d.Owner("a")
+		for ; owner < 0; owner, fence = d.Owner("a") {
 			time.Sleep(50 * time.Millisecond)
 		}
 		began := time.Now()
 		switch how {
 		case "kill":
-			d.Kill(old)
+			d.Kill(owner)
 		case "stop":
-			d.signalStop(old)
+			d.stopAgent(owner)
 		case "cut":
-			d.Links(old, Gone, Gone)
+			d.SetLinks(owner, LinkReset, LinkReset)
 		}
-		d.Until("another owner", func() bool {
-			no, higher := d.Owner("a")
-			return no >= 0 && higher > fence && (how == "kill" || no != old)
+		d.WaitUntil("another owner", func() bool {
+			index, higher := d.Owner("a")
+			return index >= 0 && higher > fence && (how == "kill" || index != owner)
 		})
-		gaps = append(gaps, float64(time.Since(began))/1e6)
+		gapsMs = append(gapsMs, float64(time.Since(began))/1e6)
 		switch how {
 		case "kill":
-			d.Start(old)
+			d.Start(owner)
 		case "stop":
-			d.agents[old].signal(syscall.SIGCONT)
+			d.agents[owner].signal(syscall.SIGCONT)
 		case "cut":
-			d.Links(old, Whole, Whole)
+			d.SetLinks(owner, LinkUp, LinkUp)
 		}
-		// All of them are there again before the next one goes: three voters bear one failure.
-		d.Until("all agents answer", func() bool {
+		// All agents must be back before the next failure: three voters tolerate one.
+		d.WaitUntil("all agents answer", func() bool {
 			for i := range d.agents {
 				var s agent.Status
-				if (&agent.Caller{HTTP: d.http, Addrs: d.At(i)}).Get(d.ctx, "/v1/status", &s) != nil || s.Voter != 0 && !s.Counts {
+				if (&agent.Caller{HTTP: d.http, Addrs: d.AddrOf(i)}).Get(d.ctx, "/v1/status", &s) != nil || s.Voter != 0 && !s.Counts {
 					return false
 				}
 			}
 			return true
 		})
 	}
-	slices.Sort(gaps)
-	return gaps
+	slices.Sort(gapsMs)
+	return gapsMs
 }
 
-func (d *Day) signalStop(no int) { d.agents[no].signal(syscall.SIGSTOP) }
+// stopAgent stops an agent with SIGSTOP.
+func (d *Day) stopAgent(index int) { d.agents[index].signal(syscall.SIGSTOP) }
 
-// Changes measures how many changes a second the record takes from so many callers at once, and how often voters waited
-// for their disks meanwhile, a second and voter.
-func (d *Day) Changes(callers int, f time.Duration) (each, syncs float64) {
+// Changes measures throughput for duration: changes per second that the record applies with that many concurrent callers, and
+// disk syncs per second and voter.
+func (d *Day) Changes(callers int, duration time.Duration) (changesPerSecond, syncsPerSecond float64) {
 	count := func() (n int) {
 		for i := range d.agents {
 			var s agent.Status
-			if (&agent.Caller{HTTP: d.http, Addrs: d.At(i)}).Get(d.ctx, "/v1/status", &s) == nil {
+			if (&agent.Caller{HTTP: d.http, Addrs: d.AddrOf(i)}).Get(d.ctx, "/v1/status", &s) == nil {
 				n += s.Syncs
 			}
 		}
 		return n
 	}
-	before, end := count(), time.Now().Add(f)
+	before, end := count(), time.Now().Add(duration)
 	var all sync.WaitGroup
 	done := make([]int, callers)
 	for i := range callers {
@@ -178,7 +190,7 @@
 			for n := uint64(1); time.Now().Before(end); n++ {
 				c := fleet.Command{V: 1, Caller: fmt.Sprint("m", callers, "/", i), Number: n, Do: []string{"out", "in"}[n%2],
 					ID: fmt.Sprint("m", i), Zone: "a", By: "m"}
-				if a, err := (&agent.Caller{HTTP: h, Addrs: d.addrs(nil)}).Do(d.ctx, c); err == nil && a.No > 0 {
+				if a, err := (&agent.Caller{HTTP: h, Addrs: d.agentAddrs(nil)}).Do(d.ctx, c); err == nil && a.No > 0 {
 					done[i]++
 				}
 			}
@@ -189,5 +201,5 @@
 	for _, k := range done {
 		n += k
 	}
-	return float64(n) / f.Seconds(), float64(count()-before) / f.Seconds() / float64(d.opt.Voters)
+	return float64(n) / duration.Seconds(), float64(count()-before) / duration.Seconds() / float64(d.opt.Voters)
 }
--- a/lab/cluster/judge.go
+++ b/lab/cluster/judge.go
@@ -20,143 +20,155 @@
 	"shalebeam/fleet"
 )
 
-// history is every caller's calls and answers, by the lab's own clock.
+// history holds the calls of all callers with their answers, by the lab's own clock.
 type history struct {
 	mu  sync.Mutex
-	all []*op
+	all []*recordedCall
 }
 
-type op struct {
-	h         *history
-	caller    int
-	worker    string
-	do        string
-	at, until int64
-	done, out bool
-	dropped   bool
+// recordedCall is one call of a caller: a change of a worker's intent or a read of it.
+type recordedCall struct {
+	history    *history
+	caller     int
+	worker     string
+	do         string // out, in or read
+	startedAt  int64  // Unix ns
+	answeredAt int64  // Unix ns, or neverAnswered
+	done       bool   // the change was applied, not refused
+	out        bool   // what a read found
+	discarded  bool
 }
 
-const never = int64(1) << 62
+const neverAnswered = int64(1) << 62 // as a Unix time in ns: later than any answer
 
-func (h *history) begin(caller int, worker, do string) *op {
-	o := &op{h: h, caller: caller, worker: worker, do: do, at: time.Now().UnixNano(), until: never}
+// startCall adds a call that starts now.
+func (h *history) startCall(caller int, worker, do string) *recordedCall {
+	c := &recordedCall{history: h, caller: caller, worker: worker, do: do, startedAt: time.Now().UnixNano(), answeredAt: neverAnswered}
 	h.mu.Lock()
-	h.all = append(h.all, o)
+	h.all = append(h.all, c)
 	h.mu.Unlock()
-	return o
+	return c
 }
 
-func (o *op) end(done, out bool) {
-	o.h.mu.Lock()
-	o.until, o.done, o.out = time.Now().UnixNano(), done, out
-	o.h.mu.Unlock()
+// finish records the answer, which arrived now.
+func (c *recordedCall) finish(done, out bool) {
+	c.history.mu.Lock()
+	c.answeredAt, c.done, c.out = time.Now().UnixNano(), done, out
+	c.history.mu.Unlock()
 }
 
-// open leaves it so that it may have been carried out at any time from then on; drop says that it changes nothing.
-func (o *op) open() {}
+// leaveOpen marks a call without an answer: it may have been applied at any time after its start, or not at all.
+func (c *recordedCall) leaveOpen() {}
 
-func (o *op) drop() {
-	o.h.mu.Lock()
-	o.dropped = true
-	o.h.mu.Unlock()
+// discard excludes the call from the check, as a failed read, which changes nothing.
+func (c *recordedCall) discard() {
+	c.history.mu.Lock()
+	c.discarded = true
+	c.history.mu.Unlock()
 }
 
-type input struct{ worker, do string }
-type output struct{ done, out, open bool }
+// callInput is the input of a call in intentModel.
+type callInput struct{ worker, do string }
 
-// model is a worker's intent: what the last change before a read said.
-var model = porcupine.Model{
+// callOutput is the output of a call in intentModel; open is true if the call was never answered.
+type callOutput struct{ done, out, open bool }
+
+// intentModel is the sequential specification of a worker's intent: a read returns what the last change before it set.
+var intentModel = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
-		by := map[string][]porcupine.Operation{}
+		byWorker := map[string][]porcupine.Operation{}
 		for _, o := range all {
-			w := o.Input.(input).worker
-			by[w] = append(by[w], o)
+			w := o.Input.(callInput).worker
+			byWorker[w] = append(byWorker[w], o)
 		}
-		var out [][]porcupine.Operation
-		for _, ops := range by {
-			out = append(out, ops)
+		var partitions [][]porcupine.Operation
+		for _, ops := range byWorker {
+			partitions = append(partitions, ops)
 		}
-		return out
+		return partitions
 	},
-	Init: func() any { return 0 }, // 0: never on record, 1: out, 2: in use again
+	Init: func() any { return 0 }, // 0: not in the record, 1: out, 2: in use again
 	Step: func(state, in, out any) (bool, any) {
-		s, i, o := state.(int), in.(input), out.(output)
+		s, i, o := state.(int), in.(callInput), out.(callOutput)
 		switch i.do {
 		case "read":
 			return o.out == (s == 1), s
 		case "out":
 			return o.open || o.done, 1
 		}
-		if s == 0 { // one that was never out is refused
+		if s == 0 { // "in" is refused for a worker that was never out
 			return o.open || !o.done, 0
 		}
 		return o.open || o.done, 2
 	},
 }
 
-// linear tells whether the callers' history is one that a single record could have given.
-func (h *history) linear() (bool, int) {
+// linearizable reports whether the answers of all calls are linearizable, as those of a single record must be, and how many
+// calls were checked. A history that can't be decided within 20 s passes.
+func (h *history) linearizable() (bool, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all []porcupine.Operation
-	for _, o := range h.all {
-		if o.dropped || o.do == "read" && o.until == never {
+	for _, c := range h.all {
+		if c.discarded || c.do == "read" && c.answeredAt == neverAnswered {
 			continue
 		}
-		all = append(all, porcupine.Operation{ClientId: o.caller, Input: input{o.worker, o.do}, Call: o.at,
-			Output: output{o.done, o.out, o.until == never}, Return: o.until})
+		all = append(all, porcupine.Operation{ClientId: c.caller, Input: callInput{c.worker, c.do}, Call: c.startedAt,
+			Output: callOutput{c.done, c.out, c.answeredAt == neverAnswered}, Return: c.answeredAt})
 	}
-	return porcupine.CheckOperationsTimeout(model, all, 20*time.Second) != porcupine.Illegal, len(all)
+	return porcupine.CheckOperationsTimeout(intentModel, all, 20*time.Second) != porcupine.Illegal, len(all)
 }
 
-// judge looks at all that was kept once the day is over.
-func (d *day) judge() {
-	r, err := d.read(d.ctx)
+// checkDay runs all checks on the record, the history and the logs at the end of a day.
+func (d *day) checkDay() {
+	r, err := d.readRecord(d.ctx)
 	if err != nil {
-		d.broke("the record can't be read at the end: %v", err)
+		d.reportBreak("the record can't be read at the end: %v", err)
 		return
 	}
-	d.hist.mu.Lock()
+	d.history.mu.Lock()
 	if raw, err := json.MarshalIndent(r, "", " "); err == nil {
-		_ = os.WriteFile(filepath.Join(d.dir, "record.json"), raw, 0o600) // for --keep
+		_ = os.WriteFile(filepath.Join(d.dir, "record.json"), raw, 0o600) // for whoever keeps the day's folder with --keep
 	}
-	met := map[string]bool{}
-	for _, o := range d.hist.all {
-		met[o.worker] = true
+	workers := map[string]bool{}
+	for _, c := range d.history.all {
+		workers[c.worker] = true
 	}
-	d.hist.mu.Unlock()
-	for id := range met {
-		d.Read(99, id, d.addrs(nil))
+	d.history.mu.Unlock()
+	for id := range workers {
+		d.ReadIntent(99, id, d.agentAddrs(nil))
 	}
-	if ok, n := d.hist.linear(); !ok {
-		d.broke("%d calls and answers are of no single record", n)
+	if ok, n := d.history.linearizable(); !ok {
+		d.reportBreak("%d calls and answers are of no single record", n)
 	}
-	twice := map[string]int{}
+	applied := map[string]int{} // by the command's reason, which names its caller and number: how many times it was applied
 	for _, row := range r.Rows {
 		if (row.What == "out" || row.What == "in") && strings.HasPrefix(row.Why, "caller") {
-			if twice[row.Why]++; twice[row.Why] == 2 {
-				d.broke("a change was carried out twice: %s %s, %s", row.What, row.Of, row.Why)
+			if applied[row.Why]++; applied[row.Why] == 2 {
+				d.reportBreak("a change was carried out twice: %s %s, %s", row.What, row.Of, row.Why)
 			}
 		}
 	}
 	if d.opt.Runs {
-		d.kept()
+		d.checkHalts()
 	}
-	d.order()
-	d.owners(r)
-	d.voters()
+	d.checkFenceOrder()
+	d.checkOwners(r)
+	d.checkVoters()
 }
 
+// Log lines of schedulers and agents that the checks read.
 var (
-	tookIt  = regexp.MustCompile(`msg=told id="(.*?)" out=(\w+) matter="(.*?)" number=(\d+)`)
-	fenceIt = regexp.MustCompile(`msg=fence matter="(.*?)" number=(\d+)`)
-	heldIt  = regexp.MustCompile(`msg=renewed matter=(\S+) fence=(\d+) left=([-0-9.e+]+)`)
-	ownedIt = regexp.MustCompile(`msg="matter owned" matter=(\S+) fence=(\d+)`)
-	startIt = regexp.MustCompile(`msg=listening `)
-	callsIt = regexp.MustCompile(`^time=(\S+) .*msg=calls scheduler=(\S+) act=(\d) matter=(\S+) fence=(\d+)`)
+	workerToldPattern   = regexp.MustCompile(`msg=told id="(.*?)" out=(\w+) matter="(.*?)" number=(\d+)`)
+	fencePattern        = regexp.MustCompile(`msg=fence matter="(.*?)" number=(\d+)`)
+	leaseRenewedPattern = regexp.MustCompile(`msg=renewed matter=(\S+) fence=(\d+) left=([-0-9.e+]+)`)
+	matterOwnedPattern  = regexp.MustCompile(`msg="matter owned" matter=(\S+) fence=(\d+)`)
+	listeningPattern    = regexp.MustCompile(`msg=listening `)
+	callsPattern        = regexp.MustCompile(`^time=(\S+) .*msg=calls scheduler=(\S+) act=(\d) matter=(\S+) fence=(\d+)`)
 )
 
-func lines(path string, f func(string)) {
+// forEachLine calls f with each line of a file; a file that can't be opened has none.
+func forEachLine(path string, f func(string)) {
 	file, err := os.Open(path)
 	if err != nil {
 		return
@@ -167,47 +179,48 @@
 	}
 }
 
-// order tells whether any scheduler took a lower number after a higher one, in one life of it.
-func (d *day) order() {
+// checkFenceOrder checks that no scheduler applied a change with a lower fencing token of a matter after a higher one, within the
+// life of one process.
+func (d *day) checkFenceOrder() {
 	for _, m := range d.live.Schedulers() {
-		high := map[string]uint64{}
-		lines(m.Log, func(line string) {
-			if startIt.MatchString(line) {
-				clear(high)
+		highest := map[string]uint64{} // by matter
+		forEachLine(m.Log, func(line string) {
+			if listeningPattern.MatchString(line) {
+				clear(highest)
 			}
-			if x := fenceIt.FindStringSubmatch(line); x != nil {
+			if x := fencePattern.FindStringSubmatch(line); x != nil {
 				n, _ := strconv.ParseUint(x[2], 10, 64)
-				high[x[1]] = max(high[x[1]], n)
+				highest[x[1]] = max(highest[x[1]], n)
 			}
-			if x := tookIt.FindStringSubmatch(line); x != nil {
+			if x := workerToldPattern.FindStringSubmatch(line); x != nil {
 				n, _ := strconv.ParseUint(x[4], 10, 64)
-				if n < high[x[3]] {
-					d.broke("%s took number %d of %s after %d: %s", m.ID, n, x[3], high[x[3]], line)
+				if n < highest[x[3]] {
+					d.reportBreak("%s took number %d of %s after %d: %s", m.ID, n, x[3], highest[x[3]], line)
 				}
-				high[x[3]] = max(high[x[3]], n)
+				highest[x[3]] = max(highest[x[3]], n)
 			}
 		})
 	}
 }
 
-// voters tells whether any has another record than the others, or counted on a disk and only then was found to lack what it
-// had acknowledged.
-func (d *day) voters() {
-	_ = d.await(5*time.Second, "one record", func() error {
+// checkVoters checks that all voters have the same record after the same command, and that none counted towards the quorum before
+// it found that its disk lacks what it had acknowledged.
+func (d *day) checkVoters() {
+	_ = d.waitFor(5*time.Second, "one record", func() error {
 		records := map[uint64]string{}
 		for _, p := range d.agents[:d.opt.Voters] {
-			var n struct {
-				No     uint64
+			var got struct {
+				No     uint64 // of the last command
 				Record json.RawMessage
 			}
-			if err := (&agent.Caller{HTTP: d.http, Addrs: []string{p.file.Listen}}).Get(d.ctx, "/v1/record", &n); err != nil {
+			if err := (&agent.Caller{HTTP: d.http, Addrs: []string{p.file.Listen}}).Get(d.ctx, "/v1/record", &got); err != nil {
 				continue
 			}
-			if was, ok := records[n.No]; ok && was != string(n.Record) {
-				d.broke("%s has another record after command %d than another voter", p.file.Name, n.No)
+			if other, ok := records[got.No]; ok && other != string(got.Record) {
+				d.reportBreak("%s has another record after command %d than another voter", p.file.Name, got.No)
 				return nil
 			}
-			records[n.No] = string(n.Record)
+			records[got.No] = string(got.Record)
 		}
 		if len(records) > 1 {
 			return errors.New("some are behind")
@@ -216,32 +229,32 @@
 	})
 	for _, p := range d.agents {
 		counted := false
-		lines(p.path(".log"), func(line string) {
+		forEachLine(p.path(".log"), func(line string) {
 			switch {
 			case strings.Contains(line, `msg="agent runs"`):
 				counted = false
 			case strings.Contains(line, `msg="voter counts"`):
 				counted = true
 			case counted && strings.Contains(line, "lacks what this voter has acknowledged"):
-				d.broke("%s counted on a disk that lacked what it had acknowledged: %s", p.file.Name, line)
+				d.reportBreak("%s counted on a disk that lacked what it had acknowledged: %s", p.file.Name, line)
 				counted = false
 			}
 		})
 	}
 }
 
-// alone matches the lives of schedulers that began without being told for sure who is out: they go on without, as their
-// page says, and may send to a worker that is out until its owner has told them.
-func (d *day) alone() *regexp.Regexp {
+// unsureLives matches breaks about schedulers' processes ("s1.2 posted") that started without certain knowledge of which workers
+// are out. By design these serve all the same and may send to a worker that is out until the zone's owner has told them.
+func (d *day) unsureLives() *regexp.Regexp {
 	names := []string{"none"}
 	for _, m := range d.live.Schedulers() {
 		life, unsure := 1, false
-		lines(m.Log, func(line string) {
+		forEachLine(m.Log, func(line string) {
 			if strings.Contains(line, "msg=agent state=unasked") || strings.Contains(line, "stale=true") {
 				unsure = true
 			}
-			if startIt.MatchString(line) {
-				if unsure && life > 1 { // in its first nobody was out yet
+			if listeningPattern.MatchString(line) {
+				if unsure && life > 1 { // when the first one started, no worker was out yet
 					names = append(names, regexp.QuoteMeta(fmt.Sprintf("%s.%d posted", m.ID, life)))
 				}
 				life, unsure = life+1, false
@@ -251,94 +264,96 @@
 	return regexp.MustCompile("(" + strings.Join(names, "|") + ")")
 }
 
-// owners tells whether one owner acted after the next had begun, though it did not stand still in between.
-func (d *day) owners(r *fleet.Record) {
-	type act struct {
-		at     time.Time
-		p      *proc
-		number uint64
-		kind   string
-		to     string
+// checkOwners checks the leases: an owner's lease begins only after the one before has ended, no owner acts after a later one has
+// begun (except one that was paused in between, which can't know), and an owner closes its predecessor's token at a scheduler
+// before it tells that scheduler anything.
+func (d *day) checkOwners(r *fleet.Record) {
+	type ownerCall struct {
+		at        time.Time
+		p         *agentProcess
+		fence     uint64
+		kind      string // the number of a fleet.Act: 0 look, 1 close, 2 tell
+		scheduler string
 	}
-	all := map[string][]act{}
-	type hold struct {
-		until time.Time
-		who   string
+	calls := map[string][]ownerCall{} // by matter
+	type lease struct {
+		until time.Time // at least, by the owner's last renewal
+		owner string    // an agent's name
 	}
-	holds, began := map[string]map[uint64]*hold{}, map[string]map[uint64]time.Time{}
-	of := func(matter string, n uint64) *hold {
-		if holds[matter] == nil {
-			holds[matter], began[matter] = map[uint64]*hold{}, map[uint64]time.Time{}
+	leases, began := map[string]map[uint64]*lease{}, map[string]map[uint64]time.Time{} // by matter and fencing token
+	leaseOf := func(matter string, fence uint64) *lease {
+		if leases[matter] == nil {
+			leases[matter], began[matter] = map[uint64]*lease{}, map[uint64]time.Time{}
 		}
-		if holds[matter][n] == nil {
-			holds[matter][n] = &hold{}
+		if leases[matter][fence] == nil {
+			leases[matter][fence] = &lease{}
 		}
-		return holds[matter][n]
+		return leases[matter][fence]
 	}
 	for _, p := range d.agents {
-		lines(p.path(".log"), func(line string) {
+		forEachLine(p.path(".log"), func(line string) {
 			if strings.Contains(line, "panic") {
-				d.broke("%s: %s", p.file.Name, line)
+				d.reportBreak("%s: %s", p.file.Name, line)
 			}
 			at, _ := time.Parse(time.RFC3339Nano, strings.TrimPrefix(strings.SplitN(line, " ", 2)[0], "time="))
-			if x := heldIt.FindStringSubmatch(line); x != nil {
+			if x := leaseRenewedPattern.FindStringSubmatch(line); x != nil {
 				n, _ := strconv.ParseUint(x[2], 10, 64)
 				left, _ := strconv.ParseFloat(x[3], 64)
-				h := of(x[1], n)
-				// By a clock that is a tenth slow or fast at the most, it holds for so long at the least.
-				if until := at.Add(time.Duration(left * 0.9 * float64(time.Millisecond))); left > 0 && until.After(h.until) {
-					h.until, h.who = until, p.file.Name
+				l := leaseOf(x[1], n)
+				// left is in ms of the owner's clock, which may be off by a tenth: the lease lasts at least 0.9 times as long.
+				if until := at.Add(time.Duration(left * 0.9 * float64(time.Millisecond))); left > 0 && until.After(l.until) {
+					l.until, l.owner = until, p.file.Name
 				}
 			}
-			if x := ownedIt.FindStringSubmatch(line); x != nil {
+			if x := matterOwnedPattern.FindStringSubmatch(line); x != nil {
 				n, _ := strconv.ParseUint(x[2], 10, 64)
-				of(x[1], n)
+				leaseOf(x[1], n)
 				began[x[1]][n] = at
 			}
-			if x := callsIt.FindStringSubmatch(line); x != nil {
+			if x := callsPattern.FindStringSubmatch(line); x != nil {
 				at, _ := time.Parse(time.RFC3339Nano, x[1])
 				n, _ := strconv.ParseUint(x[5], 10, 64)
-				all[x[4]] = append(all[x[4]], act{at, p, n, x[3], x[2]})
+				calls[x[4]] = append(calls[x[4]], ownerCall{at, p, n, x[3], x[2]})
 			}
 		})
 	}
 	for matter, owned := range began {
 		for n, at := range owned {
-			// What was passed on by itself, or belonged to a process that was killed, is free before its time.
-			if h := holds[matter][n-1]; h != nil && at.Before(h.until) && !d.died(h.who, at) && !left(r, matter, h.who) {
-				d.broke("%s: number %d began at %s, and %s held number %d until %s", matter, n, at.Format("05.000"), h.who, n-1,
-					h.until.Format("05.000"))
+			// A lease that its owner passed on, or whose owner's process ended, may be followed by the next before it expires.
+			if l := leases[matter][n-1]; l != nil && at.Before(l.until) && !d.endedShortlyBefore(l.owner, at) && !passedOn(r, matter, l.owner) {
+				d.reportBreak("%s: number %d began at %s, and %s held number %d until %s", matter, n, at.Format("05.000"), l.owner, n-1,
+					l.until.Format("05.000"))
 			}
 		}
 	}
-	for matter, acts := range all {
-		sort.SliceStable(acts, func(i, j int) bool { return acts[i].at.Before(acts[j].at) })
-		high := act{}
+	for matter, all := range calls {
+		sort.SliceStable(all, func(i, j int) bool { return all[i].at.Before(all[j].at) })
+		highest := ownerCall{} // the first call with the highest fencing token so far
 		closed := map[string]uint64{}
-		for _, a := range acts {
-			if a.number < high.number && !a.p.wasStill(a.at, 3*d.term()) {
-				d.broke("%s: %s acted by number %d at %s, after %s had begun by %d at %s", matter, a.p.file.Name, a.number,
-					a.at.Format("05.000"), high.p.file.Name, high.number, high.at.Format("05.000"))
+		for _, c := range all {
+			if c.fence < highest.fence && !c.p.wasPaused(c.at, 3*d.leaseTerm()) {
+				d.reportBreak("%s: %s acted by number %d at %s, after %s had begun by %d at %s", matter, c.p.file.Name, c.fence,
+					c.at.Format("05.000"), highest.p.file.Name, highest.fence, highest.at.Format("05.000"))
 				return
 			}
-			if a.number > high.number {
-				high = a
+			if c.fence > highest.fence {
+				highest = c
 			}
-			// Before it tells anything, an owner has closed its predecessor's number there.
-			key := fmt.Sprint(a.to, " ", a.number)
-			if a.kind == "1" {
-				closed[key] = a.number
+			// An owner must close its predecessor's token at a scheduler before it tells that scheduler anything.
+			key := fmt.Sprint(c.scheduler, " ", c.fence)
+			if c.kind == "1" {
+				closed[key] = c.fence
 			}
-			if a.kind == "2" && closed[key] == 0 {
-				d.broke("%s: %s told %s by number %d before it had closed the one before", matter, a.p.file.Name, a.to, a.number)
+			if c.kind == "2" && closed[key] == 0 {
+				d.reportBreak("%s: %s told %s by number %d before it had closed the one before", matter, c.p.file.Name, c.scheduler, c.fence)
 				return
 			}
 		}
 	}
 }
 
-// left tells whether an agent ever passed a matter on: it is free then before the time of its hold.
-func left(r *fleet.Record, matter, agent string) bool {
+// passedOn reports whether an agent ever passed a matter on, which frees it before its lease expires.
+func passedOn(r *fleet.Record, matter, agent string) bool {
 	for _, row := range r.Rows {
 		if row.What == "left" && strings.HasPrefix(row.Of, matter+" "+agent+"#") {
 			return true
@@ -347,12 +362,12 @@
 	return false
 }
 
-// died tells whether an agent's process ended in the time before at: what it held ended with it.
-func (d *day) died(name string, at time.Time) bool {
+// endedShortlyBefore reports whether an agent's process ended within two lease terms before at; its leases ended with it.
+func (d *day) endedShortlyBefore(name string, at time.Time) bool {
 	for _, p := range d.agents {
 		p.mu.Lock()
-		for _, end := range p.ends {
-			if p.file.Name == name && end.Before(at) && end.After(at.Add(-2*d.term())) {
+		for _, end := range p.endTimes {
+			if p.file.Name == name && end.Before(at) && end.After(at.Add(-2*d.leaseTerm())) {
 				p.mu.Unlock()
 				return true
 			}
--- a/lab/cluster/ops_test.go
+++ b/lab/cluster/ops_test.go
@@ -21,15 +21,15 @@
 func TestRestartOfAllWhileOwnersDie(t *testing.T) {
 	t.Parallel()
 	r := played(t, Options{Seed: 21, Runs: true, Agents: 5, Act: func(d *Day) {
-		d.Limits(oneOut)
-		id, why := d.Begin(fleet.Op{Kind: "restart", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}})
+		d.SetLimits(oneOut)
+		id, why := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}})
 		if id == "" {
-			d.Break("refused: %s", why)
+			d.ReportBreak("refused: %s", why)
 			return
 		}
 		kills := 0
-		d.Until("all are restarted", func() bool {
-			op := d.Op(id)
+		d.WaitUntil("all are restarted", func() bool {
+			op := d.Operation(id)
 			if op == nil || op.Done {
 				return op != nil
 			}
@@ -48,12 +48,12 @@
 			return false
 		})
 		if kills < 2 {
-			d.Break("owners were killed %d times", kills)
+			d.ReportBreak("owners were killed %d times", kills)
 		}
 	}, For: 20 * time.Second})
 	clean(t, r)
-	if r.Most > 1 {
-		t.Errorf("%d out together", r.Most)
+	if r.MostOut > 1 {
+		t.Errorf("%d out together", r.MostOut)
 	}
 }
 
@@ -62,40 +62,40 @@
 func TestTwoDrainsWithRoomForOne(t *testing.T) {
 	t.Parallel()
 	r := played(t, Options{Seed: 22, Runs: true, Act: func(d *Day) {
-		d.Limits(oneOut)
+		d.SetLimits(oneOut)
 		var both sync.WaitGroup
 		ids := make([]string, 2)
 		for i, id := range []string{"s0", "s1"} { // of zones a and b
-			both.Go(func() { ids[i], _ = d.Begin(fleet.Op{Kind: "drain", Waves: [][]string{{id}}}) })
+			both.Go(func() { ids[i], _ = d.BeginOperation(fleet.Op{Kind: "drain", Waves: [][]string{{id}}}) })
 		}
 		both.Wait()
 		first := -1
-		d.Until("one is out", func() bool {
+		d.WaitUntil("one is out", func() bool {
 			for i, id := range ids {
-				if op := d.Op(id); op != nil && op.Done {
+				if op := d.Operation(id); op != nil && op.Done {
 					first = i
 				}
 			}
 			return first >= 0
 		})
 		time.Sleep(2 * time.Second)
-		if op := d.Op(ids[1-first]); op == nil || op.Done {
-			d.Break("both are out")
+		if op := d.Operation(ids[1-first]); op == nil || op.Done {
+			d.ReportBreak("both are out")
 		}
-		back, why := d.Begin(fleet.Op{Kind: "undrain", Waves: [][]string{{fmt.Sprint("s", first)}}})
+		back, why := d.BeginOperation(fleet.Op{Kind: "undrain", Waves: [][]string{{fmt.Sprint("s", first)}}})
 		if back == "" {
-			d.Break("refused: %s", why)
+			d.ReportBreak("refused: %s", why)
 		}
-		d.Until("the other is out", func() bool { op := d.Op(ids[1-first]); return op != nil && op.Done })
-		last, why := d.Begin(fleet.Op{Kind: "undrain", Waves: [][]string{{fmt.Sprint("s", 1-first)}}})
+		d.WaitUntil("the other is out", func() bool { op := d.Operation(ids[1-first]); return op != nil && op.Done })
+		last, why := d.BeginOperation(fleet.Op{Kind: "undrain", Waves: [][]string{{fmt.Sprint("s", 1-first)}}})
 		if last == "" {
-			d.Break("refused: %s", why)
+			d.ReportBreak("refused: %s", why)
 		}
-		d.Until("all serve", func() bool { op := d.Op(last); return op != nil && op.Done })
+		d.WaitUntil("all serve", func() bool { op := d.Operation(last); return op != nil && op.Done })
 	}, For: 20 * time.Second})
 	clean(t, r)
-	if r.Most != 1 {
-		t.Errorf("%d out together", r.Most)
+	if r.MostOut != 1 {
+		t.Errorf("%d out together", r.MostOut)
 	}
 }
 
@@ -108,22 +108,22 @@
 		t.Run(x.bug, func(t *testing.T) {
 			t.Parallel()
 			r := played(t, Options{Seed: 23, Runs: true, Load: 0.5, Act: func(d *Day) {
-				d.Limits(oneOut)
-				op := fleet.Op{Kind: "release", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}, Version: d.released(x.bug), Watch: 6000, AutoBack: true,
+				d.SetLimits(oneOut)
+				op := fleet.Op{Kind: "release", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}, Version: d.buildRelease(x.bug), Watch: 6000, AutoBack: true,
 					Gates: fleet.Gates{Settled: 0.3, Txns: 30, Lost: 1}}
-				id, why := d.Begin(op)
+				id, why := d.BeginOperation(op)
 				if id == "" {
-					d.Break("refused: %s", why)
+					d.ReportBreak("refused: %s", why)
 					return
 				}
-				d.Until("it has gone back", func() bool { op := d.Op(id); return op != nil && op.Back && op.Done })
-				rec, err := d.read(d.ctx)
+				d.WaitUntil("it has gone back", func() bool { op := d.Operation(id); return op != nil && op.Back && op.Done })
+				rec, err := d.readRecord(d.ctx)
 				if err != nil || !strings.Contains(rec.Halts[id].Why, x.why) {
-					d.Break("halted for %q, %v", rec.Halts[id].Why, err)
+					d.ReportBreak("halted for %q, %v", rec.Halts[id].Why, err)
 				}
-				d.Until("the former program runs everywhere", func() bool { return d.programs() == 1 })
-				if a, err := d.person(fleet.Command{Do: "close", Matter: fleet.OpOf(id)}); err != nil || !a.Done {
-					d.Break("not closed: %v %v", a.Why, err)
+				d.WaitUntil("the former program runs everywhere", func() bool { return d.runningPrograms() == 1 })
+				if a, err := d.sendAsOperator(fleet.Command{Do: "close", Matter: fleet.OpOf(id)}); err != nil || !a.Done {
+					d.ReportBreak("not closed: %v %v", a.Why, err)
 				}
 			}, For: 35 * time.Second})
 			clean(t, r)
@@ -136,33 +136,33 @@
 func TestHaltToldToAMinority(t *testing.T) {
 	t.Parallel()
 	r := played(t, Options{Seed: 24, Runs: true, Act: func(d *Day) {
-		d.Limits(oneOut)
+		d.SetLimits(oneOut)
 		no := 0
-		d.Links(no, Gone, Gone)
-		if !d.HaltAt(no, "all") {
-			d.Break("the agent did not halt")
+		d.SetLinks(no, LinkReset, LinkReset)
+		if !d.HaltAgent(no, "all") {
+			d.ReportBreak("the agent did not halt")
 		}
 		d.Kill(no)
 		d.Start(no)
-		id, why := d.Begin(fleet.Op{Kind: "restart", Waves: [][]string{{"s0"}}}) // of that agent
+		id, why := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{{"s0"}}}) // of that agent
 		if id == "" {
-			d.Break("refused: %s", why)
+			d.ReportBreak("refused: %s", why)
 			return
 		}
 		time.Sleep(2 * time.Second)
-		d.Links(no, Whole, Whole)
-		d.Until("the halt is on record", func() bool {
-			rec, err := d.read(d.ctx)
+		d.SetLinks(no, LinkUp, LinkUp)
+		d.WaitUntil("the halt is on record", func() bool {
+			rec, err := d.readRecord(d.ctx)
 			return err == nil && rec.Halts["all"].By != ""
 		})
 		time.Sleep(2 * time.Second)
-		if n := len(d.steps("s0", true)); n > 0 {
-			d.Break("s0 was begun %d times under a halt", n)
+		if n := len(d.begunSteps("s0", true)); n > 0 {
+			d.ReportBreak("s0 was begun %d times under a halt", n)
 		}
-		if a, err := d.person(fleet.Command{Do: "lift", ID: "all"}); err != nil || !a.Done {
-			d.Break("not lifted: %v %v", a.Why, err)
+		if a, err := d.sendAsOperator(fleet.Command{Do: "lift", ID: "all"}); err != nil || !a.Done {
+			d.ReportBreak("not lifted: %v %v", a.Why, err)
 		}
-		d.Until("it is restarted", func() bool { op := d.Op(id); return op != nil && op.Done })
+		d.WaitUntil("it is restarted", func() bool { op := d.Operation(id); return op != nil && op.Done })
 	}, For: 20 * time.Second})
 	clean(t, r)
 }
@@ -172,32 +172,32 @@
 func TestOwnerSleepsThroughAHalt(t *testing.T) {
 	t.Parallel()
 	r := played(t, Options{Seed: 25, Runs: true, Agents: 5, Act: func(d *Day) {
-		d.Limits(oneOut)
-		id, why := d.Begin(fleet.Op{Kind: "release", Waves: [][]string{{"s0", "s1", "s2", "s3"}}, Version: d.released("none")})
+		d.SetLimits(oneOut)
+		id, why := d.BeginOperation(fleet.Op{Kind: "release", Waves: [][]string{{"s0", "s1", "s2", "s3"}}, Version: d.buildRelease("none")})
 		if id == "" {
-			d.Break("refused: %s", why)
+			d.ReportBreak("refused: %s", why)
 			return
 		}
 		old := -1
-		d.Until("it has begun", func() bool {
+		d.WaitUntil("it has begun", func() bool {
 			old = d.OwnerOf(fleet.OpOf(id))
-			return old >= 0 && len(d.steps("", true)) > 0
+			return old >= 0 && len(d.begunSteps("", true)) > 0
 		})
-		d.Still(old, 5*time.Second)
-		d.Until("a successor", func() bool { no := d.OwnerOf(fleet.OpOf(id)); return no >= 0 && no != old })
+		d.Pause(old, 5*time.Second)
+		d.WaitUntil("a successor", func() bool { no := d.OwnerOf(fleet.OpOf(id)); return no >= 0 && no != old })
 		cut := (old + 1) % 4 // of the machine of s0 to s3
-		d.Links(cut, Gone, Gone)
-		if a, err := d.person(fleet.Command{Do: "halt", ID: id, Then: "back"}); err != nil || !a.Done {
-			d.Break("not halted: %v %v", a.Why, err)
+		d.SetLinks(cut, LinkReset, LinkReset)
+		if a, err := d.sendAsOperator(fleet.Command{Do: "halt", ID: id, Then: "back"}); err != nil || !a.Done {
+			d.ReportBreak("not halted: %v %v", a.Why, err)
 		}
 		time.Sleep(3 * time.Second)
-		d.Links(cut, Whole, Whole)
-		d.Until("it has gone back", func() bool { op := d.Op(id); return op != nil && op.Back && op.Done })
-		d.Until("the former program runs everywhere", func() bool { return d.programs() == 1 })
+		d.SetLinks(cut, LinkUp, LinkUp)
+		d.WaitUntil("it has gone back", func() bool { op := d.Operation(id); return op != nil && op.Back && op.Done })
+		d.WaitUntil("the former program runs everywhere", func() bool { return d.runningPrograms() == 1 })
 	}, For: 30 * time.Second})
 	clean(t, r)
-	if r.Most > 1 {
-		t.Errorf("%d out together", r.Most)
+	if r.MostOut > 1 {
+		t.Errorf("%d out together", r.MostOut)
 	}
 }
 
@@ -206,10 +206,10 @@
 func TestWorkersAreRenewed(t *testing.T) {
 	t.Parallel()
 	r := played(t, Options{Seed: 26, Runs: true, Agents: 5, Workers: 8, Act: func(d *Day) {
-		d.Limits([]fleet.Limit{{Kind: "worker", Capacity: 0.3}, {Kind: "worker", Zone: "each", Least: 2}})
-		id, why := d.Begin(fleet.Op{Kind: "restart", Waves: [][]string{{"w0", "w1", "w2"}}})
+		d.SetLimits([]fleet.Limit{{Kind: "worker", Capacity: 0.3}, {Kind: "worker", Zone: "each", Least: 2}})
+		id, why := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{{"w0", "w1", "w2"}}})
 		if id == "" {
-			d.Break("refused: %s", why)
+			d.ReportBreak("refused: %s", why)
 			return
 		}
 		time.Sleep(1500 * time.Millisecond)
@@ -218,8 +218,8 @@
 			time.Sleep(200 * time.Millisecond)
 			d.Start(no)
 		}
-		d.Until("all are renewed, or one is not known to be", func() bool {
-			rec, err := d.read(d.ctx)
+		d.WaitUntil("all are renewed, or one is not known to be", func() bool {
+			rec, err := d.readRecord(d.ctx)
 			return err == nil && (rec.Ops[id].Done || strings.Contains(rec.Halts[id].Why, "unknown"))
 		})
 	}, For: 25 * time.Second})
@@ -231,13 +231,13 @@
 // to be killed.
 func TestRestartAmidFailures(t *testing.T) {
 	for name, fails := range map[string]func(d *Day){
-		"zone lost":       func(d *Day) { d.zoneLost("b", 2*time.Second) },
-		"named twice":     func(d *Day) { d.namedTwice() },
+		"zone lost":       func(d *Day) { d.failZone("b", 2*time.Second) },
+		"named twice":     func(d *Day) { d.nameSchedulerTwice() },
 		"ignores SIGTERM": func(*Day) {},
 		"disk full": func(d *Day) { // at an agent that keeps no record, so that its notes alone are concerned
 			p := d.agents[3]
-			p.faults(map[string]any{"FailAdd": "ENOSPC"})
-			d.Until("its step is refused", func() bool {
+			p.setFaults(map[string]any{"FailAdd": "ENOSPC"})
+			d.WaitUntil("its step is refused", func() bool {
 				for _, o := range d.agents {
 					if strings.Contains(o.tail(1<<20), "it could not be kept") {
 						return true
@@ -245,46 +245,46 @@
 				}
 				return false
 			})
-			if len(d.steps("s3", true)) > 0 {
-				d.Break("a step was begun that could not be kept")
+			if len(d.begunSteps("s3", true)) > 0 {
+				d.ReportBreak("a step was begun that could not be kept")
 			}
-			p.faults(map[string]any{})
+			p.setFaults(map[string]any{})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := played(t, Options{Seed: 27, Runs: true, Agents: 5, Load: 0.1, Act: func(d *Day) {
-				d.Limits(oneOut)
+				d.SetLimits(oneOut)
 				over := func(op fleet.Op, begun func(d *Day)) {
-					id, why := d.Begin(op)
+					id, why := d.BeginOperation(op)
 					if id == "" {
-						d.Break("refused: %s", why)
+						d.ReportBreak("refused: %s", why)
 						return
 					}
-					d.Until("it has begun", func() bool { return len(d.steps("", true)) > 0 })
+					d.WaitUntil("it has begun", func() bool { return len(d.begunSteps("", true)) > 0 })
 					begun(d)
-					if err := d.await(40*time.Second, id+" is over", func() error {
-						if op := d.Op(id); op == nil || !op.Done {
+					if err := d.waitFor(40*time.Second, id+" is over", func() error {
+						if op := d.Operation(id); op == nil || !op.Done {
 							return errors.New("not yet")
 						}
 						return nil
 					}); err != nil {
-						d.Break("%v", err)
+						d.ReportBreak("%v", err)
 					}
 				}
 				waves := [][]string{{"s0", "s1", "s2", "s3"}}
 				if name == "ignores SIGTERM" {
-					over(fleet.Op{Kind: "release", Waves: waves[:1], Version: d.released("ignores-term")}, func(*Day) {})
+					over(fleet.Op{Kind: "release", Waves: waves[:1], Version: d.buildRelease("ignores-term")}, func(*Day) {})
 				}
 				over(fleet.Op{Kind: "restart", Waves: waves}, fails)
-				d.settle()
+				d.restoreService()
 			}, For: 35 * time.Second})
 			if name == "ignores SIGTERM" { // what a killed process had open is lost, as with any
 				r.Breaks = slices.DeleteFunc(r.Breaks, func(b string) bool { return strings.HasPrefix(b, "txns: lost") })
 			}
 			clean(t, r)
-			if r.Most > 1 {
-				t.Errorf("%d out together", r.Most)
+			if r.MostOut > 1 {
+				t.Errorf("%d out together", r.MostOut)
 			}
 		})
 	}
--- a/lab/cluster/process.go
+++ b/lab/cluster/process.go
@@ -16,25 +16,28 @@
 	"shalebeam/agent"
 )
 
-// proc is one agent's process.
-type proc struct {
-	d      *day
-	no     int
-	file   agent.File
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	killed bool
-	stills []span // when it was made to stand still
-	ends   []time.Time
-	last   error
+// agentProcess is an agent and, while it runs, its process.
+type agentProcess struct {
+	d        *day
+	index    int        // in day.agents
+	file     agent.File // its configuration, written at each start
+	mu       sync.Mutex // guards the fields below
+	cmd      *exec.Cmd  // nil while no process runs
+	exited   chan struct{}
+	killed   bool        // by the lab, so that its exit is expected
+	pauses   []interval  // when it was stopped with SIGSTOP
+	endTimes []time.Time // when each of its processes exited
+	exitErr  error       // of the last process that exited
 }
 
-type span struct{ from, to time.Time }
+// interval is a span of wall-clock time.
+type interval struct{ from, to time.Time }
 
-func (p *proc) path(what string) string { return filepath.Join(p.d.dir, p.file.Name+what) }
+// path returns the path of one of the agent's files: ".toml", ".log" or ".faults".
+func (p *agentProcess) path(suffix string) string { return filepath.Join(p.d.dir, p.file.Name+suffix) }
 
-func (p *proc) write() error {
+// writeConfig writes the agent's configuration file.
+func (p *agentProcess) writeConfig() error {
 	raw, err := toml.Marshal(p.file)
 	if err != nil {
 		return err
@@ -42,26 +45,28 @@
 	return os.WriteFile(p.path(".toml"), raw, 0o600)
 }
 
-// faults has the process's disk and clock fail as f says, from now on.
-func (p *proc) faults(f map[string]any) {
-	raw, _ := json.Marshal(f)
+// setFaults has the process's disk and clock fail from now on as faults says, in the fields of quorum.Faults; an empty map ends
+// all faults. The process reads the file at each use, so the file is replaced atomically.
+func (p *agentProcess) setFaults(faults map[string]any) {
+	raw, _ := json.Marshal(faults)
 	tmp := p.path(".faults.new")
 	if os.WriteFile(tmp, raw, 0o600) == nil {
 		_ = os.Rename(tmp, p.path(".faults"))
 	}
 }
 
-func (p *proc) start() error {
+// start starts the agent, unless it runs already or the day is over.
+func (p *agentProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil || p.d.ctx.Err() != nil {
 		return nil
 	}
-	if err := p.write(); err != nil {
+	if err := p.writeConfig(); err != nil {
 		return err
 	}
 	cmd := exec.Command(p.d.opt.Agent, "serve", "--config", p.path(".toml"))
-	// It ends with the test, whatever happens to that.
+	// The agent is killed when the lab's process ends, however that ends.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	cmd.Env = append(os.Environ(), "SHALEBEAM_FAULTS="+p.path(".faults"), "SHALEBEAM_BUG="+p.d.opt.Bug,
 		fmt.Sprint("SHALEBEAM_LEASH=", os.Getpid()))
@@ -74,25 +79,26 @@
 		log.Close()
 		return err
 	}
-	ended := make(chan struct{})
-	p.cmd, p.ended, p.killed = cmd, ended, false
+	exited := make(chan struct{})
+	p.cmd, p.exited, p.killed = cmd, exited, false
 	go func() {
 		err := cmd.Wait()
 		log.Close()
 		p.mu.Lock()
-		p.cmd, p.last = nil, err
-		p.ends = append(p.ends, time.Now())
-		fell := !p.killed && p.d.ctx.Err() == nil
+		p.cmd, p.exitErr = nil, err
+		p.endTimes = append(p.endTimes, time.Now())
+		unexpected := !p.killed && p.d.ctx.Err() == nil
 		p.mu.Unlock()
-		close(ended)
-		if fell {
-			p.d.fell(p)
+		close(exited)
+		if unexpected {
+			p.d.agentExited(p)
 		}
 	}()
 	return nil
 }
 
-func (p *proc) signal(s syscall.Signal) bool {
+// signal sends a signal and returns whether a process got it.
+func (p *agentProcess) signal(s syscall.Signal) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -102,31 +108,32 @@
 	return p.cmd.Process.Signal(s) == nil
 }
 
-// kill ends the process by force, and waits until it is gone.
-func (p *proc) kill() {
+// kill kills the process with SIGKILL and waits until it has exited.
+func (p *agentProcess) kill() {
 	p.mu.Lock()
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
 	if p.signal(syscall.SIGKILL) {
-		<-ended
+		<-exited
 	}
 }
 
-func (p *proc) still(f time.Duration) {
+// pause stops the process with SIGSTOP and has it continue after duration; it returns at once.
+func (p *agentProcess) pause(duration time.Duration) {
 	if !p.signal(syscall.SIGSTOP) {
 		return
 	}
 	p.mu.Lock()
-	p.stills = append(p.stills, span{time.Now(), time.Now().Add(f)})
+	p.pauses = append(p.pauses, interval{time.Now(), time.Now().Add(duration)})
 	p.mu.Unlock()
-	time.AfterFunc(f, func() { p.signal(syscall.SIGCONT) })
+	time.AfterFunc(duration, func() { p.signal(syscall.SIGCONT) })
 }
 
-// wasStill tells whether the process stood still in the time before at.
-func (p *proc) wasStill(at time.Time, before time.Duration) bool {
+// wasPaused reports whether the process was paused at any time in the span of length before that ends at at.
+func (p *agentProcess) wasPaused(at time.Time, before time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.stills {
+	for _, s := range p.pauses {
 		if s.from.Before(at) && s.to.After(at.Add(-before)) {
 			return true
 		}
@@ -134,28 +141,29 @@
 	return false
 }
 
-// tail is the end of the process's log.
-func (p *proc) tail(n int) string {
+// tail returns the last n lines of the agent's log.
+func (p *agentProcess) tail(n int) string {
 	raw, _ := os.ReadFile(p.path(".log"))
 	lines := strings.Split(strings.TrimSpace(string(raw)), "\n")
 	return strings.Join(lines[max(0, len(lines)-n):], "\n")
 }
 
-// copyLog keeps the present log of a voter's disk, to be put back later as an older one.
-func (p *proc) copyLog() []byte {
+// readLog returns the replicated log from a voter's disk, nil if there is none.
+func (p *agentProcess) readLog() []byte {
 	raw, _ := os.ReadFile(filepath.Join(p.file.Data, "log"))
 	return raw
 }
 
-func (p *proc) putLog(raw []byte) error {
+// writeLog replaces the replicated log on a voter's disk.
+func (p *agentProcess) writeLog(raw []byte) error {
 	return os.WriteFile(filepath.Join(p.file.Data, "log"), raw, 0o600)
 }
 
-// spoil changes a voter's log while its process is gone, as a disk does.
-func (p *proc) spoil(f func(raw []byte) []byte) error {
-	raw := p.copyLog()
+// corruptLog rewrites a voter's replicated log with change while its process is down, as a faulty disk may.
+func (p *agentProcess) corruptLog(change func(raw []byte) []byte) error {
+	raw := p.readLog()
 	if len(raw) == 0 {
-		return fmt.Errorf("no log of %s", p.file.Name)
+		return fmt.Errorf("log on the disk of %s is missing or empty", p.file.Name)
 	}
-	return p.putLog(f(raw))
+	return p.writeLog(change(raw))
 }
--- a/lab/cluster/relay.go
+++ b/lab/cluster/relay.go
@@ -8,83 +8,90 @@
 	"time"
 )
 
-// Mode is what a link does to the bytes of one direction.
-type Mode int
+// LinkMode is how a relay treats the bytes of one direction.
+type LinkMode int
 
 const (
-	Whole   Mode = iota
-	Stalled      // bytes are taken, and none delivered; they come when it is whole again
-	Slow         // a byte now and then
-	Gone         // connections are reset, and none is made
+	LinkUp      LinkMode = iota
+	LinkStalled          // bytes are accepted and delivered only once the link is up again
+	LinkSlow             // one byte every 5 ms
+	LinkReset            // open connections are reset and new ones are refused with a reset
 )
 
-// relay is a directed link from one process to another's address: what the one sends, and what comes back.
+// relay is a TCP forwarder from one process to the address of another, with faults. Direction 0 is from the caller to the
+// target, direction 1 is back.
 type relay struct {
-	l     net.Listener
-	to    string
-	mu    sync.Mutex
-	cond  *sync.Cond
-	mode  [2]Mode // there, and back
-	open  map[net.Conn]bool
-	done  bool
-	turn  int          // of the connections made from now on
-	bytes atomic.Int64 // carried, both ways
-	held  int          // those of this turn and before deliver nothing, while later ones pass
+	listener       net.Listener
+	target         string
+	mu             sync.Mutex
+	cond           *sync.Cond
+	mode           [2]LinkMode // by direction
+	conns          map[net.Conn]bool
+	closed         bool
+	generation     int          // of the connections accepted from now on
+	bytes          atomic.Int64 // forwarded, in both directions
+	heldGeneration int          // connections up to this generation deliver nothing while newer ones pass, -1 for none
 }
 
-func newRelay(to string) (*relay, error) {
+// newRelay starts a relay to target on a free loopback port.
+func newRelay(target string) (*relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{l: l, to: to, open: map[net.Conn]bool{}, held: -1}
+	r := &relay{listener: l, target: target, conns: map[net.Conn]bool{}, heldGeneration: -1}
 	r.cond = sync.NewCond(&r.mu)
-	go r.run()
+	go r.acceptLoop()
 	return r, nil
 }
 
-func (r *relay) addr() string { return r.l.Addr().String() }
+// addr returns the address at which the relay listens.
+func (r *relay) addr() string { return r.listener.Addr().String() }
 
-func (r *relay) set(there, back Mode) {
+// setMode sets the modes of the directions to the target and back. LinkReset also resets the open connections.
+func (r *relay) setMode(there, back LinkMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.mode = [2]Mode{there, back}
-	if there == Gone || back == Gone {
-		for c := range r.open {
+	r.mode = [2]LinkMode{there, back}
+	if there == LinkReset || back == LinkReset {
+		for c := range r.conns {
 			reset(c)
 		}
 	}
 	r.cond.Broadcast()
 }
 
-// hold keeps what lies in the connections that are open now, and lets later ones pass: one path of several is stuck.
-// Release delivers it.
-func (r *relay) hold() {
+// holdOpenConns holds back the bytes in the connections that are open now, until releaseConns, and has newer connections pass:
+// the link is up, and one path of several is stuck.
+func (r *relay) holdOpenConns() {
 	r.mu.Lock()
-	r.held = r.turn
-	r.turn++
-	r.mode = [2]Mode{}
+	r.heldGeneration = r.generation
+	r.generation++
+	r.mode = [2]LinkMode{}
 	r.mu.Unlock()
 }
 
-func (r *relay) release() {
+// releaseConns delivers what holdOpenConns has held back.
+func (r *relay) releaseConns() {
 	r.mu.Lock()
-	r.held = -1
+	r.heldGeneration = -1
 	r.cond.Broadcast()
 	r.mu.Unlock()
 }
 
+// close closes the listener and all connections.
 func (r *relay) close() {
 	r.mu.Lock()
-	r.done = true
-	for c := range r.open {
+	r.closed = true
+	for c := range r.conns {
 		c.Close()
 	}
 	r.cond.Broadcast()
 	r.mu.Unlock()
-	r.l.Close()
+	r.listener.Close()
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -92,63 +99,67 @@
 	c.Close()
 }
 
-func (r *relay) run() {
+// acceptLoop accepts connections until the listener is closed.
+func (r *relay) acceptLoop() {
 	for {
-		c, err := r.l.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
-		turn, gone := r.turn, r.mode[0] == Gone || r.mode[1] == Gone || r.done
+		generation, gone := r.generation, r.mode[0] == LinkReset || r.mode[1] == LinkReset || r.closed
 		if !gone {
-			r.open[c] = true
+			r.conns[c] = true
 		}
 		r.mu.Unlock()
 		if gone {
 			reset(c)
 			continue
 		}
-		go r.join(c, turn)
+		go r.serveConn(c, generation)
 	}
 }
 
-func (r *relay) join(c net.Conn, turn int) {
-	defer r.forget(c)
-	// What was sent into a stalled link is delivered when it is whole again, though its sender has long given up, and to
-	// whoever listens there by then: a process may have been started again meanwhile.
+// serveConn forwards one accepted connection. It dials the target only once the caller has sent something.
+func (r *relay) serveConn(c net.Conn, generation int) {
+	defer r.closeConn(c)
+	// Bytes sent into a stalled link are delivered once the link is up, even if the sender has given up since, and to the
+	// process that listens at the target by then, which may have been restarted meanwhile.
 	first := make([]byte, 32<<10)
 	n, err := c.Read(first)
-	if err != nil || r.wait(0, turn) == Gone {
+	if err != nil || r.waitWhileHeld(0, generation) == LinkReset {
 		reset(c)
 		return
 	}
-	s, err := net.DialTimeout("tcp", r.to, time.Second)
+	s, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
 		reset(c)
 		return
 	}
 	r.mu.Lock()
-	r.open[s] = true
+	r.conns[s] = true
 	r.mu.Unlock()
-	defer r.forget(s)
+	defer r.closeConn(s)
 	back := make(chan struct{})
 	go func() {
 		defer close(back)
-		r.copy(1, turn, nil, c, s)
+		r.copyBytes(1, generation, nil, c, s)
 	}()
-	r.copy(0, turn, first[:n], s, c)
+	r.copyBytes(0, generation, first[:n], s, c)
 	<-back
 }
 
-func (r *relay) forget(c net.Conn) {
+// closeConn closes a connection and removes it from the open ones.
+func (r *relay) closeConn(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
-	delete(r.open, c)
+	delete(r.conns, c)
 	r.mu.Unlock()
 }
 
-// copy carries one direction until its end, which it passes on in its turn; first is what was read of it already.
-func (r *relay) copy(way, turn int, first []byte, to, from net.Conn) {
+// copyBytes forwards one direction until its end, which it passes on by a half-close in order with the bytes. first holds the
+// bytes that were read already.
+func (r *relay) copyBytes(direction, generation int, first []byte, to, from net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := len(first), error(nil)
@@ -158,11 +169,11 @@
 		first = nil
 		for sent := 0; sent < n; {
 			k := n - sent
-			switch r.wait(way, turn) {
-			case Gone:
+			switch r.waitWhileHeld(direction, generation) {
+			case LinkReset:
 				reset(to)
 				return
-			case Slow:
+			case LinkSlow:
 				k = 1
 				time.Sleep(5 * time.Millisecond)
 			}
@@ -174,7 +185,7 @@
 			sent += k
 		}
 		if err != nil {
-			if r.wait(way, turn) == Gone {
+			if r.waitWhileHeld(direction, generation) == LinkReset {
 				reset(to)
 			} else if t, ok := to.(*net.TCPConn); ok {
 				_ = t.CloseWrite()
@@ -184,15 +195,16 @@
 	}
 }
 
-// wait holds bytes while the link is stalled.
-func (r *relay) wait(way, turn int) Mode {
+// waitWhileHeld blocks while the direction is stalled or the connection's generation is held back, and returns the mode that
+// applies then; LinkReset once the relay is closed.
+func (r *relay) waitWhileHeld(direction, generation int) LinkMode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for (r.mode[way] == Stalled || turn <= r.held) && !r.done {
+	for (r.mode[direction] == LinkStalled || generation <= r.heldGeneration) && !r.closed {
 		r.cond.Wait()
 	}
-	if r.done {
-		return Gone
+	if r.closed {
+		return LinkReset
 	}
-	return r.mode[way]
+	return r.mode[direction]
 }
