--- a/lab/cluster/ops_test.go
+++ b/lab/cluster/ops_test.go
@@ -12,16 +12,17 @@
 	"shalebeam/fleet"
 )
 
-func most(n int) *int { return &n }
+func intPtr(n int) *int { return &n }
 
-var oneOut = []fleet.Limit{{Kind: "scheduler", Most: most(1)}, {Kind: "worker", Share: 0.25}}
+// oneSchedulerOut allows one scheduler, and a quarter of the workers, to be out at once.
+var oneSchedulerOut = []fleet.Limit{{Kind: "scheduler", Most: intPtr(1)}, {Kind: "worker", Share: 0.25}}
 
-// All schedulers are restarted one after the other under load, by agents, within the limit. The owner of the operation is
-// killed between a permit and what follows from it, again and again; a successor goes on at the step recorded.
-func TestRestartOfAllWhileOwnersDie(t *testing.T) {
+// All schedulers are restarted one after the other under load, within the limit. The owner of the operation is killed twice
+// between a granted permit and the step that follows from it; a successor must go on at the recorded step.
+func TestRestartOfAllWhileOwnersAreKilled(t *testing.T) {
 	t.Parallel()
-	r := played(t, Options{Seed: 21, Runs: true, Agents: 5, Act: func(d *Day) {
-		d.SetLimits(oneOut)
+	r := playDay(t, Options{Seed: 21, Runs: true, Agents: 5, Act: func(d *Day) {
+		d.SetLimits(oneSchedulerOut)
 		id, why := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}})
 		if id == "" {
 			d.ReportBreak("refused: %s", why)
@@ -39,30 +40,30 @@
 					granted++
 				}
 			}
-			if no := d.OwnerOf(fleet.OpOf(id)); granted > 0 && no >= 0 && kills < 2 {
+			if index := d.OwnerOf(fleet.OpOf(id)); granted > 0 && index >= 0 && kills < 2 {
 				kills++
-				d.Kill(no)
+				d.Kill(index)
 				time.Sleep(300 * time.Millisecond)
-				d.Start(no)
+				d.Start(index)
 			}
 			return false
 		})
 		if kills < 2 {
-			d.ReportBreak("owners were killed %d times", kills)
+			d.ReportBreak("owners were killed %d times, expected 2", kills)
 		}
 	}, For: 20 * time.Second})
-	clean(t, r)
+	requireNoBreaks(t, r)
 	if r.MostOut > 1 {
 		t.Errorf("%d out together", r.MostOut)
 	}
 }
 
-// Two operators drain different zones in the same instant, with room for one; the one that waits goes on when the other is
-// brought back.
+// Two operators drain schedulers of different zones at the same moment, and the limit allows one to be out. The drain that waits
+// must go on once the other scheduler is back in service.
 func TestTwoDrainsWithRoomForOne(t *testing.T) {
 	t.Parallel()
-	r := played(t, Options{Seed: 22, Runs: true, Act: func(d *Day) {
-		d.SetLimits(oneOut)
+	r := playDay(t, Options{Seed: 22, Runs: true, Act: func(d *Day) {
+		d.SetLimits(oneSchedulerOut)
 		var both sync.WaitGroup
 		ids := make([]string, 2)
 		for i, id := range []string{"s0", "s1"} { // of zones a and b
@@ -70,7 +71,7 @@
 		}
 		both.Wait()
 		first := -1
-		d.WaitUntil("one is out", func() bool {
+		d.WaitUntil("one scheduler is out", func() bool {
 			for i, id := range ids {
 				if op := d.Operation(id); op != nil && op.Done {
 					first = i
@@ -80,35 +81,35 @@
 		})
 		time.Sleep(2 * time.Second)
 		if op := d.Operation(ids[1-first]); op == nil || op.Done {
-			d.ReportBreak("both are out")
+			d.ReportBreak("both schedulers are out, or the second drain can't be read")
 		}
 		back, why := d.BeginOperation(fleet.Op{Kind: "undrain", Waves: [][]string{{fmt.Sprint("s", first)}}})
 		if back == "" {
 			d.ReportBreak("refused: %s", why)
 		}
-		d.WaitUntil("the other is out", func() bool { op := d.Operation(ids[1-first]); return op != nil && op.Done })
+		d.WaitUntil("the other scheduler is out", func() bool { op := d.Operation(ids[1-first]); return op != nil && op.Done })
 		last, why := d.BeginOperation(fleet.Op{Kind: "undrain", Waves: [][]string{{fmt.Sprint("s", 1-first)}}})
 		if last == "" {
 			d.ReportBreak("refused: %s", why)
 		}
-		d.WaitUntil("all serve", func() bool { op := d.Operation(last); return op != nil && op.Done })
+		d.WaitUntil("all schedulers serve", func() bool { op := d.Operation(last); return op != nil && op.Done })
 	}, For: 20 * time.Second})
-	clean(t, r)
+	requireNoBreaks(t, r)
 	if r.MostOut != 1 {
 		t.Errorf("%d out together", r.MostOut)
 	}
 }
 
-// Programs that don't come up, decline all or fall after a while: each release halts by itself, with the reason, and goes
-// back.
-func TestBadReleasesGoBack(t *testing.T) {
+// Released programs that never get ready, decline everything or crash after a while: each release must halt by itself with the
+// reason and roll back.
+func TestBadReleasesRollBack(t *testing.T) {
 	for _, x := range []struct {
 		bug, why string
 	}{{"never-ready", "not ready in time"}, {"declines-all", "gate: "}, {"crashes-later", "left service"}} {
 		t.Run(x.bug, func(t *testing.T) {
 			t.Parallel()
-			r := played(t, Options{Seed: 23, Runs: true, Load: 0.5, Act: func(d *Day) {
-				d.SetLimits(oneOut)
+			r := playDay(t, Options{Seed: 23, Runs: true, Load: 0.5, Act: func(d *Day) {
+				d.SetLimits(oneSchedulerOut)
 				op := fleet.Op{Kind: "release", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}, Version: d.buildRelease(x.bug), Watch: 6000, AutoBack: true,
 					Gates: fleet.Gates{Settled: 0.3, Txns: 30, Lost: 1}}
 				id, why := d.BeginOperation(op)
@@ -126,86 +127,87 @@
 					d.ReportBreak("not closed: %v %v", a.Why, err)
 				}
 			}, For: 35 * time.Second})
-			clean(t, r)
+			requireNoBreaks(t, r)
 		})
 	}
 }
 
-// A halt is told to the one agent that is cut off from the others, and so by no majority: its machine halts at once; what it
-// was told goes on record when it is back, and outlives its restart. Only a person lifts it.
-func TestHaltToldToAMinority(t *testing.T) {
+// A halt is sent only to an agent that is cut off from the others, so no majority knows of it. The agent must start nothing on its
+// machine from then on, keep the halt over a restart and put it on record once it is connected again. Only an operator lifts it.
+func TestHaltSentToMinority(t *testing.T) {
 	t.Parallel()
-	r := played(t, Options{Seed: 24, Runs: true, Act: func(d *Day) {
-		d.SetLimits(oneOut)
-		no := 0
-		d.SetLinks(no, LinkReset, LinkReset)
-		if !d.HaltAgent(no, "all") {
+	r := playDay(t, Options{Seed: 24, Runs: true, Act: func(d *Day) {
+		d.SetLimits(oneSchedulerOut)
+		index := 0
+		d.SetLinks(index, LinkReset, LinkReset)
+		if !d.HaltAgent(index, "all") {
 			d.ReportBreak("the agent did not halt")
 		}
-		d.Kill(no)
-		d.Start(no)
+		d.Kill(index)
+		d.Start(index)
 		id, why := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{{"s0"}}}) // of that agent
 		if id == "" {
 			d.ReportBreak("refused: %s", why)
 			return
 		}
 		time.Sleep(2 * time.Second)
-		d.SetLinks(no, LinkUp, LinkUp)
+		d.SetLinks(index, LinkUp, LinkUp)
 		d.WaitUntil("the halt is on record", func() bool {
 			rec, err := d.readRecord(d.ctx)
 			return err == nil && rec.Halts["all"].By != ""
 		})
 		time.Sleep(2 * time.Second)
 		if n := len(d.begunSteps("s0", true)); n > 0 {
-			d.ReportBreak("s0 was begun %d times under a halt", n)
+			d.ReportBreak("%d steps were begun at s0 during a halt, expected none", n)
 		}
 		if a, err := d.sendAsOperator(fleet.Command{Do: "lift", ID: "all"}); err != nil || !a.Done {
 			d.ReportBreak("not lifted: %v %v", a.Why, err)
 		}
 		d.WaitUntil("it is restarted", func() bool { op := d.Operation(id); return op != nil && op.Done })
 	}, For: 20 * time.Second})
-	clean(t, r)
+	requireNoBreaks(t, r)
 }
 
-// The owner of an operation stands still for longer than its term, its successor goes on and a halt comes: when it wakes,
-// nothing of it counts. The agent of a machine is cut off halfway, the release is called off, and it comes back.
-func TestOwnerSleepsThroughAHalt(t *testing.T) {
+// The owner of a release is paused for longer than its lease; its successor goes on and the release is halted and rolled back. When
+// the old owner wakes up, its calls must be refused. The agent of another machine is cut off during the release and must roll back
+// once it is connected again.
+func TestOwnerPausedDuringHalt(t *testing.T) {
 	t.Parallel()
-	r := played(t, Options{Seed: 25, Runs: true, Agents: 5, Act: func(d *Day) {
-		d.SetLimits(oneOut)
+	r := playDay(t, Options{Seed: 25, Runs: true, Agents: 5, Act: func(d *Day) {
+		d.SetLimits(oneSchedulerOut)
 		id, why := d.BeginOperation(fleet.Op{Kind: "release", Waves: [][]string{{"s0", "s1", "s2", "s3"}}, Version: d.buildRelease("none")})
 		if id == "" {
 			d.ReportBreak("refused: %s", why)
 			return
 		}
-		old := -1
+		oldOwner := -1
 		d.WaitUntil("it has begun", func() bool {
-			old = d.OwnerOf(fleet.OpOf(id))
-			return old >= 0 && len(d.begunSteps("", true)) > 0
+			oldOwner = d.OwnerOf(fleet.OpOf(id))
+			return oldOwner >= 0 && len(d.begunSteps("", true)) > 0
 		})
-		d.Pause(old, 5*time.Second)
-		d.WaitUntil("a successor", func() bool { no := d.OwnerOf(fleet.OpOf(id)); return no >= 0 && no != old })
-		cut := (old + 1) % 4 // of the machine of s0 to s3
-		d.SetLinks(cut, LinkReset, LinkReset)
+		d.Pause(oldOwner, 5*time.Second)
+		d.WaitUntil("a successor", func() bool { index := d.OwnerOf(fleet.OpOf(id)); return index >= 0 && index != oldOwner })
+		cutOff := (oldOwner + 1) % 4 // runs one of s0 to s3
+		d.SetLinks(cutOff, LinkReset, LinkReset)
 		if a, err := d.sendAsOperator(fleet.Command{Do: "halt", ID: id, Then: "back"}); err != nil || !a.Done {
 			d.ReportBreak("not halted: %v %v", a.Why, err)
 		}
 		time.Sleep(3 * time.Second)
-		d.SetLinks(cut, LinkUp, LinkUp)
+		d.SetLinks(cutOff, LinkUp, LinkUp)
 		d.WaitUntil("it has gone back", func() bool { op := d.Operation(id); return op != nil && op.Back && op.Done })
 		d.WaitUntil("the former program runs everywhere", func() bool { return d.runningPrograms() == 1 })
 	}, For: 30 * time.Second})
-	clean(t, r)
+	requireNoBreaks(t, r)
 	if r.MostOut > 1 {
 		t.Errorf("%d out together", r.MostOut)
 	}
 }
 
-// Workers are renewed by the site's own command, each out at every scheduler before and warm again after, never two for one
-// step though owners and agents are killed on the way.
+// Workers are renewed by the site's own command: each is out at every scheduler before and warm again after. The command must not
+// run twice for one step, though the owner's agent is killed meanwhile.
 func TestWorkersAreRenewed(t *testing.T) {
 	t.Parallel()
-	r := played(t, Options{Seed: 26, Runs: true, Agents: 5, Workers: 8, Act: func(d *Day) {
+	r := playDay(t, Options{Seed: 26, Runs: true, Agents: 5, Workers: 8, Act: func(d *Day) {
 		d.SetLimits([]fleet.Limit{{Kind: "worker", Capacity: 0.3}, {Kind: "worker", Zone: "each", Least: 2}})
 		id, why := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{{"w0", "w1", "w2"}}})
 		if id == "" {
@@ -213,31 +215,31 @@
 			return
 		}
 		time.Sleep(1500 * time.Millisecond)
-		if no := d.OwnerOf(fleet.OpOf(id)); no >= 0 {
-			d.Kill(no)
+		if index := d.OwnerOf(fleet.OpOf(id)); index >= 0 {
+			d.Kill(index)
 			time.Sleep(200 * time.Millisecond)
-			d.Start(no)
+			d.Start(index)
 		}
-		d.WaitUntil("all are renewed, or one is not known to be", func() bool {
+		d.WaitUntil("all workers are renewed, or the outcome of one is unknown", func() bool {
 			rec, err := d.readRecord(d.ctx)
 			return err == nil && (rec.Ops[id].Done || strings.Contains(rec.Halts[id].Why, "unknown"))
 		})
 	}, For: 25 * time.Second})
-	clean(t, r)
+	requireNoBreaks(t, r)
 }
 
-// What fails by itself while schedulers are restarted one after the other, and everybody is in service at the end: a whole
-// zone; the disk of a later one's agent; a name that another agent's file has too; a program that ignores SIGTERM and has
-// to be killed.
+// Failures while schedulers are restarted one after the other: a whole zone; the disk of an agent whose scheduler comes later; a
+// second agent configured with the same scheduler; a program that ignores SIGTERM and has to be killed. All members must be in
+// service at the end.
 func TestRestartAmidFailures(t *testing.T) {
 	for name, fails := range map[string]func(d *Day){
 		"zone lost":       func(d *Day) { d.failZone("b", 2*time.Second) },
 		"named twice":     func(d *Day) { d.nameSchedulerTwice() },
 		"ignores SIGTERM": func(*Day) {},
-		"disk full": func(d *Day) { // at an agent that keeps no record, so that its notes alone are concerned
+		"disk full": func(d *Day) { // at an agent that is no voter, so that only its notes of steps can't be written
 			p := d.agents[3]
 			p.setFaults(map[string]any{"FailAdd": "ENOSPC"})
-			d.WaitUntil("its step is refused", func() bool {
+			d.WaitUntil("its agent refuses the step", func() bool {
 				for _, o := range d.agents {
 					if strings.Contains(o.tail(1<<20), "it could not be kept") {
 						return true
@@ -246,15 +248,15 @@
 				return false
 			})
 			if len(d.begunSteps("s3", true)) > 0 {
-				d.ReportBreak("a step was begun that could not be kept")
+				d.ReportBreak("a step was begun that could not be noted on disk")
 			}
 			p.setFaults(map[string]any{})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := played(t, Options{Seed: 27, Runs: true, Agents: 5, Load: 0.1, Act: func(d *Day) {
-				d.SetLimits(oneOut)
+			r := playDay(t, Options{Seed: 27, Runs: true, Agents: 5, Load: 0.1, Act: func(d *Day) {
+				d.SetLimits(oneSchedulerOut)
 				over := func(op fleet.Op, begun func(d *Day)) {
 					id, why := d.BeginOperation(op)
 					if id == "" {
@@ -279,10 +281,10 @@
 				over(fleet.Op{Kind: "restart", Waves: waves}, fails)
 				d.restoreService()
 			}, For: 35 * time.Second})
-			if name == "ignores SIGTERM" { // what a killed process had open is lost, as with any
+			if name == "ignores SIGTERM" { // a killed process loses its open txns, as any killed process does
 				r.Breaks = slices.DeleteFunc(r.Breaks, func(b string) bool { return strings.HasPrefix(b, "txns: lost") })
 			}
-			clean(t, r)
+			requireNoBreaks(t, r)
 			if r.MostOut > 1 {
 				t.Errorf("%d out together", r.MostOut)
 			}
