--- a/lab/cluster/day.go
+++ b/lab/cluster/day.go
@@ -39,8 +39,8 @@
 	Schedulers int
 	Workers    int
 	For        time.Duration // how long faults are injected
-	Program    string        // path of shalebeam, built with the tag faults
-	Agent      string        // path of beamagent, built with the tag faults
+	Program    string        // path of shalebeam; Bug and faults of disks and clocks need a build with the tag faults
+	Agent      string        // path of beamagent, built alike
 	Dir        string        // for configurations, logs and disks
 	Bug        string        // the bug of Bugs that the processes are started with, "" for none
 	NoFaults   bool          // inject no seeded faults
