--- a/scheduler/clients.go
+++ b/scheduler/clients.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	headMost          = 16 << 10 // bytes of a request's or response's head
+	maxHeadBytes      = 16 << 10 // bytes of a request's or response's head
 	maxBodyBytes      = 64 << 10 // of a request
 	defaultMemoryMB   = 64       // where the configuration gives no limit
 	bodyMemoryDivisor = 8        // 1/8 of the memory is for bodies: each is held about twice, and the collector needs as much
-	refMost           = 128      // bytes of a Request-Id
+	maxRefBytes       = 128      // bytes of a Request-Id
 	// Connections accepted beyond the limit only to answer 503: the client may have written its request already.
 	extraClients = 16
 
@@ -29,14 +29,15 @@
 	// closed first in any case.
 	requestIdleMs  = 2000.0
 	requestTotalMs = 10000.0
-	// How long a client's connection may be idle between two requests, in ms.
-	idleFor        = 60000.0
-	writeTimeoutMs = 10000.0 // for a client to receive its answer
-	lingerMs       = 1000.0  // for a client to read its last answer before the connection is closed
-	pollAttempts   = 20      // of a poll system call that was interrupted or found no memory
-	minWaitMs      = 5.0     // shorter waits are the event loop's normal latency
-	minTimeLeftMs  = 1.0     // what a txn gets if its client's timeout has passed by the time that the request is read
-	logIntervalMs  = 1000.0  // between log lines on the limit, which may be hit with each new connection
+	// How long a client's connection may be idle between two requests, in ms. If no txn was answered on it yet, it
+	// is closed after requestIdleMs already.
+	keepAliveIdleMs = 60000.0
+	writeTimeoutMs  = 10000.0 // for a client to receive its answer
+	lingerMs        = 1000.0  // for a client to read its last answer before the connection is closed
+	pollAttempts    = 20      // of a poll system call that was interrupted or found no memory
+	minWaitMs       = 5.0     // shorter waits are the event loop's normal latency
+	minTimeLeftMs   = 1.0     // what a txn gets if its client's timeout has passed by the time that the request is read
+	logIntervalMs   = 1000.0  // between log lines on the limit, which may be hit with each new connection
 )
 
 // clients holds the connections that clients have made. All its fields and methods are for the event loop.
@@ -55,8 +56,8 @@
 	conn             eventloop.Conn // nil once it is closed
 	index            int            // in clients.all
 	req              http1.Request
-	t                *txn    // the txn that waits for its answer; nil: none
-	since            float64 // when its present state began, or when part of a request last arrived
+	txn              *txn    // the txn that waits for its answer; nil: none
+	stateSince       float64 // when its present state began, or when part of a request last arrived
 	requestStart     float64 // when the first byte of the request arrived
 	answeredTxn      bool    // a txn was answered on it, so it is not the connection of a client that never sends a request
 	overLimit        bool    // accepted beyond maxClients: its request is answered 503 at once
@@ -65,13 +66,13 @@
 	bodyBytes        int     // size of its request's body
 	closeAfterAnswer bool    // the answer to the present request is the last one
 	closing          bool    // the last answer is being written, or was
-	shut             bool    // all was written, and the connection is half-closed
+	writeClosed      bool    // all was written, and the connection is half-closed
 	departed         bool    // the client has closed it, which the loop has yet to read
 
 	transferred bool // taken over from another process of this scheduler
 }
 
-var requestLimits = http1.Limits{Head: headMost, Body: maxBodyBytes}
+var requestLimits = http1.Limits{Head: maxHeadBytes, Body: maxBodyBytes}
 
 func (cs *clients) init(s *Scheduler) {
 	cs.s = s
@@ -86,7 +87,7 @@
 		mb = defaultMemoryMB
 	}
 	cs.bodyBytesLimit = s.handover.limitShare(mb<<20) / bodyMemoryDivisor
-	cs.maxClients = s.sockets() - ownSockets - s.workerConnsMost() - s.dialsMost() - extraClients
+	cs.maxClients = s.maxDescriptors() - reservedDescriptors - s.maxWorkerConns() - s.maxDials() - extraClients
 	for len(cs.all) > cs.maxClients {
 		evicted := cs.evictionCandidate(nil)
 		if evicted == nil {
@@ -96,9 +97,9 @@
 	}
 }
 
-// sockets returns how many descriptors the process may hold: its share of the configured limit, and no more than the system's
-// limit.
-func (s *Scheduler) sockets() int {
+// maxDescriptors returns how many descriptors the process may hold: its share of the configured limit, and no more than the
+// system's limit.
+func (s *Scheduler) maxDescriptors() int {
 	n := s.node.Limits.Sockets
 	if n <= 0 {
 		n = defaultSockets
@@ -120,13 +121,13 @@
 func (cs *clients) accept(conn eventloop.Conn) {
 	c := &client{s: cs.s}
 	conn.SetContext(c)
-	cs.s.handover.came()
+	cs.s.handover.noteArrival()
 	cs.add(c, conn)
 }
 
 // add registers a connection, and keeps the number of connections within its limit.
 func (cs *clients) add(c *client, conn eventloop.Conn) {
-	c.conn, c.index, c.since = conn, len(cs.all), cs.s.now()
+	c.conn, c.index, c.stateSince = conn, len(cs.all), cs.s.now()
 	c.req.Reset(requestLimits)
 	cs.all = append(cs.all, c)
 	if len(cs.all) <= cs.maxClients {
@@ -154,7 +155,7 @@
 func (cs *clients) evictionCandidate(except *client) (best *client) {
 	for _, candidate := range cs.all {
 		if candidate != except && candidate.evictionRank() > 0 && (best == nil || candidate.evictionRank() > best.evictionRank() ||
-			candidate.evictionRank() == best.evictionRank() && candidate.since < best.since) && !candidate.unread() {
+			candidate.evictionRank() == best.evictionRank() && candidate.stateSince < best.stateSince) && !candidate.hasUnread() {
 			best = candidate
 		}
 	}
@@ -166,7 +167,7 @@
 // at the process's end), or a client that had a txn answered is still connected.
 func (cs *clients) hasPending() bool {
 	for _, c := range cs.all {
-		if c.t != nil || c.requestBegun || c.conn.OutboundBuffered() > 0 || c.answeredTxn || c.unread() || c.hasUnacked() {
+		if c.txn != nil || c.requestBegun || c.conn.OutboundBuffered() > 0 || c.answeredTxn || c.hasUnread() || c.hasUnacked() {
 			return true
 		}
 	}
@@ -178,7 +179,7 @@
 // that had a txn answered and are between two requests.
 func (c *client) evictionRank() int {
 	switch {
-	case c.t != nil || c.conn.OutboundBuffered() > 0 || c.answeredTxn && c.requestBegun:
+	case c.txn != nil || c.conn.OutboundBuffered() > 0 || c.answeredTxn && c.requestBegun:
 		return 0
 	case c.closing:
 		return 4
@@ -190,9 +191,9 @@
 	return 3
 }
 
-// unread tells whether bytes have arrived that the loop has not read yet. They may be a whole request, and a request that has
+// hasUnread tells whether bytes have arrived that the loop has not read yet. They may be a whole request, and a request that has
 // arrived is to be answered.
-func (c *client) unread() bool {
+func (c *client) hasUnread() bool {
 	n, err := unix.IoctlGetInt(c.conn.Fd(), unix.SIOCINQ)
 	return err == nil && n > 0
 }
@@ -203,9 +204,9 @@
 	return err == nil && n > 0
 }
 
-// left tells whether the client has closed its connection or its sending side. The loop may not have read that yet: it comes
-// after bytes that are not read, or it arrived while the loop was busy.
-func (c *client) left() bool {
+// hasLeft tells whether the client has closed its connection or its sending side. The event loop may not have read that yet:
+// the end of the stream comes after bytes that are not read, or arrived while the loop was busy.
+func (c *client) hasLeft() bool {
 	fds := []unix.PollFd{{Fd: int32(c.conn.Fd()), Events: unix.POLLRDHUP}}
 	for range pollAttempts {
 		if n, err := unix.Poll(fds, 0); err == nil {
@@ -215,8 +216,8 @@
 	return false
 }
 
-// leave closes the connection of a client that left reports as gone, before the loop has read its end.
-func (c *client) leave() {
+// closeDeparted closes the connection of a client for which hasLeft is true, before the event loop has read its end.
+func (c *client) closeDeparted() {
 	c.departed = true
 	c.close()
 }
@@ -233,12 +234,12 @@
 // closed removes the connection, and ends the txn that waits for its answer.
 func (c *client) closed(_ eventloop.Conn, err error) {
 	cs := &c.s.clients
-	if c.t != nil && (c.departed || endedByPeer(err)) {
-		cs.s.metrics.left++
-	} else if c.t != nil {
+	if c.txn != nil && (c.departed || endedByPeer(err)) {
+		cs.s.metrics.clientsLeft++
+	} else if c.txn != nil {
 		cs.s.metrics.unanswered++
-		cs.s.log.Printf("msg=request state=unanswered id=%s phase=%s attempts=%d open=%d err=%q", c.t.ref, cs.s.phase,
-			len(c.t.posts), c.t.out, fmt.Sprint(err))
+		cs.s.log.Printf("msg=request state=unanswered id=%s phase=%s attempts=%d open=%d err=%q", c.txn.ref, cs.s.phase,
+			len(c.txn.postings), c.txn.openPostings, fmt.Sprint(err))
 	}
 	last := len(cs.all) - 1
 	cs.all[c.index] = cs.all[last]
@@ -246,9 +247,9 @@
 	cs.all = cs.all[:last]
 	c.conn = nil
 	c.setBodyBytes(0)
-	if t := c.t; t != nil {
-		c.t = nil
-		c.s.drive.gone(t)
+	if t := c.txn; t != nil {
+		c.txn = nil
+		c.s.driver.clientGone(t)
 	}
 }
 
@@ -269,14 +270,14 @@
 	}
 	c.readsBlocked = true
 	defer func() { c.readsBlocked = false }()
-	for c.conn != nil && c.t == nil && !c.closing {
+	for c.conn != nil && c.txn == nil && !c.closing {
 		buf := c.conn.Peek()
 		if len(buf) == 0 {
 			return
 		}
-		c.since = c.s.now()
+		c.stateSince = c.s.now()
 		if !c.requestBegun {
-			c.requestBegun, c.requestStart = true, c.since
+			c.requestBegun, c.requestStart = true, c.stateSince
 		}
 		before := c.req.HeadDone()
 		n, err := c.req.Feed(buf)
@@ -304,7 +305,7 @@
 	}
 	if c.closing {
 		c.conn.Discard(c.conn.InboundBuffered())
-	} else if c.conn.InboundBuffered() > headMost+maxBodyBytes {
+	} else if c.conn.InboundBuffered() > maxHeadBytes+maxBodyBytes {
 		c.close() // more than one request is buffered beyond the open one: the client does not wait for answers
 	}
 }
@@ -333,7 +334,7 @@
 		return
 	}
 	schemeName, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	scheme := place(c.s.node.told.Schemes, schemeName)
+	scheme := indexOf(c.s.node.decoded.Schemes, schemeName)
 	if scheme < 0 {
 		c.answer(404, "no such scheme\n", -1)
 		return
@@ -346,22 +347,22 @@
 		c.answer(405, "POST only\n", -1)
 		return
 	}
-	request, problem := c.read(scheme)
+	request, problem := c.parseRequest(scheme)
 	if problem != "" {
 		c.answer(400, problem+"\n", -1)
 		return
 	}
-	if c.s.drive.txns[request.txn.Ref] != nil {
+	if c.s.driver.txns[request.txn.Ref] != nil {
 		c.answer(409, "Request-Id is in use\n", -1)
 		return
 	}
-	if planted("declines-all") {
-		c.s.drive.finals.Declined++
+	if faultInjected("declines-all") {
+		c.s.driver.txnCounts.Declined++
 		c.answer(503, "declined\n", -1)
 		return
 	}
 	request.txn.Left = max(request.txn.Left-c.unreadWaitMs(), minTimeLeftMs)
-	c.t = c.s.drive.arrive(c, request)
+	c.txn = c.s.driver.addTxn(c, request)
 }
 
 // unreadWaitMs returns how long the request may have waited unread, in ms, because the connection was not accepted, its bytes
@@ -388,7 +389,7 @@
 	}
 	// The connection of a client that sends requests without reading the answers is closed. While the scheduler drains, a
 	// request that did not succeed ends the connection, so that the client sends the next one to another scheduler.
-	c.closeAfterAnswer = c.closeAfterAnswer || c.t == nil || c.conn.OutboundBuffered() > 0
+	c.closeAfterAnswer = c.closeAfterAnswer || c.txn == nil || c.conn.OutboundBuffered() > 0
 	c.closeAfterAnswer = c.closeAfterAnswer || c.s.closesAfterAnswer(c.s.now()) ||
 		c.s.phase == draining && status != 200 && c.s.handover.successorFD == 0
 	extraLines := ""
@@ -403,8 +404,8 @@
 		text = ""
 	}
 	response := append(responseHead(status, len(body), extraLines), text...)
-	c.since, c.requestBegun, c.answeredTxn, c.closing = c.s.now(), false, c.answeredTxn || c.t != nil, c.closeAfterAnswer
-	c.t = nil
+	c.stateSince, c.requestBegun, c.answeredTxn, c.closing = c.s.now(), false, c.answeredTxn || c.txn != nil, c.closeAfterAnswer
+	c.txn = nil
 	c.setBodyBytes(0)
 	c.req.Reset(requestLimits)
 	if err := c.conn.Write(response); err != nil || c.conn == nil {
@@ -440,41 +441,41 @@
 // shutdownWrite half-closes a connection once all is written. If it were closed at once while bytes from the client are unread
 // or under way, it would be reset, and the client could lose the answer.
 func (c *client) shutdownWrite() {
-	if c.conn.OutboundBuffered() > 0 || c.shut {
+	if c.conn.OutboundBuffered() > 0 || c.writeClosed {
 		return
 	}
-	c.closing, c.shut, c.since = true, true, c.s.now()
+	c.closing, c.writeClosed, c.stateSince = true, true, c.s.now()
 	_ = unix.Shutdown(c.conn.Fd(), unix.SHUT_WR)
 }
 
-// sweep ends connections that are idle or slow. It runs every sweepEvery ms.
+// sweep ends connections that are idle or slow. It runs every sweepIntervalMs.
 func (cs *clients) sweep(now float64) {
 	for i := len(cs.all) - 1; i >= 0; i-- {
 		if i >= len(cs.all) {
 			continue
 		}
 		c := cs.all[i]
-		age := now - c.since
+		age := now - c.stateSince
 		switch {
-		case c.shut:
-			if age > lingerMs && !c.unread() && !c.hasUnacked() || age > writeTimeoutMs {
+		case c.writeClosed:
+			if age > lingerMs && !c.hasUnread() && !c.hasUnacked() || age > writeTimeoutMs {
 				c.close()
 			}
 		case c.conn.OutboundBuffered() > 0:
-			if age > writeTimeoutMs && c.t == nil {
+			if age > writeTimeoutMs && c.txn == nil {
 				c.close()
 			}
 		case c.closing:
 			c.shutdownWrite()
-		case c.t != nil:
+		case c.txn != nil:
 		case c.requestBegun:
 			if age > requestIdleMs || now-c.requestStart > requestTotalMs {
 				c.answer(408, "request too slow\n", -1)
 			}
-		case age > requestIdleMs && !c.answeredTxn, age > idleFor, cs.s.closesIdle(now) && c.answeredTxn:
+		case age > requestIdleMs && !c.answeredTxn, age > keepAliveIdleMs, cs.s.closesIdle(now) && c.answeredTxn:
 			// The client may be sending a request at this moment. If the connection were closed, the request would cause a
 			// reset; after a half-close the request is read and dropped, and the client sends it to another scheduler.
-			if !c.unread() {
+			if !c.hasUnread() {
 				c.shutdownWrite()
 			}
 		}
--- a/scheduler/clients_test.go
+++ b/scheduler/clients_test.go
@@ -9,14 +9,14 @@
 
 // The bodies of requests, also of incomplete ones, are held within a limit on their total size: a request beyond it is declined
 // at once, and a closed connection frees what its body took.
-func TestBoundOnBodies(t *testing.T) {
-	s, _ := onceOnly(t)
+func TestLimitOnTotalBodyBytes(t *testing.T) {
+	s, _ := newOnceOnlyPosting(t)
 	s.clients.bodyBytesLimit = 8 * 60000
 	client := func() (*client, *fakeConn) {
-		f := &fakeConn{in: []byte("POST /buy HTTP/1.1\r\nHost: h\r\nContent-Length: 65000\r\n\r\n" +
+		f := &fakeConn{input: []byte("POST /buy HTTP/1.1\r\nHost: h\r\nContent-Length: 65000\r\n\r\n" +
 			strings.Repeat("x", 60000))}
 		c := &client{s: s, conn: f, index: len(s.clients.all)}
-		f.of = c
+		f.handler = c
 		c.req.Reset(requestLimits)
 		s.clients.all = append(s.clients.all, c)
 		c.traffic(f)
@@ -24,29 +24,29 @@
 	}
 	first, _ := client()
 	for range 7 {
-		if _, f := client(); f.wrote != "" {
-			t.Fatalf("got %q within the limit", f.wrote)
+		if _, f := client(); f.written != "" {
+			t.Fatalf("got %q within the limit", f.written)
 		}
 	}
-	if _, f := client(); !strings.HasPrefix(f.wrote, "HTTP/1.1 503 ") {
-		t.Errorf("got %q beyond the limit", f.wrote)
+	if _, f := client(); !strings.HasPrefix(f.written, "HTTP/1.1 503 ") {
+		t.Errorf("got %q beyond the limit", f.written)
 	}
 	first.close()
-	if _, f := client(); f.wrote != "" {
-		t.Errorf("got %q after one connection was closed", f.wrote)
+	if _, f := client(); f.written != "" {
+		t.Errorf("got %q after one connection was closed", f.written)
 	}
 }
 
 func TestRequestFields(t *testing.T) {
-	s, _ := onceOnly(t)
-	s.node.told.Tenants = []string{"a", "b"}
-	read := func(head string) (ask, string) {
+	s, _ := newOnceOnlyPosting(t)
+	s.node.decoded.Tenants = []string{"a", "b"}
+	read := func(head string) (clientRequest, string) {
 		c := &client{s: s}
 		c.req.Reset(requestLimits)
 		if _, err := c.req.Feed([]byte("POST /buy/x HTTP/1.1\r\nHost: h\r\n" + head + "\r\n")); err != nil {
 			t.Fatal(err)
 		}
-		return c.read(0)
+		return c.parseRequest(0)
 	}
 	const bare = "Request-Id: r1\r\n"
 	for head, want := range map[string]balance.Txn{
@@ -61,8 +61,8 @@
 		bare + "Request-Timeout: 1e300m\r\nRequest-Info: slots=x,,=\r\n": {Ref: "r1", Hint: -1,
 			Left: 20000, Tenant: 2},
 	} {
-		if a, wrong := read(head); wrong != "" || a.txn != want {
-			t.Errorf("%q: %s %+v, want %+v", head, wrong, a.txn, want)
+		if req, problem := read(head); problem != "" || req.txn != want {
+			t.Errorf("%q: %s %+v, want %+v", head, problem, req.txn, want)
 		}
 	}
 	for _, head := range []string{"", "Request-Id: a b\r\n", "Request-Id: \xff\r\n",
@@ -70,13 +70,13 @@
 		bare + "Request-Timeout: 0x1p9m\r\n", bare + "Request-Timeout: 5m\r\nRequest-Timeout: 6m\r\n",
 		bare + "Request-Timeout: Infm\r\n", bare + bare, bare + "Idempotency-Key: \xff\r\n",
 		bare + "Work-Hint: -5\r\n", bare + "Work-Hint: Inf\r\n"} {
-		if _, wrong := read(head); wrong == "" {
+		if _, problem := read(head); problem == "" {
 			t.Errorf("%q was accepted", head)
 		}
 	}
 	// Without an idempotency key a group cannot drop repeats of a referenced txn.
-	if s.node.told.Terms.Schemes[0].Effect = balance.Referenced; true {
-		if _, wrong := read(bare); wrong == "" {
+	if s.node.decoded.Terms.Schemes[0].Effect = balance.Referenced; true {
+		if _, problem := read(bare); problem == "" {
 			t.Error("a referenced txn without an idempotency key was accepted")
 		}
 	}
--- a/scheduler/clock.go
+++ b/scheduler/clock.go
@@ -11,9 +11,9 @@
 // clock gives times in milliseconds on the scale that the module and all limits use: Unix time at the start of the
 // process, advanced by the monotonic clock. Setting the wall clock afterwards changes no duration.
 type clock struct {
-	origin      time.Time // when the process started, with its monotonic reading
-	startWallMs float64   // the wall clock at origin, as Unix time in ms
-	boot        float64   // ms to add to the system's monotonic clock to get to this scale; 0: not known
+	origin       time.Time // when the process started, with its monotonic reading
+	startWallMs  float64   // the wall clock at origin, as Unix time in ms
+	bootOffsetMs float64   // ms to add to the system's monotonic clock to get to this scale; 0: not known
 }
 
 // newClock starts a clock whose scale is that of the wall clock now.
@@ -22,7 +22,7 @@
 	c.startWallMs = float64(c.origin.UnixNano()) / 1e6
 	var monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err == nil {
-		c.boot = c.now() - float64(monotonic.Nano())/1e6
+		c.bootOffsetMs = c.now() - float64(monotonic.Nano())/1e6
 	}
 	return c
 }
@@ -38,13 +38,13 @@
 	return float64(time.Now().UnixNano())/1e6 - c.now()
 }
 
-// shiftFrom is how many milliseconds to add to times of another process on this machine, given its boot: 0 where
-// either is not known.
-func (c *clock) shiftFrom(boot float64) float64 {
-	if boot == 0 || c.boot == 0 {
+// offsetFromMs is how many milliseconds to add to times of another process on this machine, given that process's
+// bootOffsetMs: 0 where either offset is not known.
+func (c *clock) offsetFromMs(otherBootOffsetMs float64) float64 {
+	if otherBootOffsetMs == 0 || c.bootOffsetMs == 0 {
 		return 0
 	}
-	return math.Round(c.boot - boot) // so that times written back and read again stay the same
+	return math.Round(c.bootOffsetMs - otherBootOffsetMs) // so that times written back and read again stay the same
 }
 
 const (
@@ -90,8 +90,8 @@
 		delete(s.byWorker, worker)
 		return listed
 	}
-	if prev, ok := s.byWorker[worker]; ok && prev.listed == listed {
-		return prev.local
+	if previous, ok := s.byWorker[worker]; ok && previous.listed == listed {
+		return previous.local
 	}
 	local := math.Inf(-1)
 	for _, offsetMs := range s.offsets {
--- a/scheduler/clock_test.go
+++ b/scheduler/clock_test.go
@@ -14,9 +14,9 @@
 func TestStartTimesAcrossWallClockSteps(t *testing.T) {
 	const now = 1e12
 	for name, c := range map[string]struct {
-		steps []float64
-		told  float64
-		want  float64
+		steps  []float64
+		listed float64
+		want   float64
 	}{
 		"no step":                            {nil, now - 5000, now - 5000},
 		"long ago":                           {nil, 0, 0},
@@ -33,10 +33,10 @@
 		for _, step := range c.steps {
 			s.noteOffset(step)
 		}
-		if got := s.startTime(now, "w1", c.told); got != c.want {
+		if got := s.startTime(now, "w1", c.listed); got != c.want {
 			t.Errorf("%s: %v ms from now, want %v", name, got-now, c.want-now)
 		}
-		if got := s.startTime(now+7000, "w1", c.told); got != c.want {
+		if got := s.startTime(now+7000, "w1", c.listed); got != c.want {
 			t.Errorf("%s: listed again: %v ms from now, want %v", name, got-now, c.want-now)
 		}
 	}
@@ -60,10 +60,10 @@
 // holds in both.
 func TestRecordsAcrossWallClockSteps(t *testing.T) {
 	for _, step := range []float64{hourMs, -hourMs, 3000, -3000} {
-		first, _ := onceOnly(t)
-		second, _ := onceOnly(t)
+		first, _ := newOnceOnlyPosting(t)
+		second, _ := newOnceOnlyPosting(t)
 		second.clock.startWallMs += step
-		second.clock.boot += step
+		second.clock.bootOffsetMs += step
 		path := filepath.Join(t.TempDir(), "x")
 		for _, s := range []*Scheduler{first, second} {
 			lock, err := os.OpenFile(path+".lock", os.O_RDWR|os.O_CREATE, 0o600)
@@ -71,18 +71,18 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { lock.Close() })
-			s.handover.lock, s.handover.path = lock, path+".out"
+			s.handover.lockFile, s.handover.recordsPath = lock, path+".out"
 		}
 		change := func(s *Scheduler, out bool) {
-			err := s.handover.keep(func(in *records) bool {
-				r := in.Workers["w1"]
+			err := s.handover.updateRecords(func(stored *records) bool {
+				r := stored.Workers["w1"]
 				if now := s.now(); out {
 					r = record{Since: now}
 				} else {
-					r.Back = now
+					r.PutBack = now
 				}
-				in.Workers["w1"] = r
-				s.ops.set("w1", r)
+				stored.Workers["w1"] = r
+				s.ops.applyRecord("w1", r)
 				return true
 			})
 			if err != nil {
@@ -90,13 +90,14 @@
 			}
 		}
 		change(first, true)
-		second.handover.read()
+		second.handover.readRecords()
 		for i, s := range []*Scheduler{second, first, second, first} {
 			change(s, i%2 == 1)
 			for _, other := range []*Scheduler{first, second} {
-				other.handover.seen = nil
-				if other.handover.read(); other.ops.staffed["w1"].out() != (i%2 == 1) {
-					t.Fatalf("wall clock step %v ms, change %d: out of service want %t, got record %+v", step, i, i%2 == 1, other.ops.staffed["w1"])
+				other.handover.recordsInfo = nil
+				if other.handover.readRecords(); other.ops.workerRecords["w1"].isOut() != (i%2 == 1) {
+					t.Fatalf("wall clock step %v ms, change %d: out of service want %t, got record %+v", step, i, i%2 == 1,
+						other.ops.workerRecords["w1"])
 				}
 			}
 			time.Sleep(2 * time.Millisecond)
--- a/scheduler/faults_off.go
+++ b/scheduler/faults_off.go
@@ -2,5 +2,5 @@
 
 package scheduler
 
-// planted tells whether a fault is injected. In a build without the tag faults none is.
-func planted(string) bool { return false }
+// faultInjected tells whether a fault is injected. In a build without the tag faults none is.
+func faultInjected(string) bool { return false }
--- a/scheduler/faults_on.go
+++ b/scheduler/faults_on.go
@@ -29,9 +29,9 @@
 	return names
 }()
 
-// planted tells whether a fault is injected, in builds with the tag faults alone. The lab injects faults to show that its
+// faultInjected tells whether a fault is injected, in builds with the tag faults alone. The lab injects faults to show that its
 // checks find them.
-func planted(fault string) bool {
+func faultInjected(fault string) bool {
 	for _, name := range injectedFaults {
 		if name == fault {
 			return true
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -24,9 +24,9 @@
 	startHeader  = "fleet-start"  // fleet.start of the scheduler's start that the call is meant for
 	changeHeader = "fleet-change" // of a call on a worker: the number of the change in the fleet's record
 	maxMatters   = 256            // matters whose highest token is kept; the fleet has one for each zone
-	// Workers of which a record is kept. The fleet may take out workers that discovery's list does not name yet, so the list does
-	// not bound the number.
-	mostStaffed   = 4096
+	// The most workers of which a record is kept. The fleet may take out workers that discovery's list does not name yet, so the
+	// list does not bound the number.
+	maxRecords    = 4096
 	agentTimeout  = 2 * time.Second // for the whole call to the agent
 	maxAgentBytes = 1 << 20         // of the body of its answer
 )
@@ -41,12 +41,12 @@
 
 // fleet is what this scheduler knows of the fleet's owners.
 type fleet struct {
-	start   string            // random id of this start of the scheduler; the new process of a hot restart takes it over
-	numbers map[string]uint64 // the highest fencing token seen of each matter
+	start  string            // random id of this start of the scheduler; the new process of a hot restart takes it over
+	tokens map[string]uint64 // the highest fencing token seen of each matter
 }
 
 func (f *fleet) init() {
-	*f = fleet{start: strconv.FormatUint(rand.Uint64()|1<<63, 16), numbers: map[string]uint64{}}
+	*f = fleet{start: strconv.FormatUint(rand.Uint64()|1<<63, 16), tokens: map[string]uint64{}}
 }
 
 // parseFencedCall reads the header fields of a fleet's call. It returns nil for a call by staff.
@@ -76,14 +76,14 @@
 // checkCall returns status 0 if a fleet's call is valid, and otherwise the answer that refuses it: the call is meant for
 // another start, its fencing token is older than one already seen, or there are too many matters.
 func (f *fleet) checkCall(call *fencedCall) (status int, body string) {
-	switch highest, ok := f.numbers[call.matter]; {
-	case call.start != f.start && !planted("former-start"):
+	switch highest, ok := f.tokens[call.matter]; {
+	case call.start != f.start && !faultInjected("former-start"):
 		// The call is meant for a former start, whose fencing tokens this one does not know, so it can't tell whether the call is
 		// stale.
 		return 409, "start " + f.start + "\n"
-	case call.token < highest && !planted("no-fence"):
+	case call.token < highest && !faultInjected("no-fence"):
 		return 409, fmt.Sprintf("fence %s %d\n", call.matter, highest)
-	case !ok && len(f.numbers) >= maxMatters:
+	case !ok && len(f.tokens) >= maxMatters:
 		return 503, "no room for one more matter\n"
 	}
 	return 0, ""
@@ -97,15 +97,15 @@
 	Fences map[string]uint64 `json:"fences"`
 	Out    map[string]string `json:"out"` // workers that the fleet took out of service, with the matter of the owner that did
 	Phase  string            `json:"phase"`
-	Txns   finals            `json:"txns"`
+	Txns   txnCounts         `json:"txns"`
 	// Workers are those in service by discovery's list in the zone that was asked for: "warm", "cold", or "busy" for one that
 	// was taken out of service while postings of this scheduler still run there.
 	Workers map[string]string `json:"workers,omitempty"`
 	Stale   bool              `json:"stale,omitempty"` // set by an agent that could not confirm that its record is current
 }
 
-// finals counts the txns that this process answered, by outcome.
-type finals struct {
+// txnCounts counts the txns that this process answered, by outcome.
+type txnCounts struct {
 	Settled  int `json:"settled"`
 	Declined int `json:"declined"`
 	Reversed int `json:"reversed"`
@@ -113,15 +113,15 @@
 
 // fleetStatusJSON returns the fleetStatus as a line of JSON. Workers are given only if a zone is named.
 func (o *ops) fleetStatusJSON(zone string) string {
-	status := fleetStatus{Name: o.s.node.Name, Start: o.fleet.start, Fences: o.fleet.numbers, Out: map[string]string{},
-		Phase: o.s.phase.String(), Txns: o.s.drive.finals}
+	status := fleetStatus{Name: o.s.node.Name, Start: o.fleet.start, Fences: o.fleet.tokens, Out: map[string]string{},
+		Phase: o.s.phase.String(), Txns: o.s.driver.txnCounts}
 	if zone != "" {
 		status.Workers = map[string]string{}
-		zones := o.s.node.told.Zones
-		o.s.drive.mod.Shown(o.s.now(), func(id string, at int, cold bool, own int) {
+		zones := o.s.node.decoded.Zones
+		o.s.driver.module.Shown(o.s.now(), func(id string, zoneIndex int, cold bool, ownPostings int) {
 			switch {
-			case at < 0 || at >= len(zones) || zones[at] != zone:
-			case o.staffed[id].out() && own > 0:
+			case zoneIndex < 0 || zoneIndex >= len(zones) || zones[zoneIndex] != zone:
+			case o.workerRecords[id].isOut() && ownPostings > 0:
 				status.Workers[id] = "busy"
 			case cold:
 				status.Workers[id] = "cold"
@@ -130,8 +130,8 @@
 			}
 		})
 	}
-	for id, r := range o.staffed {
-		if r.out() && r.Fleet != "" {
+	for id, r := range o.workerRecords {
+		if r.isOut() && r.Fleet != "" {
 			status.Out[id] = r.Fleet
 		}
 	}
@@ -148,19 +148,19 @@
 // changeRecords applies a change to the records file, under the lock that both processes of a hot restart share, if the call is
 // valid. A nil call is one by staff, which is not fenced.
 func (o *ops) changeRecords(call *fencedCall, apply func(stored *records) (int, string)) (status int, body string) {
-	err := o.s.handover.keep(func(stored *records) bool {
+	err := o.s.handover.updateRecords(func(stored *records) bool {
 		for matter, token := range stored.Fences {
-			o.fleet.numbers[matter] = max(o.fleet.numbers[matter], token)
+			o.fleet.tokens[matter] = max(o.fleet.tokens[matter], token)
 		}
 		if call != nil {
 			if status, body = o.fleet.checkCall(call); status != 0 {
 				return false
 			}
-			if call.token > o.fleet.numbers[call.matter] {
+			if call.token > o.fleet.tokens[call.matter] {
 				o.s.log.Printf("msg=fence matter=%q number=%d", call.matter, call.token)
 			}
-			o.fleet.numbers[call.matter] = max(call.token, o.fleet.numbers[call.matter])
-			stored.Fences = maps.Clone(o.fleet.numbers)
+			o.fleet.tokens[call.matter] = max(call.token, o.fleet.tokens[call.matter])
+			stored.Fences = maps.Clone(o.fleet.tokens)
 		}
 		status, body = apply(stored)
 		return status == 200
@@ -178,7 +178,7 @@
 // goes on without if the agent does not answer.
 func (o *ops) askAgent() {
 	addr := o.s.node.Agent
-	if addr == "" || o.s.handover.others > 0 {
+	if addr == "" || o.s.handover.otherProcesses > 0 {
 		return
 	}
 	status, err := fetchFleetStatus(addr, o.s.node.Name, o.fleet.start)
@@ -188,13 +188,13 @@
 	}
 	now := o.s.now()
 	for matter, token := range status.Fences {
-		if len(o.fleet.numbers) < maxMatters {
-			o.fleet.numbers[matter] = max(o.fleet.numbers[matter], token)
+		if len(o.fleet.tokens) < maxMatters {
+			o.fleet.tokens[matter] = max(o.fleet.tokens[matter], token)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(status.Out)) {
-		if !o.staffed[id].out() && len(o.staffed) < mostStaffed {
-			o.set(id, record{Since: now, Fleet: status.Out[id]})
+		if !o.workerRecords[id].isOut() && len(o.workerRecords) < maxRecords {
+			o.applyRecord(id, record{Since: now, Fleet: status.Out[id]})
 		}
 	}
 	o.s.log.Printf("msg=agent state=asked addr=%s out=%d stale=%t", addr, len(status.Out), status.Stale)
--- a/scheduler/handover.go
+++ b/scheduler/handover.go
@@ -26,7 +26,7 @@
 const (
 	lockColdWorkers = 0 // held by the one process that may send to cold workers
 	lockFullLimits  = 1 // held by a process that uses, or did not yet give back, more than its share of the limits
-	mayWrite        = 2 // held while a process writes the records file
+	lockRecordsFile = 2 // held while a process writes the records file
 	servingLocks    = 1 << 32
 	processLocks    = 2 << 32
 	lockRangeSize   = 1 << 32
@@ -35,12 +35,12 @@
 const (
 	// While there are other processes, the records are read again before an event if they were last read longer ago than this, in
 	// ms: it bounds the staleness of what a process knows of the workers out of service whenever it posts.
-	lookEvery           = 20.0
-	recordPropagationMs = 40.0 // above lookEvery, so every process has read the change; see successDelay
+	refreshIntervalMs   = 20.0
+	recordPropagationMs = 40.0 // above refreshIntervalMs, so every process has read the change; see successDelay
 	// How long a new process waits for the other one to reduce its use of the limits. That takes the other one a sweep, and
 	// readiness is due 6 s after the start.
-	roomTimeoutMs = 2000
-	roomPollMs    = 10
+	limitReductionTimeoutMs = 2000
+	limitReductionPollMs    = 10
 	// How long after the begin of a drain connections are transferred. One that is still in the middle of a message then stays
 	// with the draining process, which has 2 s more.
 	transferTimeoutMs = 1000.0
@@ -49,21 +49,21 @@
 	steerSettleMs = 50.0
 	lockAttempts  = 20 // of a system call on locks that fails for a transient reason
 	// How long, in ms, the record of a worker is kept after the worker was put back: longer than any worker is cold.
-	keptOut = 300e3
+	recordRetentionMs = 300e3
 )
 
 // handover is what one process knows of the other processes of its scheduler.
 type handover struct {
 	s                *Scheduler
-	lock             *os.File          // the lock file; nil: there is none, and other processes are not looked for
-	path             string            // of the records file
+	lockFile         *os.File          // the lock file; nil: there is none, and other processes are not looked for
+	recordsPath      string            // of the records file
 	processNumber    int64             // this process's offset in processLocks and servingLocks
-	others           int               // processes of this scheduler beside this one
+	otherProcesses   int               // processes of this scheduler beside this one
 	hasSuccessor     bool              // this process drains and another one accepts clients
 	mayUseCold       bool              // this process holds lockColdWorkers
 	mayUseFullLimits bool              // this process may use all of the limits, not only its share
-	lookAt           float64           // when to look for other processes and changes of the records file next, in ms
-	seen             os.FileInfo       // the records file as it was read last
+	nextRefreshAt    float64           // when refresh next looks for other processes and changes of the records file, in ms
+	recordsInfo      os.FileInfo       // the records file when it was last read or written, to see whether it has changed since
 	steerIndex       uint32            // index in the SO_REUSEPORT group that connections are directed to
 	steeredAt        float64           // when steerIndex was set, in ms
 	transferListener *net.UnixListener // accepts draining processes that transfer connections; nil: not listening
@@ -86,68 +86,68 @@
 	base := filepath.Join(os.TempDir(), "shalebeam-"+strings.NewReplacer(":", "-", "[", "", "]", "").Replace(
 		h.s.node.Listen))
 	err := transient.Retry(startTimeout/2, transient.FileError, func() (err error) {
-		h.lock, err = os.OpenFile(base+".lock", os.O_RDWR|os.O_CREATE, 0o600)
+		h.lockFile, err = os.OpenFile(base+".lock", os.O_RDWR|os.O_CREATE, 0o600)
 		return err
 	})
 	if err != nil {
-		h.lock = nil
+		h.lockFile = nil
 		h.s.log.Printf("msg=handover state=off err=%q", err)
 		return
 	}
-	h.path = base + ".out"
+	h.recordsPath = base + ".out"
 	// Process ids of different PID namespaces may be the same: then the next number is taken.
-	for h.processNumber = int64(os.Getpid()); !h.take(processLocks + h.processNumber); h.processNumber++ {
+	for h.processNumber = int64(os.Getpid()); !h.lockByte(processLocks + h.processNumber); h.processNumber++ {
 		if h.processNumber > int64(os.Getpid())+9 {
-			h.s.log.Printf("msg=handover state=off err=%q", "none of 11 process locks is free on "+h.lock.Name())
-			h.lock.Close()
-			h.lock = nil
+			h.s.log.Printf("msg=handover state=off err=%q", "none of 11 process locks is free on "+h.lockFile.Name())
+			h.lockFile.Close()
+			h.lockFile = nil
 			return
 		}
 	}
-	h.mayUseCold, h.mayUseFullLimits = h.take(lockColdWorkers), h.take(lockFullLimits)
-	h.others = h.countOthers(processLocks)
-	for range roomTimeoutMs / roomPollMs {
-		if h.mayUseFullLimits || h.others == 0 || !h.isLockedByOther(lockFullLimits) {
+	h.mayUseCold, h.mayUseFullLimits = h.lockByte(lockColdWorkers), h.lockByte(lockFullLimits)
+	h.otherProcesses = h.countOthers(processLocks)
+	for range limitReductionTimeoutMs / limitReductionPollMs {
+		if h.mayUseFullLimits || h.otherProcesses == 0 || !h.isLockedByOther(lockFullLimits) {
 			break
 		}
-		time.Sleep(roomPollMs * time.Millisecond)
+		time.Sleep(limitReductionPollMs * time.Millisecond)
 	}
-	if h.others > 0 {
-		h.s.log.Printf("msg=handover state=company others=%d room=%t", h.others, !h.isLockedByOther(lockFullLimits))
+	if h.otherProcesses > 0 {
+		h.s.log.Printf("msg=handover state=company others=%d room=%t", h.otherProcesses, !h.isLockedByOther(lockFullLimits))
 	}
-	if h.mayUseFullLimits = h.mayUseFullLimits && h.others == 0; h.others > 0 {
+	if h.mayUseFullLimits = h.mayUseFullLimits && h.otherProcesses == 0; h.otherProcesses > 0 {
 		h.listenForTransfers()
 	}
 	if !h.mayUseCold {
-		h.s.drive.mod.Yields()
+		h.s.driver.module.Yields()
 	}
-	h.read()
+	h.readRecords()
 }
 
 // markServing tells the other processes that this one accepts clients.
 func (h *handover) markServing() {
-	if h.lock != nil {
-		h.take(servingLocks + h.processNumber)
+	if h.lockFile != nil {
+		h.lockByte(servingLocks + h.processNumber)
 	}
 }
 
-// take tries to lock one byte of the lock file, without waiting, and tells whether this process has the lock.
-func (h *handover) take(at int64) bool { return h.setLock(at, unix.F_WRLCK) }
+// lockByte tries to lock one byte of the lock file, without waiting, and tells whether this process has the lock.
+func (h *handover) lockByte(offset int64) bool { return h.setLock(offset, unix.F_WRLCK) }
 
-// drop unlocks one byte of the lock file.
-func (h *handover) drop(at int64) { h.setLock(at, unix.F_UNLCK) }
+// unlockByte unlocks one byte of the lock file.
+func (h *handover) unlockByte(offset int64) { h.setLock(offset, unix.F_UNLCK) }
 
-func (h *handover) setLock(at int64, kind int16) bool {
-	return h.fcntlLock(unix.F_OFD_SETLK, &unix.Flock_t{Type: kind, Whence: io.SeekStart, Start: at, Len: 1}) == nil
+func (h *handover) setLock(offset int64, lockType int16) bool {
+	return h.fcntlLock(unix.F_OFD_SETLK, &unix.Flock_t{Type: lockType, Whence: io.SeekStart, Start: offset, Len: 1}) == nil
 }
 
 // fcntlLock makes a system call on locks, and repeats it if it was interrupted or short of memory: a lock that goes unnoticed
 // would hide the process that holds it.
 func (h *handover) fcntlLock(command int, lock *unix.Flock_t) (err error) {
 	for range lockAttempts {
-		asked := *lock
-		if err = unix.FcntlFlock(h.lock.Fd(), command, &asked); err == nil {
-			*lock = asked
+		request := *lock
+		if err = unix.FcntlFlock(h.lockFile.Fd(), command, &request); err == nil {
+			*lock = request
 			return nil
 		}
 		if err == unix.EAGAIN || err == unix.EACCES || !transient.FileError(err) {
@@ -158,7 +158,7 @@
 }
 
 // firstLockedByOther finds the first byte in [from, to) that another process has locked, and tells whether there is one.
-func (h *handover) firstLockedByOther(from, to int64) (at int64, ok bool) {
+func (h *handover) firstLockedByOther(from, to int64) (offset int64, ok bool) {
 	lock := unix.Flock_t{Type: unix.F_WRLCK, Whence: io.SeekStart, Start: from, Len: to - from}
 	if err := h.fcntlLock(unix.F_OFD_GETLK, &lock); err != nil || lock.Type == unix.F_UNLCK {
 		return 0, false
@@ -166,15 +166,16 @@
 	return max(lock.Start, from), true
 }
 
-func (h *handover) isLockedByOther(at int64) bool {
-	_, ok := h.firstLockedByOther(at, at+1)
+func (h *handover) isLockedByOther(offset int64) bool {
+	_, ok := h.firstLockedByOther(offset, offset+1)
 	return ok
 }
 
-// countOthers returns how many bytes other processes have locked in the range that starts at kind, which is processLocks or
+// countOthers returns how many bytes other processes have locked in the range that starts at rangeStart, which is processLocks or
 // servingLocks. Each process locks at most one byte of a range.
-func (h *handover) countOthers(kind int64) (n int) {
-	for at, ok := h.firstLockedByOther(kind, kind+lockRangeSize); ok; at, ok = h.firstLockedByOther(at+1, kind+lockRangeSize) {
+func (h *handover) countOthers(rangeStart int64) (n int) {
+	rangeEnd := rangeStart + lockRangeSize
+	for offset, ok := h.firstLockedByOther(rangeStart, rangeEnd); ok; offset, ok = h.firstLockedByOther(offset+1, rangeEnd) {
 		n++
 	}
 	return n
@@ -186,18 +187,18 @@
 	if h.mayUseFullLimits {
 		return limit
 	}
-	return limit / (1 + max(h.others, 1))
+	return limit / (1 + max(h.otherProcesses, 1))
 }
 
 // sweep looks for other processes and adjusts the limits, the right to send to cold workers, and the transfer of connections.
-// It runs every sweepEvery ms, and about every lookEvery ms while there are other processes.
+// It runs every sweepIntervalMs, and about every refreshIntervalMs while there are other processes.
 func (h *handover) sweep(now float64) {
-	if h.lock == nil {
+	if h.lockFile == nil {
 		return
 	}
-	if n := h.countOthers(processLocks); n != h.others {
+	if n := h.countOthers(processLocks); n != h.otherProcesses {
 		h.s.log.Printf("msg=handover state=company others=%d", n)
-		h.others = n
+		h.otherProcesses = n
 		h.applyLimits()
 		if n == 0 && h.transferListener != nil {
 			h.s.log.Printf("msg=handover state=alone txns_taken=%d", h.txnsReceived)
@@ -205,17 +206,17 @@
 			h.transferListener = nil
 		}
 	}
-	if h.others > 0 && h.mayUseFullLimits {
+	if h.otherProcesses > 0 && h.mayUseFullLimits {
 		h.mayUseFullLimits = false
 		h.applyLimits()
 	}
 	switch {
-	case h.others > 0:
+	case h.otherProcesses > 0:
 		// The new process waits for this in join before it serves.
-		if h.s.heldDescriptors() <= h.s.sockets() {
-			h.drop(lockFullLimits)
+		if h.s.heldDescriptors() <= h.s.maxDescriptors() {
+			h.unlockByte(lockFullLimits)
 		}
-	case !h.mayUseFullLimits && h.take(lockFullLimits):
+	case !h.mayUseFullLimits && h.lockByte(lockFullLimits):
 		h.mayUseFullLimits = true
 		h.applyLimits()
 	}
@@ -223,35 +224,35 @@
 		if hasSuccessor := h.countOthers(servingLocks) > 0; hasSuccessor && !h.hasSuccessor {
 			h.s.log.Printf("msg=handover state=passed")
 			h.hasSuccessor = true
-			h.s.drive.mod.Yields()
+			h.s.driver.module.Yields()
 			h.mayUseCold = false
-			h.drop(lockColdWorkers)
+			h.unlockByte(lockColdWorkers)
 			h.steerToNext()
 			h.connectSuccessor()
 		}
-		if h.transferClients(); h.successorFD != 0 && now > h.s.drained+transferTimeoutMs {
+		if h.transferClients(); h.successorFD != 0 && now > h.s.drainStart+transferTimeoutMs {
 			h.disconnectSuccessor()
 		}
 		h.s.applyDrainDeadline()
-	} else if !h.mayUseCold && h.take(lockColdWorkers) {
+	} else if !h.mayUseCold && h.lockByte(lockColdWorkers) {
 		h.mayUseCold = true
-		h.s.drive.mod.Leads(now)
+		h.s.driver.module.Leads(now)
 	}
 }
 
-// wake returns the time of the next attempt to transfer the remaining connections, in ms, or infinity if none is transferred.
-func (h *handover) wake() float64 {
+// nextWake returns the time of the next attempt to transfer the remaining connections, in ms, or infinity if none is transferred.
+func (h *handover) nextWake() float64 {
 	if h.successorFD == 0 {
 		return math.Inf(1)
 	}
-	return h.lookAt
+	return h.nextRefreshAt
 }
 
 // applyLimits fits clients, worker connections and memory to this process's share of the limits.
 func (h *handover) applyLimits() {
 	s := h.s
 	s.clients.applyLimits()
-	s.pool.bound()
+	s.pool.applyLimits()
 	if mb := s.node.Limits.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(h.limitShare(mb<<20)) / 4 * 3) // bytes
 	}
@@ -259,26 +260,26 @@
 
 // heldDescriptors returns about how many descriptors this process has open.
 func (s *Scheduler) heldDescriptors() int {
-	return ownSockets + len(s.clients.all) + len(s.pool.conns) + s.pool.dials
+	return reservedDescriptors + len(s.clients.all) + len(s.pool.conns) + s.pool.dialsInProgress
 }
 
 // beginDrain tells the other processes that this one drains. Clients that still connect here are served.
 func (h *handover) beginDrain() {
-	if h.lock != nil {
-		h.drop(servingLocks + h.processNumber)
+	if h.lockFile != nil {
+		h.unlockByte(servingLocks + h.processNumber)
 		h.sweep(h.s.now())
 	}
 }
 
 // steerToNext directs new client connections and peers' datagrams to the next socket of the address's SO_REUSEPORT group, with
 // a classic BPF program of one instruction that returns the socket's index. What already waits in this process's queues is
-// still handled here. The kernel does not tell which index belongs to which process: if anything still arrives here (see came),
-// the next index is tried. With an index that is out of range the kernel chooses the socket itself.
+// still handled here. The kernel does not tell which index belongs to which process: if anything still arrives here (see
+// noteArrival), the next index is tried. With an index that is out of range the kernel chooses the socket itself.
 func (h *handover) steerToNext() {
-	h.steerIndex, h.steeredAt = (h.steerIndex+1)%uint32(h.others+2), h.s.now()
-	h.steerListener(h.s.clientsAt)
-	if h.s.peers.at != nil {
-		h.steerListener(h.s.peers.at)
+	h.steerIndex, h.steeredAt = (h.steerIndex+1)%uint32(h.otherProcesses+2), h.s.now()
+	h.steerListener(h.s.clientListener)
+	if h.s.peers.listener != nil {
+		h.steerListener(h.s.peers.listener)
 	}
 }
 
@@ -294,14 +295,14 @@
 
 // removeSteering detaches the program that a draining process may have left on the group: its index may be that of any socket.
 func (h *handover) removeSteering() {
-	if h.others > 0 {
-		_ = unix.SetsockoptInt(h.s.clientsAt.Fd(), unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0) // fails if there is none
+	if h.otherProcesses > 0 {
+		_ = unix.SetsockoptInt(h.s.clientListener.Fd(), unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0) // fails if there is none
 	}
 }
 
-// came is called when a client has connected or a peer's datagram has arrived. While this process should get neither, the next
-// index is tried.
-func (h *handover) came() {
+// noteArrival is called when a client has connected or a peer's datagram has arrived. While this process should get neither,
+// the next index is tried.
+func (h *handover) noteArrival() {
 	if h.hasSuccessor && h.s.now() > h.steeredAt+steerSettleMs {
 		h.steerToNext()
 	}
@@ -310,7 +311,7 @@
 // successDelay returns how long the success of a call that changes the records must be held back: until no process posts by the
 // former records.
 func (h *handover) successDelay() time.Duration {
-	if h.lock == nil || h.countOthers(processLocks) == 0 {
+	if h.lockFile == nil || h.countOthers(processLocks) == 0 {
 		return 0
 	}
 	return time.Duration(recordPropagationMs * float64(time.Millisecond))
--- a/scheduler/live_test.go
+++ b/scheduler/live_test.go
@@ -48,7 +48,7 @@
 	v.cancelRun = stop
 	go func() { v.runErr <- v.Run(ctx) }()
 	<-v.ready
-	v.addr = addrOf(v.clientsAt)
+	v.addr = listenerAddr(v.clientListener)
 	t.Cleanup(stop)
 	return v
 }
@@ -94,8 +94,8 @@
 	if err := v.listen(); err != nil {
 		t.Fatal(err)
 	}
-	v.addr = addrOf(v.clientsAt)
-	c := v.client(requestText("early"))
+	v.addr = listenerAddr(v.clientListener)
+	c := v.connectClient(requestText("early"))
 	waitAcked(t, c, false)
 	go func() { v.runErr <- v.serve() }()
 	v.nextWorkerCall().answerDone()
@@ -154,30 +154,30 @@
 func (v *liveScheduler) runThenHoldLoop(f func()) (release func()) {
 	// First one turn of the loop on its own: of a socket that was ready in the turn before, epoll would report all
 	// that comes while the loop is held ahead of other sockets' events, whatever the order in which it came.
-	look(v, func() bool { return true })
-	held, on := make(chan struct{}), make(chan struct{})
+	onLoopResult(v, func() bool { return true })
+	held, resume := make(chan struct{}), make(chan struct{})
 	v.onLoop(func() {
 		f()
 		close(held)
-		<-on
+		<-resume
 	})
 	<-held
-	release = sync.OnceFunc(func() { close(on) })
+	release = sync.OnceFunc(func() { close(resume) })
 	v.t.Cleanup(release)
 	return release
 }
 
-// look returns f's result, run on the event loop.
-func look[T any](v *liveScheduler, f func() T) T {
+// onLoopResult returns f's result, run on the event loop.
+func onLoopResult[T any](v *liveScheduler, f func() T) T {
 	out := make(chan T, 1)
 	v.onLoop(func() { out <- f() })
 	return <-out
 }
 
-// until waits until f, run on the event loop, is true.
-func (v *liveScheduler) until(what string, f func() bool) {
+// waitUntil waits until f, run on the event loop, is true.
+func (v *liveScheduler) waitUntil(what string, f func() bool) {
 	v.t.Helper()
-	for end := time.Now().Add(testTimeout); !look(v, f); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !onLoopResult(v, f); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			v.t.Fatalf("not reached within %v: %s", testTimeout, what)
 		}
@@ -189,8 +189,8 @@
 	return "POST /look HTTP/1.1\r\nHost: h\r\nRequest-Id: " + ref + "\r\nWork-Hint: 1000\r\nContent-Length: 4\r\n\r\nbody"
 }
 
-// client connects to the scheduler as a client, and sends text.
-func (v *liveScheduler) client(text string) *net.TCPConn {
+// connectClient connects to the scheduler as a client, and sends text.
+func (v *liveScheduler) connectClient(text string) *net.TCPConn {
 	v.t.Helper()
 	c, err := net.Dial("tcp", v.addr)
 	if err != nil {
@@ -255,14 +255,14 @@
 func TestNoAttemptAfterClientDisconnects(t *testing.T) {
 	for name, scenario := range map[string]func(v *liveScheduler, release func()){
 		"request and disconnect come together": func(v *liveScheduler, release func()) {
-			v.disconnect(v.client(requestText("gone")))
+			v.disconnect(v.connectClient(requestText("gone")))
 		},
 		"disconnect as a worker gets free": func(v *liveScheduler, release func()) {
 			release()
-			first := v.client(requestText("first"))
+			first := v.connectClient(requestText("first"))
 			c := v.nextWorkerCall()
-			second := v.client(requestText("gone"))
-			v.until("the second txn waits", func() bool { return len(v.drive.txns) == 2 })
+			second := v.connectClient(requestText("gone"))
+			v.waitUntil("the second txn waits", func() bool { return len(v.driver.txns) == 2 })
 			release = v.holdLoop()
 			c.answerDone()
 			waitAcked(v.t, c.conn.(*net.TCPConn), false)
@@ -272,7 +272,7 @@
 		},
 		"pipelined request, then disconnect": func(v *liveScheduler, release func()) {
 			release()
-			pipelined := v.client(requestText("first") + requestText("gone"))
+			pipelined := v.connectClient(requestText("first") + requestText("gone"))
 			c := v.nextWorkerCall()
 			release = v.holdLoop()
 			c.answerDone()
@@ -285,14 +285,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			v := newLive(t)
-			warm := v.client(requestText("warm")) // leaves an idle connection to the worker, on which an attempt goes out at once
+			warm := v.connectClient(requestText("warm")) // leaves an idle connection to the worker, on which an attempt goes out at once
 			v.nextWorkerCall().answerDone()
 			v.expectAnswer(warm, 200, "ok warm")
 			release := v.holdLoop()
 			scenario(v, release)
 			release()
-			v.until("no txn is open", func() bool { return len(v.drive.txns) == 0 })
-			last := v.client(requestText("last"))
+			v.waitUntil("no txn is open", func() bool { return len(v.driver.txns) == 0 })
+			last := v.connectClient(requestText("last"))
 			if c := v.nextWorkerCall(); c.ref != "last" {
 				t.Errorf("%s was sent to the worker, want last", c.ref)
 			} else {
@@ -310,14 +310,14 @@
 	t.Parallel()
 	const waits = 300 * time.Millisecond
 	v := newLive(t)
-	warm := v.client(requestText("warm"))
+	warm := v.connectClient(requestText("warm"))
 	v.nextWorkerCall().answerDone()
 	v.expectAnswer(warm, 200, "ok warm")
 	timed := func(ref string) string {
 		return strings.Replace(requestText(ref), "Host: h\r\n", "Host: h\r\nRequest-Timeout: 1500m\r\n", 1)
 	}
 	release := v.holdLoop()
-	fresh := v.client(timed("fresh"))
+	fresh := v.connectClient(timed("fresh"))
 	io.WriteString(warm, timed("kept"))
 	waitAcked(t, warm, false)
 	waitAcked(t, fresh, false)
@@ -326,8 +326,8 @@
 	for range 2 {
 		c := v.nextWorkerCall()
 		ms, err := strconv.Atoi(strings.TrimSuffix(c.requestTimeout, "m"))
-		if told, most := time.Duration(ms)*time.Millisecond, 1500*time.Millisecond-waits; err != nil || told > most {
-			t.Errorf("%s: Request-Timeout at the worker is %s, want at most %v", c.ref, c.requestTimeout, most)
+		if sent, maxTimeout := time.Duration(ms)*time.Millisecond, 1500*time.Millisecond-waits; err != nil || sent > maxTimeout {
+			t.Errorf("%s: Request-Timeout at the worker is %s, want at most %v", c.ref, c.requestTimeout, maxTimeout)
 		}
 		c.answerDone()
 	}
@@ -339,8 +339,8 @@
 // soon as the loop goes on, unless something came meanwhile.
 func (v *liveScheduler) holdAtDrainEnd() (release func()) {
 	v.cancelRun()
-	v.until("phase draining", func() bool { return v.phase == draining })
-	return v.runThenHoldLoop(func() { v.drained -= drainLeast })
+	v.waitUntil("phase draining", func() bool { return v.phase == draining })
+	return v.runThenHoldLoop(func() { v.drainStart -= minDrainMs })
 }
 
 // Requests that this machine has received by the end of a drain are answered, also those that the event loop has yet
@@ -352,7 +352,7 @@
 			return idleConn
 		},
 		"on a connection not yet accepted": func(v *liveScheduler, _ *net.TCPConn) *net.TCPConn {
-			return v.client(requestText("late"))
+			return v.connectClient(requestText("late"))
 		},
 		"all but the last byte": func(v *liveScheduler, idleConn *net.TCPConn) *net.TCPConn {
 			text := requestText("late")
@@ -364,8 +364,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			v := newLive(t)
-			idleConn := v.client("")
-			v.until("connection accepted", func() bool { return len(v.clients.all) == 1 })
+			idleConn := v.connectClient("")
+			v.waitUntil("connection accepted", func() bool { return len(v.clients.all) == 1 })
 			release := v.holdAtDrainEnd()
 			c := sendLate(v, idleConn)
 			waitAcked(t, c, false)
@@ -391,13 +391,13 @@
 func TestInputAfterHalfCloseIsDropped(t *testing.T) {
 	t.Parallel()
 	v := newLive(t)
-	c := v.client(requestText("first"))
+	c := v.connectClient(requestText("first"))
 	v.nextWorkerCall().answerDone()
 	v.expectAnswer(c, 200, "ok first")
-	v.until("connection idle for long enough to be half-closed", func() bool {
-		v.clients.all[0].since -= idleFor + 1
+	v.waitUntil("connection idle for long enough to be half-closed", func() bool {
+		v.clients.all[0].stateSince -= keepAliveIdleMs + 1
 		v.clients.sweep(v.now())
-		return v.clients.all[0].shut
+		return v.clients.all[0].writeClosed
 	})
 	io.WriteString(c, requestText("late"))
 	waitAcked(t, c, false)
@@ -414,10 +414,10 @@
 			t.Errorf("TCP state %d, %v, want %d (CLOSE_WAIT)", info.State, err, closeWait)
 		}
 	})
-	v.until("late request dropped", func() bool { return !v.clients.all[0].unread() })
+	v.waitUntil("late request dropped", func() bool { return !v.clients.all[0].hasUnread() })
 	if len(v.calls) > 0 {
 		t.Errorf("%s was sent to the worker", v.nextWorkerCall().ref)
 	}
 	c.Close()
-	v.until("connection closed", func() bool { return len(v.clients.all) == 0 })
+	v.waitUntil("connection closed", func() bool { return len(v.clients.all) == 0 })
 }
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	metricsPath = "/ops/metrics"
-	metricsType = "Content-Type: application/openmetrics-text; version=1.0.0; charset=utf-8\r\n"
+	metricsPath        = "/ops/metrics"
+	metricsContentType = "Content-Type: application/openmetrics-text; version=1.0.0; charset=utf-8\r\n"
 	// A run of failures of one kind has ended after this time without another.
 	failureRunGapMs = 2000.0
 )
@@ -29,7 +29,7 @@
 type metrics struct {
 	s           *Scheduler
 	attempts    map[balance.Outcome]uint64
-	left        uint64 // requests whose client closed its connection before the answer
+	clientsLeft uint64 // requests whose client closed its connection before the answer
 	unanswered  uint64 // requests whose connection ended before the answer for another reason
 	failureRuns map[eventloop.Failure]*failureRun
 }
@@ -48,21 +48,21 @@
 
 // sweep logs one line for the first failure of a run, and one with the number of failures when the run has ended.
 func (m *metrics) sweep(now float64) {
-	for kind, count := range m.s.loop.Failures() {
-		r := m.failureRuns[kind]
+	for failure, count := range m.s.loop.Failures() {
+		r := m.failureRuns[failure]
 		if r == nil {
 			r = &failureRun{}
-			m.failureRuns[kind] = r
+			m.failureRuns[failure] = r
 		}
 		if count > r.lastCount {
 			if !r.active {
 				r.active, r.countBefore = true, r.lastCount
-				m.s.log.Printf("msg=system state=failing call=%s errno=%s", kind.Call, unix.ErrnoName(kind.Errno))
+				m.s.log.Printf("msg=system state=failing call=%s errno=%s", failure.Call, unix.ErrnoName(failure.Errno))
 			}
 			r.lastCount, r.lastFailureAt = count, now
 		} else if r.active && now > r.lastFailureAt+failureRunGapMs {
 			r.active = false
-			m.s.log.Printf("msg=system state=passed call=%s errno=%s count=%d", kind.Call, unix.ErrnoName(kind.Errno),
+			m.s.log.Printf("msg=system state=passed call=%s errno=%s count=%d", failure.Call, unix.ErrnoName(failure.Errno),
 				r.lastCount-r.countBefore)
 		}
 	}
@@ -71,31 +71,31 @@
 // text returns all metrics in the OpenMetrics text format.
 func (m *metrics) text() string {
 	var b strings.Builder
-	finals := m.s.drive.finals
+	counts := m.s.driver.txnCounts
 	writeFamilyHeader(&b, "shalebeam_requests", "counter", "Requests by what came of them.")
 	for _, row := range []struct {
 		result string
 		count  uint64
-	}{{"done", uint64(finals.Settled)}, {"refused", uint64(finals.Declined)}, {"failed", uint64(finals.Reversed)},
-		{"client_left", m.left}, {"unanswered", m.unanswered}} {
+	}{{"done", uint64(counts.Settled)}, {"refused", uint64(counts.Declined)}, {"failed", uint64(counts.Reversed)},
+		{"client_left", m.clientsLeft}, {"unanswered", m.unanswered}} {
 		fmt.Fprintf(&b, "shalebeam_requests_total{result=%q} %d\n", row.result, row.count)
 	}
 	writeFamilyHeader(&b, "shalebeam_attempts", "counter", "Attempts at workers by how they ended.")
-	for _, how := range slices.Sorted(maps.Keys(outcomeNames)) {
-		fmt.Fprintf(&b, "shalebeam_attempts_total{outcome=%q} %d\n", outcomeNames[how], m.attempts[how])
+	for _, outcome := range slices.Sorted(maps.Keys(outcomeNames)) {
+		fmt.Fprintf(&b, "shalebeam_attempts_total{outcome=%q} %d\n", outcomeNames[outcome], m.attempts[outcome])
 	}
 	writeFamilyHeader(&b, "shalebeam_system_call_failures", "counter", "System calls that failed, by call and error.")
 	failures := m.s.loop.Failures()
-	for _, kind := range slices.SortedFunc(maps.Keys(failures), func(a, b eventloop.Failure) int {
+	for _, failure := range slices.SortedFunc(maps.Keys(failures), func(a, b eventloop.Failure) int {
 		return cmp.Or(cmp.Compare(a.Call, b.Call), cmp.Compare(a.Errno, b.Errno))
 	}) {
-		fmt.Fprintf(&b, "shalebeam_system_call_failures_total{call=%q,errno=%q} %d\n", kind.Call, unix.ErrnoName(kind.Errno),
-			failures[kind])
+		fmt.Fprintf(&b, "shalebeam_system_call_failures_total{call=%q,errno=%q} %d\n", failure.Call, unix.ErrnoName(failure.Errno),
+			failures[failure])
 	}
 	for _, row := range []struct {
 		name, help string
 		value      int
-	}{{"shalebeam_open_requests", "Requests that wait for their answer.", len(m.s.drive.txns)},
+	}{{"shalebeam_open_requests", "Requests that wait for their answer.", len(m.s.driver.txns)},
 		{"shalebeam_client_connections", "Connections of clients.", len(m.s.clients.all)},
 		{"shalebeam_worker_connections", "Connections to workers.", len(m.s.pool.conns)}} {
 		writeFamilyHeader(&b, row.name, "gauge", row.help)
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -28,8 +28,8 @@
 	Known    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	told startup.Told // the settings, decoded
-	raw  []byte       // the whole configuration as it was read
+	decoded startup.Told // Settings, decoded, with defaults for what they do not give
+	raw     []byte       // the whole configuration as it was read
 }
 
 // Limits is how much of its machine the program may use. 0 is no limit on cores and memory, and defaultSockets for sockets.
@@ -92,8 +92,8 @@
 	}
 	merged := *n
 	merged.Discovery, merged.raw = other.Discovery, other.raw
-	decoded, moreKept, err := n.told.Retuned(other.told)
-	merged.told = decoded
+	decoded, moreKept, err := n.decoded.Retuned(other.decoded)
+	merged.decoded = decoded
 	return &merged, append(kept, moreKept...), err
 }
 
@@ -133,33 +133,33 @@
 	if len(n.Settings) == 0 {
 		return fmt.Errorf("settings is missing")
 	}
-	if n.told, err = startup.Decode(n.Settings, seed); err != nil {
+	if n.decoded, err = startup.Decode(n.Settings, seed); err != nil {
 		return err
 	}
-	if t := &n.told.Terms; t.Messages && n.PeerListen != "" && (len(n.Peers) != t.Peers || t.Me >= t.Peers) {
+	if t := &n.decoded.Terms; t.Messages && n.PeerListen != "" && (len(n.Peers) != t.Peers || t.Me >= t.Peers) {
 		return fmt.Errorf("peers: there are %d addresses, but the settings have my_number %d and peers_total %d",
 			len(n.Peers), t.Me, t.Peers)
 	}
 	seen := map[string]bool{}
-	for i, name := range n.told.Schemes {
+	for i, name := range n.decoded.Schemes {
 		if name == "" || seen[name] {
 			return fmt.Errorf("settings: schemes[%d]: name is missing or repeated", i)
 		}
 		seen[name] = true
 	}
-	if n.told.Dial <= 0 {
-		n.told.Dial = defaultDialMs
+	if n.decoded.Dial <= 0 {
+		n.decoded.Dial = defaultDialMs
 	}
-	if n.told.Idle <= 0 {
-		n.told.Idle = defaultIdleMs
+	if n.decoded.Idle <= 0 {
+		n.decoded.Idle = defaultIdleMs
 	}
 	// This program gets discovery's list only by asking for it; nothing pushes it.
-	n.told.Terms.MustAsk = true
-	if n.told.Terms.AskIn <= 0 {
-		n.told.Terms.AskIn = defaultAskMs
+	n.decoded.Terms.MustAsk = true
+	if n.decoded.Terms.AskIn <= 0 {
+		n.decoded.Terms.AskIn = defaultAskMs
 	}
 	if n.PeerListen == "" || n.PeersAll == "" {
-		n.told.Terms.Messages = false
+		n.decoded.Terms.Messages = false
 	}
 	return nil
 }
--- a/scheduler/ops.go
+++ b/scheduler/ops.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxCallers      = 8       // their descriptors are counted in ownSockets
+	maxCallers      = 8       // their descriptors are counted in reservedDescriptors
 	callerTimeoutMs = 10000.0 // from connection to the reading of the answer; callers' own timeouts are far shorter
 )
 
@@ -22,27 +22,27 @@
 // ops serves the management address: staff and the fleet (see fleet) read the scheduler's state there, and take workers out of
 // service or put them back. Each connection carries one call.
 type ops struct {
-	s        *Scheduler
-	listener *eventloop.Listener // nil if the configuration names no management address
-	callers  []*caller           // open connections, in order of arrival
-	staffed  map[string]record   // by id: workers that staff or the fleet took out of service, or put back lately
-	fleet    fleet
+	s             *Scheduler
+	listener      *eventloop.Listener // nil if the configuration names no management address
+	callers       []*caller           // open connections, in order of arrival
+	workerRecords map[string]record   // by worker id: those that staff or the fleet took out of service, or put back lately
+	fleet         fleet
 }
 
 // caller is a connection to the management address.
 type caller struct {
-	s        *Scheduler
-	conn     eventloop.Conn // nil once it is closed
-	req      http1.Request
-	since    float64 // when it was accepted, in ms
-	received bool    // the call has arrived whole or is malformed; bytes that follow are dropped
+	s          *Scheduler
+	conn       eventloop.Conn // nil once it is closed
+	req        http1.Request
+	acceptedAt float64 // when it was accepted, in ms
+	received   bool    // the call has arrived whole or is malformed; bytes that follow are dropped
 
 	answered    bool // the answer was passed to the connection
 	writeClosed bool // the answer is written whole, and the connection half-closed
 }
 
 func (o *ops) init(s *Scheduler) {
-	*o = ops{s: s, staffed: map[string]record{}}
+	*o = ops{s: s, workerRecords: map[string]record{}}
 	o.fleet.init()
 }
 
@@ -52,7 +52,7 @@
 	if len(o.callers) >= maxCallers {
 		o.callers[0].close()
 	}
-	c := &caller{s: o.s, conn: conn, since: o.s.now()}
+	c := &caller{s: o.s, conn: conn, acceptedAt: o.s.now()}
 	c.req.Reset(opsLimits)
 	conn.SetContext(c)
 	o.callers = append(o.callers, c)
@@ -60,7 +60,7 @@
 
 // sweep closes connections that are too old, and half-closes those whose answer has been written meanwhile.
 func (o *ops) sweep(now float64) {
-	for len(o.callers) > 0 && now > o.callers[0].since+callerTimeoutMs {
+	for len(o.callers) > 0 && now > o.callers[0].acceptedAt+callerTimeoutMs {
 		o.callers[0].close()
 	}
 	for _, c := range o.callers {
@@ -101,15 +101,15 @@
 	if e, ok := err.(*http1.Error); ok {
 		c.answerText(e.Status, e.Reason+"\n")
 	} else if c.req.Done() && c.req.Target == metricsPath && c.req.Method == "GET" {
-		c.writeAnswer(200, metricsType, c.s.metrics.text())
+		c.writeAnswer(200, metricsContentType, c.s.metrics.text())
 	} else if c.req.Done() {
 		status, body := c.s.ops.handle(&c.req)
-		wait := c.s.handover.successDelay()
-		if c.received = true; wait == 0 || status != 200 {
+		delay := c.s.handover.successDelay()
+		if c.received = true; delay == 0 || status != 200 {
 			c.answerText(status, body)
 			return
 		}
-		time.AfterFunc(wait, func() { c.s.onLoop(func() { c.answerText(status, body) }) })
+		time.AfterFunc(delay, func() { c.s.onLoop(func() { c.answerText(status, body) }) })
 	}
 }
 
@@ -177,7 +177,7 @@
 		return 405, "POST only\n"
 	case id == "":
 		return 400, "the body is to be a worker's id\n"
-	case fence == nil && o.s.pool.target(id) == nil && !o.staffed[id].out():
+	case fence == nil && o.s.pool.worker(id) == nil && !o.workerRecords[id].isOut():
 		return 404, "no such worker\n"
 	}
 	var rec record
@@ -186,19 +186,19 @@
 		matter, change, now := "", rec.Change, o.s.now()
 		if fence != nil {
 			matter = fence.matter
-			if fence.change < rec.Change && !planted("no-change") {
+			if fence.change < rec.Change && !faultInjected("no-change") {
 				return 409, fmt.Sprintf("change %d\n", rec.Change)
 			}
 			change = fence.change
 		}
 		switch out := path == "/ops/workers/down"; {
-		case out == rec.out():
+		case out == rec.isOut():
 			if rec.Fleet == matter {
 				rec.Change = change
 				stored.Workers[id] = rec
 			}
 			return 200, "so already\n"
-		case out && rec.Since == 0 && len(stored.Workers) >= mostStaffed:
+		case out && rec.Since == 0 && len(stored.Workers) >= maxRecords:
 			return 503, "no room for one more worker\n"
 		case out:
 			rec = record{Since: now, Fleet: matter, Change: change}
@@ -207,40 +207,39 @@
 		case rec.Fleet != matter:
 			return 409, "staff took it out here\n"
 		default:
-			rec.Back, rec.Change = now, change
+			rec.PutBack, rec.Change = now, change
 		}
 		stored.Workers[id] = rec
 		return 200, "done\n"
 	})
 	if status == 200 {
-		o.set(id, rec)
+		o.applyRecord(id, rec)
 		if fence != nil {
-			o.s.log.Printf("msg=told id=%q out=%t matter=%q number=%d", id, rec.out(), fence.matter, fence.token)
+			o.s.log.Printf("msg=told id=%q out=%t matter=%q number=%d", id, rec.isOut(), fence.matter, fence.token)
 		}
 	}
 	return status, body
 }
 
-// set applies a record of a worker, made here or by another process, if it is newer than the known one: the module learns
-// whether the worker is out of service. Of two records with the same time, the one with the
-// higher change number is kept.
-func (o *ops) set(id string, rec record) {
-	former := o.staffed[id]
-	if rec.at() <= former.at() {
-		if rec.at() == former.at() && rec.Change > former.Change {
-			o.staffed[id] = rec
+// applyRecord takes over a record of a worker, made here or by another process, if it is newer than the known one, and tells the
+// module whether the worker is out of service. Of two records with the same time, the one with the higher change number is kept.
+func (o *ops) applyRecord(id string, rec record) {
+	former := o.workerRecords[id]
+	if rec.changedAt() <= former.changedAt() {
+		if rec.changedAt() == former.changedAt() && rec.Change > former.Change {
+			o.workerRecords[id] = rec
 		}
 		return
 	}
-	o.staffed[id] = rec
+	o.workerRecords[id] = rec
 	if former.Since < rec.Since {
-		o.s.drive.mod.Withdrawn(rec.Since, id)
+		o.s.driver.module.Withdrawn(rec.Since, id)
 	}
-	if !rec.out() {
-		o.s.drive.mod.Returned(rec.Back, id)
+	if !rec.isOut() {
+		o.s.driver.module.Returned(rec.PutBack, id)
 	}
-	if target := o.s.pool.target(id); target != nil && rec.out() {
-		target.leave() // closes idle connections: the worker is restarted while it is out, and they end with it
+	if worker := o.s.pool.worker(id); worker != nil && rec.isOut() {
+		worker.closeIdle() // the worker is restarted while it is out of service, which ends its idle connections
 	}
-	o.s.log.Printf("msg=worker id=%q out=%t", id, rec.out())
+	o.s.log.Printf("msg=worker id=%q out=%t", id, rec.isOut())
 }
--- a/scheduler/peers.go
+++ b/scheduler/peers.go
@@ -11,7 +11,7 @@
 // peers sends and receives the datagrams among schedulers. Their contents are the module's.
 type peers struct {
 	s              *Scheduler
-	at             *eventloop.Listener    // also sends, as a peer is known by its source address; nil: there is none
+	listener       *eventloop.Listener    // also sends, as a peer is known by its source address; nil: there is none
 	numberByAddr   map[netip.AddrPort]int // a peer's number, by its address
 	groupAddr      netip.AddrPort         // reaches all peers; not valid where there is none
 	malformedCount int                    // datagrams from unknown addresses or too long; the first is logged
@@ -29,14 +29,15 @@
 
 // broadcast sends a message of the module to all peers.
 func (p *peers) broadcast(body []byte) {
-	if p.at != nil && p.groupAddr.IsValid() && len(body) <= maxDatagramBytes {
-		p.at.Send(body, p.groupAddr)
+	if p.listener != nil && p.groupAddr.IsValid() && len(body) <= maxDatagramBytes {
+		p.listener.Send(body, p.groupAddr)
 	}
 }
 
-// hear passes a peer's message on to the module. Its own, which groupAddr also delivers here, it drops.
-func (p *peers) hear(addr netip.AddrPort, body []byte) {
-	p.s.handover.came()
+// receive passes a peer's message on to the module. This scheduler's own messages, which groupAddr also delivers here, are
+// dropped.
+func (p *peers) receive(addr netip.AddrPort, body []byte) {
+	p.s.handover.noteArrival()
 	from, known := p.numberByAddr[addr]
 	if !known || len(body) > maxDatagramBytes {
 		if p.malformedCount++; p.malformedCount == 1 {
@@ -44,7 +45,7 @@
 		}
 		return
 	}
-	if from != p.s.node.told.Terms.Me {
-		p.s.drive.mod.Heard(p.s.now(), from, body)
+	if from != p.s.node.decoded.Terms.Me {
+		p.s.driver.module.Heard(p.s.now(), from, body)
 	}
 }
--- a/scheduler/phases.go
+++ b/scheduler/phases.go
@@ -5,7 +5,7 @@
 // The files: node (configuration), phases (start, drain and stop; this one), clients (connections of clients), request
 // (reading a client's request), pool (connections to workers), roster (watching discovery), peers (datagrams among
 // schedulers), ops and metrics (the management address), fleet (calls there by owners of the fleet), handover, transfer and
-// records (hot restart: two processes of one scheduler), clock, and drive (carrying out the module's decisions).
+// records (hot restart: two processes of one scheduler), clock, and driver (carrying out the module's decisions).
 package scheduler
 
 import (
@@ -46,7 +46,7 @@
 	maxDrainMs = 3000.0
 	// The shortest duration of a drain, in ms: clients still connect for a while, as the front load balancer learns of the drain
 	// late.
-	drainLeast = 700.0
+	minDrainMs = 700.0
 	// How long a system call of the start is repeated after transient errors.
 	startTimeout = 4 * time.Second
 	// How long after the drain's deadline the last answers may still be written, in ms.
@@ -60,20 +60,20 @@
 
 	phase             phase
 	loop              *eventloop.Loop
-	clientsAt         *eventloop.Listener
+	clientListener    *eventloop.Listener
 	ready             chan struct{} // closed once loop is set, or Run has ended without one
 	clock             clock
 	systemDescriptors uint64  // the system's limit on the process's descriptors; see descriptorLimit
 	drainDeadline     float64 // when all txns must have ended, in ms
-	drained           float64 // when the drain began, in ms
-	began             float64 // when the scheduler began to serve clients, in ms
+	drainStart        float64 // when the drain began, in ms
+	servingSince      float64 // when the scheduler began to serve clients, in ms
 
 	clients clients
 	pool    pool
 	roster  roster
 	peers   peers
 	ops     ops
-	drive   drive
+	driver  driver
 	metrics metrics
 
 	handover handover
@@ -84,7 +84,7 @@
 	s := &Scheduler{node: n, log: l, ready: make(chan struct{}), clock: newClock(),
 		systemDescriptors: descriptorLimit()}
 	s.handover.init(s)
-	s.drive.init(s, balance.New(n.told.Terms))
+	s.driver.init(s, balance.New(n.decoded.Terms))
 	s.clients.init(s)
 	s.pool.init(s)
 	s.roster.init(s)
@@ -103,11 +103,11 @@
 	if lim.Cores > 0 {
 		runtime.GOMAXPROCS(max(int(math.Ceil(lim.Cores)), 1))
 	}
-	if planted("never-ready") {
+	if faultInjected("never-ready") {
 		<-ctx.Done()
 		return nil
 	}
-	if n := s.sockets(); n < minSockets {
+	if n := s.maxDescriptors(); n < minSockets {
 		return fmt.Errorf("limits: the system lets the process have %d descriptors, expected at least %d", n, minSockets)
 	}
 	s.handover.join()
@@ -131,7 +131,7 @@
 	close(s.ready)
 	// No event may be handled before beginServing has run. The loop handles events on this goroutine, and only below.
 	s.beginServing()
-	s.pull()
+	s.afterEvent()
 	if err := s.loop.Run(); err != nil {
 		return s.loopEndedEarly(err)
 	}
@@ -143,7 +143,7 @@
 
 // listen makes the loop and its listeners, for clients, peers and management.
 func (s *Scheduler) listen() error {
-	if s.handover.others == 0 {
+	if s.handover.otherProcesses == 0 {
 		// The listeners set SO_REUSEPORT for another process of this scheduler. That would also let them share the address with any
 		// other program that sets it, so make sure first that the address is free.
 		if err := transient.Retry(startTimeout, transient.Error, func() error {
@@ -156,8 +156,8 @@
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	if s.clientsAt, err = loop.ListenTCP(s.node.Listen); err == nil && s.node.PeerListen != "" {
-		s.peers.at, err = loop.ListenUDP(s.node.PeerListen)
+	if s.clientListener, err = loop.ListenTCP(s.node.Listen); err == nil && s.node.PeerListen != "" {
+		s.peers.listener, err = loop.ListenUDP(s.node.PeerListen)
 	}
 	if err == nil && s.node.Mgmt != "" {
 		s.ops.listener, err = loop.ListenTCP(s.node.Mgmt)
@@ -167,8 +167,8 @@
 	}
 	s.loop = loop
 	s.handover.removeSteering()
-	s.log.Printf("msg=listening name=%s addr=%s peer_addr=%s mgmt_addr=%s", s.node.Name, addrOf(s.clientsAt), addrOf(s.peers.at),
-		addrOf(s.ops.listener))
+	s.log.Printf("msg=listening name=%s addr=%s peer_addr=%s mgmt_addr=%s", s.node.Name,
+		listenerAddr(s.clientListener), listenerAddr(s.peers.listener), listenerAddr(s.ops.listener))
 	return nil
 }
 
@@ -181,8 +181,8 @@
 	return l.Close()
 }
 
-// addrOf returns a listener's address, or "" for nil.
-func addrOf(l *eventloop.Listener) string {
+// listenerAddr returns a listener's address, or "" for nil.
+func listenerAddr(l *eventloop.Listener) string {
 	if l == nil {
 		return ""
 	}
@@ -191,7 +191,7 @@
 
 // loopEndedEarly logs what was open when the event loop ended without being told to, and returns the error for it.
 func (s *Scheduler) loopEndedEarly(err error) error {
-	s.log.Printf("msg=loop state=ended phase=%s requests=%d clients=%d err=%q", s.phase, len(s.drive.txns),
+	s.log.Printf("msg=loop state=ended phase=%s requests=%d clients=%d err=%q", s.phase, len(s.driver.txns),
 		len(s.clients.all), err)
 	return fmt.Errorf("the event loop ended while %s: %w", s.phase, err)
 }
@@ -204,7 +204,7 @@
 	}
 	s.loop.Execute(func() {
 		f()
-		s.pull()
+		s.afterEvent()
 	})
 }
 
@@ -216,11 +216,11 @@
 
 // beginServing starts the watch of discovery and begins to serve clients.
 func (s *Scheduler) beginServing() {
-	s.began = s.now()
+	s.servingSince = s.now()
 	s.roster.begin()
 	s.setPhase(serving)
 	s.handover.markServing()
-	if planted("crashes-later") {
+	if faultInjected("crashes-later") {
 		time.AfterFunc(4*time.Second, func() { os.Exit(3) })
 	}
 }
@@ -228,19 +228,19 @@
 // drain begins a graceful shutdown. The module is told the deadline (see applyDrainDeadline), as a txn may then have less time
 // than its expiry.
 func (s *Scheduler) drain() {
-	if s.phase >= draining || planted("ignores-term") {
+	if s.phase >= draining || faultInjected("ignores-term") {
 		return
 	}
 	s.setPhase(draining)
 	longestMs := 0.0
-	for _, row := range s.node.told.Terms.Schemes {
+	for _, row := range s.node.decoded.Terms.Schemes {
 		longestMs = max(longestMs, row.Expiry)
 	}
-	s.drained = s.now()
-	for _, t := range s.drive.txns {
-		longestMs = max(longestMs, t.until-s.drained) // its scheme may have been removed, or have had another expiry
+	s.drainStart = s.now()
+	for _, t := range s.driver.txns {
+		longestMs = max(longestMs, t.deadline-s.drainStart) // its scheme may have been removed, or have had another expiry
 	}
-	s.drainDeadline = s.drained + max(min(longestMs, maxDrainMs), drainLeast)
+	s.drainDeadline = s.drainStart + max(min(longestMs, maxDrainMs), minDrainMs)
 	s.handover.beginDrain()
 	s.applyDrainDeadline()
 }
@@ -248,8 +248,8 @@
 // applyDrainDeadline limits the time of all open txns to the drain's deadline, once. While connections can still be
 // transferred to a successor, txns keep their time.
 func (s *Scheduler) applyDrainDeadline() {
-	if s.handover.successorFD == 0 && s.drive.stopAt > s.drainDeadline {
-		s.drive.shorten(s.drainDeadline)
+	if s.handover.successorFD == 0 && s.driver.stopAt > s.drainDeadline {
+		s.driver.capDeadlines(s.drainDeadline)
 	}
 }
 
@@ -264,10 +264,10 @@
 			return
 		}
 		s.node = merged
-		s.drive.mod.Retune(merged.told.Terms)
+		s.driver.module.Retune(merged.decoded.Terms)
 		s.log.Printf("msg=reload state=taken discovery=%s schemes=%s kept=%s", n.Discovery,
-			strings.Join(merged.told.Schemes, ","), cmp.Or(strings.Join(kept, ","), "none"))
-		s.roster.move(n.Discovery)
+			strings.Join(merged.decoded.Schemes, ","), cmp.Or(strings.Join(kept, ","), "none"))
+		s.roster.retune(n.Discovery)
 	})
 }
 
@@ -276,22 +276,22 @@
 // successor they are closed with the next answer at once, unless they are being transferred to it.
 func (s *Scheduler) closesAfterAnswer(now float64) bool {
 	return s.phase == draining && s.handover.successorFD == 0 &&
-		(s.handover.hasSuccessor || now > s.drainDeadline-(s.drainDeadline-s.drained)/3)
+		(s.handover.hasSuccessor || now > s.drainDeadline-(s.drainDeadline-s.drainStart)/3)
 }
 
 // closesIdle tells whether idle connections of clients are closed. A client may be about to use one, so this is done late, not
-// before drainLeast.
+// before minDrainMs.
 func (s *Scheduler) closesIdle(now float64) bool {
-	return s.closesAfterAnswer(now) && now > s.drained+drainLeast
+	return s.closesAfterAnswer(now) && now > s.drainStart+minDrainMs
 }
 
-// settle ends a drain once all requests are answered, the answers written, and no client with an answered txn is connected, or
-// flushTimeoutMs after the drain's deadline.
-func (s *Scheduler) settle(now float64) {
-	if s.phase != draining || now < s.drained+drainLeast {
+// stopIfDrained ends a drain once all requests are answered, the answers written, and no client with an answered txn is
+// connected, or flushTimeoutMs after the drain's deadline.
+func (s *Scheduler) stopIfDrained(now float64) {
+	if s.phase != draining || now < s.drainStart+minDrainMs {
 		return
 	}
-	if len(s.drive.txns) == 0 && !s.clients.hasPending() && !s.hasUnaccepted() || now >= s.drainDeadline+flushTimeoutMs {
+	if len(s.driver.txns) == 0 && !s.clients.hasPending() && !s.hasUnaccepted() || now >= s.drainDeadline+flushTimeoutMs {
 		s.setPhase(stopped)
 	}
 }
@@ -299,15 +299,16 @@
 // hasUnaccepted tells whether connections wait in the clients' accept queue: the process's end would reset them, though the
 // kernel has completed their handshakes and acknowledged their bytes.
 func (s *Scheduler) hasUnaccepted() bool {
-	info, err := unix.GetsockoptTCPInfo(s.clientsAt.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
+	info, err := unix.GetsockoptTCPInfo(s.clientListener.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
 	return err == nil && info.Unacked > 0 // for a listening socket this is the length of the accept queue
 }
 
-// pull carries out what the module decides after an event, and ends the loop once the scheduler has stopped.
-func (s *Scheduler) pull() {
+// afterEvent carries out what the module decides after an event, and ends the loop once the scheduler has stopped. It is called
+// after each callback of the event loop, each failed dial, each function run by onLoop, and when the driver's timer fires.
+func (s *Scheduler) afterEvent() {
 	if s.phase != stopped {
-		s.handover.look()
-		s.drive.pull()
+		s.handover.refresh()
+		s.driver.executeDecisions()
 	}
 	if s.phase == stopped {
 		s.loop.Stop()
@@ -324,41 +325,41 @@
 
 // Accepted handles a connection that arrived at one of the listeners.
 func (s *Scheduler) Accepted(c eventloop.Conn, from *eventloop.Listener) {
-	s.handover.look()
+	s.handover.refresh()
 	if from == s.ops.listener {
 		s.ops.accept(c)
 	} else {
 		s.clients.accept(c)
 	}
-	s.pull()
+	s.afterEvent()
 }
 
 // Opened handles a connection that was dialled by the pool or the roster, or taken over from another process.
 func (s *Scheduler) Opened(c eventloop.Conn) {
-	s.handover.look()
+	s.handover.refresh()
 	c.Context().(connection).opened(c)
-	s.pull()
+	s.afterEvent()
 }
 
 // Traffic handles bytes that arrived on a connection.
 func (s *Scheduler) Traffic(c eventloop.Conn) {
-	s.handover.look()
+	s.handover.refresh()
 	c.Context().(connection).traffic(c)
-	s.pull()
+	s.afterEvent()
 }
 
-// Closed handles the end of a connection, by either side. Unlike the other callbacks it calls handover.look only afterwards (in
-// pull), which might otherwise transfer the connection though it has ended.
+// Closed handles the end of a connection, by either side. Unlike the other callbacks it calls handover.refresh only afterwards
+// (in afterEvent), which might otherwise transfer the connection though it has ended.
 func (s *Scheduler) Closed(c eventloop.Conn, err error) {
 	if x, ok := c.Context().(connection); ok {
 		x.closed(c, err)
 	}
-	s.pull()
+	s.afterEvent()
 }
 
 // Datagram handles a message of a peer.
 func (s *Scheduler) Datagram(from netip.AddrPort, packet []byte) {
-	s.handover.look()
-	s.peers.hear(from, packet)
-	s.pull()
+	s.handover.refresh()
+	s.peers.receive(from, packet)
+	s.afterEvent()
 }
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	ownSockets           = 32                     // descriptors: standard streams, pollers, listeners, discovery, and a reserve
+	reservedDescriptors  = 32                     // descriptors: standard streams, pollers, listeners, discovery, and a reserve
 	idleTimeoutShare     = 0.5                    // of the workers' idle timeout: a request written as the worker closes is lost
 	idleTrustDoublingMs  = 5000.0                 // see maxIdleMs
 	responseEndTimeoutMs = 1000.0                 // for the end of a response, once the outcome is known
@@ -32,32 +32,32 @@
 )
 
 // responseLimits bound the responses of workers.
-var responseLimits = http1.Limits{Head: headMost, Body: maxResponseBodyBytes}
+var responseLimits = http1.Limits{Head: maxHeadBytes, Body: maxResponseBodyBytes}
 
-// workerConnsMost is the maximum number of connections to workers: a third of the descriptors, so that two thirds are
+// maxWorkerConns is the maximum number of connections to workers: a third of the descriptors, so that two thirds are
 // left to clients. A connection kept open to most of the workers would only sit idle.
-func (s *Scheduler) workerConnsMost() int { return (s.sockets() - ownSockets) / 3 }
+func (s *Scheduler) maxWorkerConns() int { return (s.maxDescriptors() - reservedDescriptors) / 3 }
 
-// dialsMost is the maximum number of connections being made at once. Each holds two descriptors until it is on the
+// maxDials is the maximum number of connections being made at once. Each holds two descriptors until it is on the
 // event loop.
-func (s *Scheduler) dialsMost() int { return s.workerConnsMost() / 4 }
+func (s *Scheduler) maxDials() int { return s.maxWorkerConns() / 4 }
 
 // pool holds the connections to workers. All times are milliseconds on the scheduler's clock.
 type pool struct {
-	s         *Scheduler
-	targets   map[string]*target // by worker id
-	conns     []*workerConn      // all connections, in any state
-	idleConns list.List          // of *workerConn: the idle connections of all workers, the one idle longest first
-	dials     int                // connections being made
-	maxConns  int                // upper bound on len(conns)
+	s               *Scheduler
+	workers         map[string]*poolWorker // by worker id
+	conns           []*workerConn          // all connections, in any state
+	idleConns       list.List              // of *workerConn: the idle connections of all workers, the one idle longest first
+	dialsInProgress int                    // connections being made
+	maxConns        int                    // upper bound on len(conns)
 	// The last connection that a worker closed earlier than expected: how long it had been idle, and when it was
 	// closed. -Inf: there was none.
 	earlyCloseIdleMs float64
 	earlyCloseAt     float64
 }
 
-// target is one worker as the connection pool knows it.
-type target struct {
+// poolWorker is one worker as the connection pool knows it.
+type poolWorker struct {
 	id, addr        string
 	listedInService bool          // discovery's list has it in service
 	idleConns       []*workerConn // most recently used last
@@ -67,40 +67,40 @@
 type workerConnState int
 
 const (
-	dialling    workerConnState = iota // being made
-	idle                               // up, without a posting or probe
-	busy                               // a request was sent, and its outcome is not known
-	awaitingEnd                        // the outcome is known, the end of the response has not come yet
+	connDialling    workerConnState = iota // being made
+	connIdle                               // up, without a posting or probe
+	connBusy                               // a request was sent, and its outcome is not known
+	connAwaitingEnd                        // the outcome is known, the end of the response has not come yet
 )
 
 // workerConn is one connection to a worker. It carries one posting or one probe at a time.
 type workerConn struct {
-	s             *Scheduler
-	to            *target
-	addr          string         // address that it was dialled at; discovery's list may since name another
-	conn          eventloop.Conn // nil while it is being made, and after it has closed
-	at            int            // its index in pool.conns
-	idleElem      *list.Element  // its element of pool.idleConns; nil unless it is idle
-	rested        float64        // ms for which it was idle before its present use; below 0 in its first use
-	closedLocally bool           // this process closed it
-	state         workerConnState
-	p             *posting       // nil where it carries none
-	probing       bool           // it carries a probe
-	resp          http1.Response // to the present request
-	stateSince    float64        // when the states idle and awaitingEnd began
-	writing       bool           // the request is being written, so that closed may be called from within send
-	probeDeadline float64        // when an unanswered probe counts as timed out
-	passed        bool           // taken over, in use, from another process of this scheduler
+	s               *Scheduler
+	worker          *poolWorker
+	addr            string         // address that it was dialled at; discovery's list may since name another
+	conn            eventloop.Conn // nil while it is being made, and after it has closed
+	index           int            // its index in pool.conns
+	idleElem        *list.Element  // its element of pool.idleConns; nil unless it is idle
+	idleBeforeUseMs float64        // time it was idle before its present use; below 0 in its first use
+	closedLocally   bool           // this process closed it
+	state           workerConnState
+	posting         *posting       // nil where it carries none
+	probing         bool           // it carries a probe
+	resp            http1.Response // to the present request
+	stateSince      float64        // when the state connIdle or connAwaitingEnd began
+	writing         bool           // the request is being written, so that closed may be called from within send
+	probeDeadline   float64        // when an unanswered probe counts as timed out
+	transferred     bool           // taken over, in use, from another process of this scheduler
 }
 
 func (pl *pool) init(s *Scheduler) {
-	*pl = pool{s: s, maxConns: s.workerConnsMost(), earlyCloseAt: math.Inf(-1), targets: map[string]*target{}}
+	*pl = pool{s: s, maxConns: s.maxWorkerConns(), earlyCloseAt: math.Inf(-1), workers: map[string]*poolWorker{}}
 }
 
-// bound sets the maximum number of connections anew from the process's descriptor limit, and closes idle connections
+// applyLimits sets the maximum number of connections anew from the process's descriptor limit, and closes idle connections
 // beyond it.
-func (pl *pool) bound() {
-	pl.maxConns = pl.s.workerConnsMost()
+func (pl *pool) applyLimits() {
+	pl.maxConns = pl.s.maxWorkerConns()
 	for len(pl.conns) > pl.maxConns && pl.idleConns.Len() > 0 {
 		pl.idleConns.Front().Value.(*workerConn).close()
 	}
@@ -111,7 +111,7 @@
 // an early close the limit is half of the time for which that connection had been idle; it then doubles every
 // idleTrustDoublingMs without another early close, up to what the settings allow.
 func (pl *pool) maxIdleMs(now float64) float64 {
-	configuredMaxMs := idleTimeoutShare * pl.s.node.told.Idle
+	configuredMaxMs := idleTimeoutShare * pl.s.node.decoded.Idle
 	if math.IsInf(pl.earlyCloseAt, -1) {
 		return configuredMaxMs
 	}
@@ -125,26 +125,28 @@
 	}
 }
 
-// target returns the worker with this id, nil where discovery's list has none.
-func (pl *pool) target(id string) *target { return pl.targets[id] }
+// worker returns the worker with this id, nil where discovery's list has none.
+func (pl *pool) worker(id string) *poolWorker { return pl.workers[id] }
 
 // updateWorker adds a worker from discovery's list, or updates it. If its address changed, its idle connections lead
 // to the old one and are closed.
 func (pl *pool) updateWorker(id, addr string, listed bool) {
-	t := pl.target(id)
-	if t == nil {
-		t = &target{id: id, addr: addr}
-		pl.targets[id] = t
+	w := pl.worker(id)
+	if w == nil {
+		w = &poolWorker{id: id, addr: addr}
+		pl.workers[id] = w
 	}
-	if t.addr != addr {
-		t.leave()
+	if w.addr != addr {
+		w.closeIdle()
 	}
-	t.addr, t.listedInService = addr, listed
+	w.addr, w.listedInService = addr, listed
 }
 
 // inService tells whether postings may be sent to a worker: discovery's list has it in service, and neither staff nor
 // the fleet took it out.
-func (pl *pool) inService(t *target) bool { return t.listedInService && !pl.s.ops.staffed[t.id].out() }
+func (pl *pool) inService(w *poolWorker) bool {
+	return w.listedInService && !pl.s.ops.workerRecords[w.id].isOut()
+}
 
 // maySend is the last check before a request is written, and all requests pass it. The module (package balance) has
 // decided on the posting or probe earlier, and while the connection was made things may have changed: the worker
@@ -153,39 +155,39 @@
 // the txn may have been answered or lost its client, which the module does not report where postings may not be
 // cancelled.
 func (wc *workerConn) maySend(now float64) bool {
-	p := wc.p
-	return wc.s.pool.inService(wc.to) && wc.addr == wc.to.addr &&
-		(p == nil || !p.t.over && now <= p.by && now < p.until && now < wc.s.roster.watch.Till())
+	p := wc.posting
+	return wc.s.pool.inService(wc.worker) && wc.addr == wc.worker.addr &&
+		(p == nil || !p.txn.closed && now <= p.sendBy && now < p.deadline && now < wc.s.roster.watch.Till())
 }
 
 // removeWorkers removes workers from the pool: those in removed and, where discovery sent the whole list, all that
 // are not in kept.
 func (pl *pool) removeWorkers(removed []string, wholeList bool, kept map[string]bool) {
 	for _, id := range removed {
-		pl.removeWorker(pl.targets[id])
+		pl.removeWorker(pl.workers[id])
 	}
-	if wholeList && len(kept) < len(pl.targets) {
-		for id, t := range pl.targets {
+	if wholeList && len(kept) < len(pl.workers) {
+		for id, w := range pl.workers {
 			if !kept[id] {
-				pl.removeWorker(t) // in any order: this only closes idle connections
+				pl.removeWorker(w) // in any order: this only closes idle connections
 			}
 		}
 	}
 }
 
-// removeWorker removes one worker and closes its idle connections; those in use go on. t may be nil.
-func (pl *pool) removeWorker(t *target) {
-	if t != nil {
-		t.listedInService = false
-		t.leave()
-		delete(pl.targets, t.id)
+// removeWorker removes one worker and closes its idle connections; those in use go on. w may be nil.
+func (pl *pool) removeWorker(w *poolWorker) {
+	if w != nil {
+		w.listedInService = false
+		w.closeIdle()
+		delete(pl.workers, w.id)
 	}
 }
 
-// leave closes the idle connections to a worker.
-func (t *target) leave() {
-	for len(t.idleConns) > 0 {
-		t.idleConns[0].close()
+// closeIdle closes the idle connections to a worker.
+func (w *poolWorker) closeIdle() {
+	for len(w.idleConns) > 0 {
+		w.idleConns[0].close()
 	}
 }
 
@@ -193,15 +195,15 @@
 // and where the limit on connections or on dials in progress is reached. With needsNewConn no idle connection is
 // reused.
 func (pl *pool) acquire(id string, needsNewConn bool) *workerConn {
-	t := pl.target(id)
-	if t == nil {
+	w := pl.worker(id)
+	if w == nil {
 		return nil
 	}
 	now := pl.s.now()
-	for remaining := len(t.idleConns); remaining > 0 && !needsNewConn; remaining = len(t.idleConns) {
-		wc := t.idleConns[remaining-1]
-		if wc.rested = now - wc.stateSince; wc.rested <= pl.maxIdleMs(now) && wc.hasNoUnreadInput() {
-			t.idleConns = t.idleConns[:remaining-1]
+	for remaining := len(w.idleConns); remaining > 0 && !needsNewConn; remaining = len(w.idleConns) {
+		wc := w.idleConns[remaining-1]
+		if wc.idleBeforeUseMs = now - wc.stateSince; wc.idleBeforeUseMs <= pl.maxIdleMs(now) && wc.hasNoUnreadInput() {
+			w.idleConns = w.idleConns[:remaining-1]
 			wc.removeFromIdle()
 			return wc
 		}
@@ -214,47 +216,47 @@
 		}
 		oldest.Value.(*workerConn).close()
 	}
-	if pl.dials >= pl.s.dialsMost() {
+	if pl.dialsInProgress >= pl.s.maxDials() {
 		return nil
 	}
-	wc := &workerConn{s: pl.s, to: t, addr: t.addr, rested: -1, at: len(pl.conns)}
+	wc := &workerConn{s: pl.s, worker: w, addr: w.addr, idleBeforeUseMs: -1, index: len(pl.conns)}
 	pl.conns = append(pl.conns, wc)
-	pl.dials++
-	pl.s.dial(t.addr, wc, func(err error) {
-		pl.dials--
-		pl.drop(wc)
+	pl.dialsInProgress++
+	pl.s.dial(w.addr, wc, func(err error) {
+		pl.dialsInProgress--
+		pl.removeConn(wc)
 		if errors.Is(err, eventloop.ErrLocal) {
-			wc.end(balance.NeverSent) // nothing was learned of the worker
+			wc.reportEnd(balance.NeverSent) // nothing was learned of the worker
 		} else {
-			wc.end(balance.NoConnect)
+			wc.reportEnd(balance.NoConnect)
 		}
 	})
 	return wc
 }
 
-// drop removes a connection from the pool's records without closing it.
-func (pl *pool) drop(wc *workerConn) {
-	if end := len(pl.conns) - 1; wc.at <= end && pl.conns[wc.at] == wc {
-		pl.conns[wc.at] = pl.conns[end]
-		pl.conns[wc.at].at = wc.at
+// removeConn removes a connection from the pool's records without closing it.
+func (pl *pool) removeConn(wc *workerConn) {
+	if end := len(pl.conns) - 1; wc.index <= end && pl.conns[wc.index] == wc {
+		pl.conns[wc.index] = pl.conns[end]
+		pl.conns[wc.index].index = wc.index
 		pl.conns[end] = nil
 		pl.conns = pl.conns[:end]
 	}
 	wc.removeFromIdle()
-	wc.to.idleConns = slices.DeleteFunc(wc.to.idleConns, func(x *workerConn) bool { return x == wc })
+	wc.worker.idleConns = slices.DeleteFunc(wc.worker.idleConns, func(x *workerConn) bool { return x == wc })
 }
 
 // dial begins to make a connection, and calls handler.opened once it is up, or else failed: at the latest after the
 // connect timeout of the settings. Dials do not wait for each other.
 func (s *Scheduler) dial(addr string, handler connection, failed func(error)) {
-	to, err := netip.ParseAddrPort(addr)
+	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		s.loop.After(0, func() { failed(err) }) // cannot happen: addresses are checked where they are read
 		return
 	}
-	s.loop.Dial(to, time.Duration(s.node.told.Dial*float64(time.Millisecond)), handler, func(err error) {
+	s.loop.Dial(addrPort, time.Duration(s.node.decoded.Dial*float64(time.Millisecond)), handler, func(err error) {
 		failed(err)
-		s.pull()
+		s.afterEvent()
 	})
 }
 
@@ -262,15 +264,15 @@
 func (pl *pool) post(p *posting, id string) {
 	// A reused connection may be closing at the worker's end. A reset then leaves open whether the posting ran, and a
 	// once-only txn could not be attempted again.
-	wc := pl.acquire(id, p.t.ask.row.Effect == balance.OnceOnly)
+	wc := pl.acquire(id, p.txn.request.scheme.Effect == balance.OnceOnly)
 	if wc == nil {
 		// No connection was made as a limit is reached. The module takes this outcome as a reason to leave the worker
 		// alone for a while.
-		pl.s.drive.postingEnded(p, balance.NoConnect, balance.NoLoad, "")
+		pl.s.driver.postingEnded(p, balance.NoConnect, balance.NoLoad, "")
 		return
 	}
-	p.conn, wc.p = wc, p
-	if wc.state == idle {
+	p.conn, wc.posting = wc, p
+	if wc.state == connIdle {
 		wc.send()
 	}
 }
@@ -279,28 +281,28 @@
 func (pl *pool) probe(id string) {
 	wc := pl.acquire(id, true) // that a reused connection ends says little about its worker
 	if wc == nil {
-		pl.s.drive.mod.Probed(pl.s.now(), id, balance.NoConnect, balance.NoLoad)
+		pl.s.driver.module.Probed(pl.s.now(), id, balance.NoConnect, balance.NoLoad)
 		return
 	}
 	// A probe finds out whether a worker answers at all. One that has not within twice the connect timeout counts as
 	// silent.
-	wc.probing, wc.probeDeadline = true, pl.s.now()+2*pl.s.node.told.Dial
-	if wc.state == idle {
+	wc.probing, wc.probeDeadline = true, pl.s.now()+2*pl.s.node.decoded.Dial
+	if wc.state == connIdle {
 		wc.send()
 	}
 }
 
 // opened is called once the connection is up. It sends the posting or probe that waits for it.
 func (wc *workerConn) opened(c eventloop.Conn) {
-	if wc.passed {
-		if wc.conn = c; wc.p == nil {
+	if wc.transferred {
+		if wc.conn = c; wc.posting == nil {
 			wc.close() // its posting was cancelled meanwhile
 		}
 		return
 	}
-	wc.s.pool.dials--
+	wc.s.pool.dialsInProgress--
 	wc.conn = c
-	if wc.p != nil || wc.probing {
+	if wc.posting != nil || wc.probing {
 		wc.send()
 	} else {
 		wc.addToIdle()
@@ -309,12 +311,12 @@
 
 // addToIdle makes the connection idle, or closes it if its worker is out of service or has another address now.
 func (wc *workerConn) addToIdle() {
-	wc.state, wc.stateSince = idle, wc.s.now()
-	if !wc.s.pool.inService(wc.to) || wc.addr != wc.to.addr {
+	wc.state, wc.stateSince = connIdle, wc.s.now()
+	if !wc.s.pool.inService(wc.worker) || wc.addr != wc.worker.addr {
 		wc.close()
 		return
 	}
-	wc.to.idleConns = append(wc.to.idleConns, wc)
+	wc.worker.idleConns = append(wc.worker.idleConns, wc)
 	wc.idleElem = wc.s.pool.idleConns.PushBack(wc)
 }
 
@@ -328,59 +330,59 @@
 
 // send writes the request. It never repeats one: each attempt is a decision of the module.
 func (wc *workerConn) send() {
-	if p := wc.p; p != nil && p.t.from != nil && p.t.from.left() {
-		p.t.from.leave() // the client's end ends its txn, and the module may cancel this posting
+	if p := wc.posting; p != nil && p.txn.client != nil && p.txn.client.hasLeft() {
+		p.txn.client.closeDeparted() // the client's end ends its txn, and the module may cancel this posting
 	}
-	if wc.p == nil && !wc.probing || !wc.maySend(wc.s.now()) {
-		wc.end(balance.NeverSent)
+	if wc.posting == nil && !wc.probing || !wc.maySend(wc.s.now()) {
+		wc.reportEnd(balance.NeverSent)
 		wc.addToIdle()
 		return
 	}
-	wc.state = busy
+	wc.state = connBusy
 	wc.resp.Reset(responseLimits)
 	var b []byte
-	if wc.p == nil {
+	if wc.posting == nil {
 		path := "/ping"
-		if wc.s.node.told.Reports {
+		if wc.s.node.decoded.Reports {
 			path = "/_load"
 		}
-		b = append(b, "GET "+path+" HTTP/1.1\r\nHost: "+wc.to.addr+"\r\n\r\n"...)
+		b = append(b, "GET "+path+" HTTP/1.1\r\nHost: "+wc.worker.addr+"\r\n\r\n"...)
 	} else {
-		a := &wc.p.t.ask
-		b = make([]byte, 0, 512+len(a.body))
-		b = append(b, a.method+" "+a.path+" HTTP/1.1\r\nHost: "+cmp.Or(a.host, wc.to.addr)...)
-		b = append(b, "\r\nRequest-Id: "+a.txn.Ref...)
-		if a.mark != "" {
-			b = append(b, "\r\nIdempotency-Key: "+a.mark...)
+		req := &wc.posting.txn.request
+		b = make([]byte, 0, 512+len(req.body))
+		b = append(b, req.method+" "+req.path+" HTTP/1.1\r\nHost: "+cmp.Or(req.host, wc.worker.addr)...)
+		b = append(b, "\r\nRequest-Id: "+req.txn.Ref...)
+		if req.idempotencyKey != "" {
+			b = append(b, "\r\nIdempotency-Key: "+req.idempotencyKey...)
 		}
-		if a.kind != "" {
-			b = append(b, "\r\nContent-Type: "+a.kind...)
+		if req.contentType != "" {
+			b = append(b, "\r\nContent-Type: "+req.contentType...)
 		}
 		b = append(b, "\r\nRequest-Timeout: "...)
-		b = strconv.AppendInt(b, max(int64(wc.p.until-wc.s.now()), 1), 10)
+		b = strconv.AppendInt(b, max(int64(wc.posting.deadline-wc.s.now()), 1), 10)
 		b = append(b, "m\r\nContent-Length: "...)
-		b = strconv.AppendInt(b, int64(len(a.body)), 10)
-		b = append(append(b, "\r\n\r\n"...), a.body...)
+		b = strconv.AppendInt(b, int64(len(req.body)), 10)
+		b = append(append(b, "\r\n\r\n"...), req.body...)
 	}
 	wc.conn.SetWriteDeadline(time.Now().Add(requestWriteTimeout))
 	wc.writing = true
 	_ = wc.conn.Write(b) // a failed write closes the connection, and closed reports the outcome
 	wc.writing = false
-	if p := wc.p; wc.hasUnsentBytes() {
+	if p := wc.posting; wc.hasUnsentBytes() {
 		wc.s.loop.After(requestWriteTimeout, func() { wc.failIfUnsent(p) })
 	}
 }
 
 // hasUnsentBytes tells whether part of the request has yet to be written to the socket.
 func (wc *workerConn) hasUnsentBytes() bool {
-	return wc.state == busy && wc.conn != nil && wc.conn.OutboundBuffered() > 0
+	return wc.state == connBusy && wc.conn != nil && wc.conn.OutboundBuffered() > 0
 }
 
 // failIfUnsent ends posting p as never sent if part of its request is still in this process's buffer: the
 // Request-Timeout that the request tells the worker is no longer right.
 func (wc *workerConn) failIfUnsent(p *posting) {
-	if p != nil && wc.p == p && wc.hasUnsentBytes() {
-		wc.end(balance.NeverSent)
+	if p != nil && wc.posting == p && wc.hasUnsentBytes() {
+		wc.reportEnd(balance.NeverSent)
 		wc.close()
 	}
 }
@@ -388,8 +390,8 @@
 // abandonPosting detaches the connection from its posting, which is being given up, and tells whether the request may
 // have been written whole. If so, the posting may run.
 func (wc *workerConn) abandonPosting() bool {
-	wc.p = nil
-	if wc.state == dialling {
+	wc.posting = nil
+	if wc.state == connDialling {
 		return false // the connection, once it is up, can serve another posting
 	}
 	if wc.conn == nil {
@@ -424,38 +426,40 @@
 		_ = unix.Shutdown(c.Fd(), unix.SHUT_RDWR)
 	}
 	wc.conn = nil
-	wc.s.pool.drop(wc)
+	wc.s.pool.removeConn(wc)
 	if now := wc.s.now(); wc.closedLocally {
 		// not an early close by the worker
-	} else if wc.state == idle {
+	} else if wc.state == connIdle {
 		wc.s.pool.noteEarlyClose(now, now-wc.stateSince)
-	} else if wc.state == busy && wc.rested >= 0 && !wc.resp.Begun() {
-		wc.s.pool.noteEarlyClose(now, wc.rested)
+	} else if wc.state == connBusy && wc.idleBeforeUseMs >= 0 && !wc.resp.Begun() {
+		wc.s.pool.noteEarlyClose(now, wc.idleBeforeUseMs)
 	}
 	switch {
 	case truncated && errors.Is(err, os.ErrDeadlineExceeded):
-		wc.end(balance.NeverSent) // this machine could not write it, which says nothing of the worker
+		wc.reportEnd(balance.NeverSent) // this machine could not write it, which says nothing of the worker
 	case truncated:
-		wc.end(balance.NoConnect)
+		wc.reportEnd(balance.NoConnect)
 	case wc.resp.End() && wc.resp.Status != 0:
-		wc.end(wc.responseOutcome())
+		wc.reportEnd(wc.responseOutcome())
 	default:
-		wc.end(balance.Reset)
+		wc.reportEnd(balance.Reset)
 	}
 }
 
-// end reports the outcome of the posting or probe on the connection, if there is one, without a load report.
-func (wc *workerConn) end(outcome balance.Outcome) { wc.reportOutcome(outcome, balance.NoLoad, "") }
+// reportEnd reports the outcome of the posting or probe on the connection, if there is one, without a load report.
+func (wc *workerConn) reportEnd(outcome balance.Outcome) {
+	wc.reportOutcome(outcome, balance.NoLoad, "")
+}
 
 // reportOutcome tells the module how the posting or probe on the connection ended, if there is one.
 func (wc *workerConn) reportOutcome(outcome balance.Outcome, load balance.Load, result string) {
-	if p := wc.p; p != nil {
-		wc.p = nil
-		wc.s.drive.postingEnded(p, outcome, load, result)
+	if p := wc.posting; p != nil {
+		wc.posting = nil
+		wc.s.driver.postingEnded(p, outcome, load, result)
 	}
 	if wc.probing {
 		wc.probing = false
-		wc.s.drive.mod.Probed(wc.s.now(), wc.to.id, outcome, load)
+		wc.s.driver.module.Probed(wc.s.now(), wc.worker.id, outcome, load)
 	}
 }
 
@@ -483,7 +487,7 @@
 		if len(buf) == 0 {
 			return
 		}
-		if wc.state == idle {
+		if wc.state == connIdle {
 			wc.close() // input without a request
 			return
 		}
@@ -491,17 +495,17 @@
 		if n > 0 {
 			wc.conn.Discard(n)
 		}
-		if err == nil && wc.p != nil && wc.resp.HeadDone() && wc.resp.Status == 200 {
+		if err == nil && wc.posting != nil && wc.resp.HeadDone() && wc.resp.Status == 200 {
 			err = wc.readProgressLines()
 		}
 		if err != nil {
-			wc.s.log.Printf("msg=malformed from=worker id=%s err=%q", wc.to.id, err)
+			wc.s.log.Printf("msg=malformed from=worker id=%s err=%q", wc.worker.id, err)
 			wc.close()
 			return
 		}
-		if wc.p != nil && wc.resp.HeadDone() && wc.resp.Status != 200 {
-			wc.state, wc.stateSince = awaitingEnd, wc.s.now() // the status decides the outcome, and the body may never come
-			wc.end(wc.responseOutcome())
+		if wc.posting != nil && wc.resp.HeadDone() && wc.resp.Status != 200 {
+			wc.state, wc.stateSince = connAwaitingEnd, wc.s.now() // the status decides the outcome, and the body may never come
+			wc.reportEnd(wc.responseOutcome())
 		}
 		if wc.conn != nil && wc.resp.Done() {
 			load := balance.NoLoad
@@ -527,7 +531,7 @@
 // Aggregation), "JSON " before an object or "TEXT " before name=value pairs. A malformed report, or pair of one, is
 // logged and ignored: the response that it came with is still valid.
 func (wc *workerConn) parseLoad(report []byte) balance.Load {
-	if !wc.s.node.told.Reports || len(report) == 0 {
+	if !wc.s.node.decoded.Reports || len(report) == 0 {
 		return balance.NoLoad
 	}
 	values := map[string]float64{}
@@ -535,21 +539,21 @@
 	if !pairs {
 		text = strings.TrimPrefix(text, "JSON ")
 		if err := json.Unmarshal([]byte(text), &values); err != nil {
-			wc.s.log.Printf("msg=malformed from=worker id=%s part=load err=%q", wc.to.id, err)
+			wc.s.log.Printf("msg=malformed from=worker id=%s part=load err=%q", wc.worker.id, err)
 			return balance.NoLoad
 		}
-		return wc.s.node.told.Load(values)
+		return wc.s.node.decoded.Load(values)
 	}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		x, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			wc.s.log.Printf("msg=malformed from=worker id=%s part=load err=%q", wc.to.id, err)
+			wc.s.log.Printf("msg=malformed from=worker id=%s part=load err=%q", wc.worker.id, err)
 			continue
 		}
 		values[name] = x
 	}
-	return wc.s.node.told.Load(values)
+	return wc.s.node.decoded.Load(values)
 }
 
 // progressLine is one line of a worker's response body. Result comes with state done, Load with any final state.
@@ -566,7 +570,7 @@
 func (wc *workerConn) readProgressLines() error {
 	body, consumed := wc.resp.Body(), 0
 	defer func() { wc.resp.Take(consumed) }()
-	for wc.p != nil {
+	for wc.posting != nil {
 		lineLen := bytes.IndexByte(body[consumed:], '\n')
 		if lineLen < 0 && wc.resp.Done() {
 			lineLen = len(body) - consumed
@@ -582,7 +586,7 @@
 		if err := json.Unmarshal(text, &line); err != nil {
 			return err
 		}
-		if line.ID != wc.p.t.ref {
+		if line.ID != wc.posting.txn.ref {
 			return &http1.Error{Status: 502, Reason: "progress line has the id of another request"}
 		}
 		// A txn must not settle with a result that no worker produced: a missing one, or one with bytes that are not
@@ -592,7 +596,7 @@
 		}
 		switch line.State {
 		case "started":
-			wc.s.drive.started(wc.p)
+			wc.s.driver.started(wc.posting)
 		case "done":
 			wc.handleFinalLine(balance.Done, line)
 		case "failed":
@@ -608,7 +612,7 @@
 
 // handleFinalLine ends the posting with the outcome, result and load of its final progress line.
 func (wc *workerConn) handleFinalLine(outcome balance.Outcome, line progressLine) {
-	wc.state, wc.stateSince = awaitingEnd, wc.s.now()
+	wc.state, wc.stateSince = connAwaitingEnd, wc.s.now()
 	result := ""
 	if line.Result != nil {
 		result = *line.Result
@@ -622,11 +626,11 @@
 	for _, wc := range slices.Clone(pl.conns) {
 		switch {
 		case wc.probing && now >= wc.probeDeadline:
-			wc.end(balance.TimedOut)
+			wc.reportEnd(balance.TimedOut)
 			wc.close()
-			wc.to.leave() // on a broken link its other idle connections are dead too, and only a new one shows whether it works
-		case wc.state == idle && now-wc.stateSince > pl.maxIdleMs(now),
-			wc.state == awaitingEnd && now-wc.stateSince > responseEndTimeoutMs:
+			wc.worker.closeIdle() // on a broken link its other idle connections are dead too, and only a new one shows whether it works
+		case wc.state == connIdle && now-wc.stateSince > pl.maxIdleMs(now),
+			wc.state == connAwaitingEnd && now-wc.stateSince > responseEndTimeoutMs:
 			wc.close()
 		}
 	}
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -17,64 +17,64 @@
 // record says when staff or the fleet took a worker out of service, and when it was put back. Times are milliseconds
 // on the clock of the process that has read the file.
 type record struct {
-	Since float64 `json:"since"`           // taken out
-	Back  float64 `json:"back,omitempty"`  // put back; 0 while it is out
-	Fleet string  `json:"fleet,omitempty"` // the matter for which the fleet took it out, "" where staff did
-	// Change is the number of the fleet's last change of this worker. A call that the same owner made earlier may
-	// arrive after a later one, and its fencing token, the number of its matter, is the same.
+	Since   float64 `json:"since"`           // taken out
+	PutBack float64 `json:"back,omitempty"`  // put back; 0 while it is out
+	Fleet   string  `json:"fleet,omitempty"` // the matter for which the fleet took it out, "" where staff did
+	// Change is the number of the fleet's last change of this worker. It orders the calls of one owner, which all carry
+	// the same fencing token: an earlier call may arrive after a later one.
 	Change uint64 `json:"change,omitempty"`
 }
 
 // records is the content of the file.
 type records struct {
-	Shalebeam string            `json:"shalebeam"`        // recordsFormat: tells the file from others
-	Workers   map[string]record `json:"workers"`          // by worker id
-	Start     string            `json:"start,omitempty"`  // identifies the start of the scheduler that wrote the file last
-	Fences    map[string]uint64 `json:"fences,omitempty"` // highest fencing token seen of each matter; see fleet
-	Boot      float64           `json:"boot,omitempty"`   // of the clock that the times are on; see clock.boot
+	Shalebeam    string            `json:"shalebeam"`        // recordsFormat: tells the file from others
+	Workers      map[string]record `json:"workers"`          // by worker id
+	Start        string            `json:"start,omitempty"`  // identifies the start of the scheduler that wrote the file last
+	Fences       map[string]uint64 `json:"fences,omitempty"` // highest fencing token seen of each matter; see fleet
+	BootOffsetMs float64           `json:"boot,omitempty"`   // of the clock that the times are on; see clock.bootOffsetMs
 }
 
 // recordsFormat is the file's format and version.
 const recordsFormat = "workers out, 1"
 
-// look reads the file where another process may have changed it. It comes before each event is handled, and reads at
-// most every lookEvery ms.
-func (h *handover) look() {
-	if h.others == 0 || h.lock == nil {
+// refresh looks for other processes (see sweep), and reads the file where another process may have changed it. It is
+// called before each event is handled, and does this at most every refreshIntervalMs.
+func (h *handover) refresh() {
+	if h.otherProcesses == 0 || h.lockFile == nil {
 		return
 	}
 	now := h.s.now()
-	if now < h.lookAt {
+	if now < h.nextRefreshAt {
 		return
 	}
-	h.lookAt = now + lookEvery
+	h.nextRefreshAt = now + refreshIntervalMs
 	h.sweep(now)
-	h.read()
+	h.readRecords()
 }
 
-// read takes over what other processes have written to the file, if it has changed. A file that is torn or belongs to
+// readRecords takes over what other processes have written to the file, if it has changed. A file that is torn or belongs to
 // another program is logged and ignored.
-func (h *handover) read() {
-	info, err := os.Stat(h.path)
-	if err != nil || h.seen != nil && os.SameFile(info, h.seen) && info.ModTime().Equal(h.seen.ModTime()) {
+func (h *handover) readRecords() {
+	info, err := os.Stat(h.recordsPath)
+	if err != nil || h.recordsInfo != nil && os.SameFile(info, h.recordsInfo) && info.ModTime().Equal(h.recordsInfo.ModTime()) {
 		return
 	}
 	file, err := h.loadFile()
 	if transient.FileError(err) {
-		return // tried again with the next look
+		return // tried again with the next refresh
 	}
-	if h.seen = info; err != nil {
-		h.s.log.Printf("msg=malformed from=%s err=%q", h.path, err)
+	if h.recordsInfo = info; err != nil {
+		h.s.log.Printf("msg=malformed from=%s err=%q", h.recordsPath, err)
 		return
 	}
 	for id, r := range file.Workers {
-		h.s.ops.set(id, r) // in any order: each worker is independent of the others
+		h.s.ops.applyRecord(id, r) // in any order: each worker is independent of the others
 	}
 	fleetState := &h.s.ops.fleet
-	for matter, number := range file.Fences {
-		fleetState.numbers[matter] = max(fleetState.numbers[matter], number)
+	for matter, token := range file.Fences {
+		fleetState.tokens[matter] = max(fleetState.tokens[matter], token)
 	}
-	if h.others > 0 && file.Start != "" {
+	if h.otherProcesses > 0 && file.Start != "" {
 		// Processes that run side by side are one start of the scheduler. A process that is alone keeps its own start:
 		// the file's is of one that has ended, and the file has only the fencing tokens that it knew.
 		fleetState.start = file.Start
@@ -84,7 +84,7 @@
 // loadFile reads the file, with its times converted to this process's clock. Without a file there are no records.
 func (h *handover) loadFile() (*records, error) {
 	file := &records{Shalebeam: recordsFormat, Workers: map[string]record{}}
-	raw, err := os.ReadFile(h.path)
+	raw, err := os.ReadFile(h.recordsPath)
 	if os.IsNotExist(err) {
 		return file, nil
 	}
@@ -99,24 +99,24 @@
 		return nil, fmt.Errorf("not a file of workers out of service: want format %q and workers, got format %q",
 			recordsFormat, file.Shalebeam)
 	}
-	file.shiftTimes(h.s.clock.shiftFrom(file.Boot))
+	file.shiftTimes(h.s.clock.offsetFromMs(file.BootOffsetMs))
 	return file, nil
 }
 
-// keep applies a change to the records and writes them whole, before anybody is told that it is in force. If change
+// updateRecords applies a change to the records and writes them whole, before any caller is answered that it is in force. If change
 // returns false nothing is written. It blocks for up to 20 ms while another process writes.
-func (h *handover) keep(change func(in *records) bool) error {
-	if h.lock == nil {
-		change(&records{Workers: maps.Clone(h.s.ops.staffed)})
+func (h *handover) updateRecords(change func(stored *records) bool) error {
+	if h.lockFile == nil {
+		change(&records{Workers: maps.Clone(h.s.ops.workerRecords)})
 		return nil
 	}
-	for attempts := 0; !h.take(mayWrite); attempts++ { // the other process writes a few hundred bytes
+	for attempts := 0; !h.lockByte(lockRecordsFile); attempts++ { // the other process writes a few hundred bytes
 		if attempts == 20 {
 			return errors.New("file of workers out of service is still locked by another process after 20 ms")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	defer h.drop(mayWrite)
+	defer h.unlockByte(lockRecordsFile)
 	file, err := h.loadFile()
 	if transient.FileError(err) {
 		return err // it may hold what another process has written, which must not be overwritten unread
@@ -125,20 +125,20 @@
 		file = &records{Workers: map[string]record{}}
 	}
 	now := h.s.now()
-	for id, own := range h.s.ops.staffed {
-		if file.Workers[id].at() < own.at() {
+	for id, own := range h.s.ops.workerRecords {
+		if file.Workers[id].changedAt() < own.changedAt() {
 			file.Workers[id] = own
 		}
 	}
-	file.Boot = h.s.clock.boot
+	file.BootOffsetMs = h.s.clock.bootOffsetMs
 	file.Shalebeam, file.Start, file.Fences = recordsFormat, h.s.ops.fleet.start, h.mergeFences(file.Fences)
 	if !change(file) {
 		return nil
 	}
-	// A worker that was put back stays on record for keptOut ms. With a change number it stays longer, while there is
+	// A worker that was put back stays on record for recordRetentionMs. With a change number it stays longer, while there is
 	// room, so that an older call of the fleet can be told from a newer one.
 	for id, r := range file.Workers {
-		if r.Back > 0 && now > r.Back+keptOut && (r.Change == 0 || len(file.Workers) > mostStaffed/2) {
+		if r.PutBack > 0 && now > r.PutBack+recordRetentionMs && (r.Change == 0 || len(file.Workers) > maxRecords/2) {
 			delete(file.Workers, id)
 		}
 	}
@@ -146,44 +146,44 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(h.path+".new", raw, 0o600); err != nil {
+	if err := os.WriteFile(h.recordsPath+".new", raw, 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(h.path+".new", h.path); err != nil {
+	if err := os.Rename(h.recordsPath+".new", h.recordsPath); err != nil {
 		return err
 	}
-	h.seen, _ = os.Stat(h.path)
+	h.recordsInfo, _ = os.Stat(h.recordsPath)
 	return nil
 }
 
-// shiftTimes moves all times by so many milliseconds, to another process's clock.
-func (in *records) shiftTimes(by float64) {
-	for id, r := range in.Workers {
+// shiftTimes moves all times by shiftMs milliseconds, from one process's clock to another's.
+func (rs *records) shiftTimes(shiftMs float64) {
+	for id, r := range rs.Workers {
 		if r.Since > 0 {
-			r.Since += by
+			r.Since += shiftMs
 		}
-		if r.Back > 0 {
-			r.Back += by
+		if r.PutBack > 0 {
+			r.PutBack += shiftMs
 		}
-		in.Workers[id] = r
+		rs.Workers[id] = r
 	}
 }
 
 // mergeFences returns the higher fencing token of each matter, of those in the file and those that this process has
 // seen.
 func (h *handover) mergeFences(fileFences map[string]uint64) map[string]uint64 {
-	out := maps.Clone(fileFences)
-	if out == nil {
-		out = map[string]uint64{}
+	merged := maps.Clone(fileFences)
+	if merged == nil {
+		merged = map[string]uint64{}
 	}
-	for matter, number := range h.s.ops.fleet.numbers {
-		out[matter] = max(out[matter], number)
+	for matter, token := range h.s.ops.fleet.tokens {
+		merged[matter] = max(merged[matter], token)
 	}
-	return out
+	return merged
 }
 
-// out tells whether the worker is out of service by this record.
-func (r record) out() bool { return r.Since > 0 && r.Back == 0 }
+// isOut tells whether the worker is out of service by this record.
+func (r record) isOut() bool { return r.Since > 0 && r.PutBack == 0 }
 
-// at is the time of the record's last change.
-func (r record) at() float64 { return max(r.Since, r.Back) }
+// changedAt is the time of the record's last change.
+func (r record) changedAt() float64 { return max(r.Since, r.PutBack) }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -7,46 +7,46 @@
 	"shalebeam/balance"
 )
 
-// ask is a request of a client: what the module needs to know of it, and what is forwarded to workers unchanged.
-type ask struct {
-	txn          balance.Txn
-	row          *balance.SchemeRow // the scheme's settings when it came
-	method, path string
-	host, mark   string // Host, Idempotency-Key
-	kind         string // Content-Type
-	body         []byte
+// clientRequest is a request of a client: what the module needs to know of it, and what is forwarded to workers unchanged.
+type clientRequest struct {
+	txn                  balance.Txn
+	scheme               *balance.SchemeRow // the scheme's settings when the request arrived
+	method, path         string
+	host, idempotencyKey string // Host, Idempotency-Key
+	contentType          string // Content-Type
+	body                 []byte
 }
 
-// read makes a txn of the request's header fields. If the request is malformed, wrong says why, as the text of the
-// 400 answer.
-func (c *client) read(scheme int) (a ask, wrong string) {
+// parseRequest reads a request of the scheme with this index from its header fields and body. If the request is
+// malformed, problem says why, as the text of the 400 answer.
+func (c *client) parseRequest(scheme int) (req clientRequest, problem string) {
 	f := c.req.Fields()
 	get := func(name string) string {
 		v, _ := f.Get(name)
 		return v
 	}
-	row := &c.s.node.told.Terms.Schemes[scheme]
-	a = ask{row: row, method: c.req.Method, path: c.req.Target, host: get("host"), mark: get("idempotency-key"),
-		kind: get("content-type"), body: c.req.Body()}
-	a.txn = balance.Txn{Ref: get("request-id"), Scheme: scheme, Key: cookieValue(get("cookie"), "sid"), Hint: -1,
-		Left: row.Expiry, Repeat: get("client-retry") == "1", Tenant: place(c.s.node.told.Tenants, get("tenant"))}
-	if a.txn.Tenant < 0 {
-		a.txn.Tenant = len(c.s.node.told.Tenants) // an unknown tenant uses none of the known tenants' shares
+	settings := &c.s.node.decoded.Terms.Schemes[scheme]
+	req = clientRequest{scheme: settings, method: c.req.Method, path: c.req.Target, host: get("host"),
+		idempotencyKey: get("idempotency-key"), contentType: get("content-type"), body: c.req.Body()}
+	req.txn = balance.Txn{Ref: get("request-id"), Scheme: scheme, Key: cookieValue(get("cookie"), "sid"), Hint: -1,
+		Left: settings.Expiry, Repeat: get("client-retry") == "1", Tenant: indexOf(c.s.node.decoded.Tenants, get("tenant"))}
+	if req.txn.Tenant < 0 {
+		req.txn.Tenant = len(c.s.node.decoded.Tenants) // an unknown tenant uses none of the known tenants' shares
 	}
 	// Other characters might come back changed in the JSON of a worker's answer.
 	notPrintable := func(c rune) bool { return c <= ' ' || c > '~' }
-	if a.txn.Ref == "" || len(a.txn.Ref) > refMost || strings.ContainsFunc(a.txn.Ref, notPrintable) {
-		return a, "Request-Id is missing, too long or not plain"
+	if req.txn.Ref == "" || len(req.txn.Ref) > maxRefBytes || strings.ContainsFunc(req.txn.Ref, notPrintable) {
+		return req, "Request-Id is missing, too long or not plain"
 	}
-	if strings.ContainsFunc(a.mark, notPrintable) || a.mark == "" && row.Effect == balance.Referenced {
-		return a, "Idempotency-Key is missing or not plain" // without it the group cannot drop a repeat
+	if strings.ContainsFunc(req.idempotencyKey, notPrintable) || req.idempotencyKey == "" && settings.Effect == balance.Referenced {
+		return req, "Idempotency-Key is missing or not plain" // without it the group cannot drop a repeat
 	}
 	seen := map[string]bool{}
 	for _, x := range f {
 		switch x.Name {
 		case "request-id", "idempotency-key", "request-timeout", "work-hint":
 			if seen[x.Name] {
-				return a, "repeated " + x.Name // a worker might go by the other value
+				return req, "repeated " + x.Name // a worker might go by the other value
 			}
 			seen[x.Name] = true
 		}
@@ -54,25 +54,25 @@
 	if v, ok := f.Get("request-timeout"); ok {
 		leftMs, ok := parseMilliseconds(v)
 		if !ok {
-			return a, "bad Request-Timeout"
+			return req, "bad Request-Timeout"
 		}
 		// No client waits longer than its scheme's expiry, and the module compares the time left with the expiry.
-		a.txn.Left = min(leftMs, row.Expiry)
+		req.txn.Left = min(leftMs, settings.Expiry)
 	}
 	if v, ok := f.Get("work-hint"); ok {
 		hintUs, ok := parseDecimal(v)
 		if !ok {
-			return a, "bad Work-Hint"
+			return req, "bad Work-Hint"
 		}
-		a.txn.Hint = hintUs / 1000
+		req.txn.Hint = hintUs / 1000
 	}
 	for pair := range strings.SplitSeq(get("request-info"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if x, ok := parseDecimal(value); name == "slots" && ok { // no decision needs the other values
-			a.txn.Slots = x
+			req.txn.Slots = x
 		}
 	}
-	return a, ""
+	return req, ""
 }
 
 // parseMilliseconds reads a Request-Timeout, a number with its unit, m for milliseconds or u for microseconds, and
--- a/scheduler/roster.go
+++ b/scheduler/roster.go
@@ -44,7 +44,9 @@
 
 // ready tells whether this process may report that it is ready: it has had a list to rely on, or has waited for one
 // for readyWithoutListMs.
-func (r *roster) ready(now float64) bool { return r.hadValidList || now > r.s.began+readyWithoutListMs }
+func (r *roster) ready(now float64) bool {
+	return r.hadValidList || now > r.s.servingSince+readyWithoutListMs
+}
 
 // discoveryConn is a connection to discovery, up or still being made. Once it is neither the roster's current
 // connection nor the one set aside, as after a failed call or a change of discovery's address, its events are
@@ -87,7 +89,7 @@
 
 // begin starts the watch with the list from the configuration, where there is one.
 func (r *roster) begin() {
-	r.watch = watch.New(r.s.now(), r.s.node.told.Terms.AskIn, watch.EachCall*float64(r.s.node.told.Terms.Peers))
+	r.watch = watch.New(r.s.now(), r.s.node.decoded.Terms.AskIn, watch.EachCall*float64(r.s.node.decoded.Terms.Peers))
 	r.applyWatch()
 	if len(r.s.node.Known) == 0 {
 		return
@@ -105,9 +107,9 @@
 	r.applyWatch()
 }
 
-// move takes new settings, and goes over to discovery's new address if that has changed.
-func (r *roster) move(addr string) {
-	r.watch.Retune(r.s.node.told.Terms.AskIn)
+// retune takes new settings, and goes over to discovery's new address if that has changed.
+func (r *roster) retune(addr string) {
+	r.watch.Retune(r.s.node.decoded.Terms.AskIn)
 	if addr != r.addr {
 		r.addr = addr
 		r.watch.Went(r.s.now())
@@ -133,9 +135,9 @@
 	if c, ok := r.watch.NextCall(); ok {
 		r.sendCall(c)
 	}
-	r.s.drive.mod.Relies(r.watch.Till())
+	r.s.driver.module.Relies(r.watch.Till())
 	for working, ok := r.watch.NextTold(); ok; working, ok = r.watch.NextTold() {
-		r.s.drive.mod.Watched(r.s.now(), working)
+		r.s.driver.module.Watched(r.s.now(), working)
 	}
 }
 
@@ -182,7 +184,7 @@
 	if c.After >= 0 {
 		query = "?after=" + strconv.FormatInt(c.After, 10) + "&wait_ms=" + strconv.Itoa(int(c.Wait))
 	}
-	dc.resp.Reset(http1.Limits{Head: headMost, Body: maxListBytes})
+	dc.resp.Reset(http1.Limits{Head: maxHeadBytes, Body: maxListBytes})
 	dc.roster.watch.Sent(dc.roster.s.now())
 	_ = dc.conn.Write([]byte("GET " + membersPath + query + " HTTP/1.1\r\nHost: " + dc.addr + "\r\n\r\n"))
 }
@@ -340,8 +342,9 @@
 		if !ok || err != nil {
 			state = balance.Draining // no postings go to a worker in an unknown state
 		}
-		row := balance.Listed{ID: m.Host, Cell: m.Block, Zone: place(r.s.node.told.Zones, m.Site),
-			Kind: place(r.s.node.told.Kinds, m.Class), State: state, Start: r.startTimes.startTime(now, m.Host, m.Born), Weight: m.Share}
+		row := balance.Listed{ID: m.Host, Cell: m.Block, Zone: indexOf(r.s.node.decoded.Zones, m.Site),
+			Kind: indexOf(r.s.node.decoded.Kinds, m.Class), State: state,
+			Start: r.startTimes.startTime(now, m.Host, m.Born), Weight: m.Share}
 		if repeated {
 			rows[rowIndex].State = state
 		} else {
@@ -353,8 +356,8 @@
 			r.startTimes.forget(m.Host)
 			continue
 		}
-		if t := r.s.pool.target(m.Host); err != nil && t != nil {
-			m.Dial = t.addr
+		if knownWorker := r.s.pool.worker(m.Host); err != nil && knownWorker != nil {
+			m.Dial = knownWorker.addr
 		}
 		if _, badAddr := netip.ParseAddrPort(m.Dial); badAddr == nil {
 			r.s.pool.updateWorker(m.Host, m.Dial, state == balance.Running)
@@ -367,7 +370,7 @@
 	if list.Whole {
 		r.startTimes.retain(keptHosts)
 	}
-	r.s.drive.mod.ListChanged(now, list.Whole, rows)
+	r.s.driver.module.ListChanged(now, list.Whole, rows)
 	r.s.pool.removeWorkers(removed, list.Whole, keptHosts)
 }
 
@@ -389,11 +392,11 @@
 	return m, nil
 }
 
-// place returns the index of a name in the settings' list of such names, or -1.
-func place(names []string, name string) int { return slices.Index(names, name) }
+// indexOf returns the index of a name in the settings' list of such names, or -1.
+func indexOf(names []string, name string) int { return slices.Index(names, name) }
 
-// wake is when sweep next has something to do.
-func (r *roster) wake() float64 {
+// nextWake is when sweep next has something to do, in milliseconds.
+func (r *roster) nextWake() float64 {
 	if r.listExpired {
 		return r.watch.Wake()
 	}
--- a/scheduler/transfer.go
+++ b/scheduler/transfer.go
@@ -26,7 +26,7 @@
 	// Delay before a receive that failed for a transient reason is repeated.
 	transferRetryDelay = time.Millisecond
 	// The longest plausible time between the sending and the handling of a message, in ms. It matters only for a sender that
-	// gives no BootOffset: if the two processes' clocks differ by more, or the message seems to come from the future, the wall
+	// gives no BootOffsetMs: if the two processes' clocks differ by more, or the message seems to come from the future, the wall
 	// clock was set between their starts, and all times of the message are shifted by the difference.
 	maxTransitMs = 1000.0
 )
@@ -35,10 +35,10 @@
 // their order. Sender and receiver may be different builds: the JSON names must not change. All times are in milliseconds on
 // the sender's clock.
 type transferMessage struct {
-	Now        float64         // when the message was made
-	BootOffset float64         `json:"Boot"` // the sender's clock.boot, from which the receiver converts times; 0: unknown
-	Answered   bool            `json:"Used"` // client.answeredTxn
-	Txn        *transferredTxn `json:",omitempty"`
+	Now          float64         // when the message was made
+	BootOffsetMs float64         `json:"Boot"` // the sender's clock.bootOffsetMs, from which the receiver converts times; 0: unknown
+	Answered     bool            `json:"Used"` // client.answeredTxn
+	Txn          *transferredTxn `json:",omitempty"`
 }
 
 // transferredTxn is the txn that the client's connection waits for: the module's state of it, the fields of the request that go
@@ -90,38 +90,38 @@
 	if c.conn == nil || c.closing || c.overLimit || c.conn.OutboundBuffered() > 0 || c.conn.InboundBuffered() > 0 {
 		return false
 	}
-	return c.t == nil && !c.requestBegun || c.t != nil && c.t.canTransfer()
+	return c.txn == nil && !c.requestBegun || c.txn != nil && c.txn.canTransfer()
 }
 
 // canTransfer tells whether each open posting has its request written whole and no bytes buffered in either direction, and
 // whether the descriptors fit in one message together with the client's.
 func (t *txn) canTransfer() bool {
-	if t.over {
+	if t.closed {
 		return false
 	}
-	for _, p := range t.posts {
-		if l := p.conn; l != nil && (l.state != busy || l.writing || l.conn == nil ||
-			l.conn.OutboundBuffered() > 0 || l.conn.InboundBuffered() > 0) {
+	for _, p := range t.postings {
+		if conn := p.conn; conn != nil && (conn.state != connBusy || conn.writing || conn.conn == nil ||
+			conn.conn.OutboundBuffered() > 0 || conn.conn.InboundBuffered() > 0) {
 			return false
 		}
 	}
-	return t.out < maxMessageFDs
+	return t.openPostings < maxMessageFDs
 }
 
 // transferClient sends one client connection to the successor. It returns false if the socket takes no more messages for now,
 // or is broken; a connection that can't be sent in a message is skipped.
 func (h *handover) transferClient(c *client) bool {
-	message := transferMessage{Now: h.s.now(), BootOffset: h.s.clock.boot, Answered: c.answeredTxn}
+	message := transferMessage{Now: h.s.now(), BootOffsetMs: h.s.clock.bootOffsetMs, Answered: c.answeredTxn}
 	fds := []int{c.conn.Fd()}
-	if t := c.t; t != nil {
-		state, isOpen := h.s.drive.mod.Open(t.ref)
+	if t := c.txn; t != nil {
+		state, isOpen := h.s.driver.module.Open(t.ref)
 		if !isOpen {
 			return true
 		}
-		request := &t.ask
-		message.Txn = &transferredTxn{state, request.method, request.path, request.host, request.mark, request.kind,
-			request.body, t.until, nil}
-		for _, p := range t.posts {
+		request := &t.request
+		message.Txn = &transferredTxn{state, request.method, request.path, request.host, request.idempotencyKey, request.contentType,
+			request.body, t.deadline, nil}
+		for _, p := range t.postings {
 			conn := p.conn
 			if conn == nil {
 				continue
@@ -130,9 +130,9 @@
 			if err != nil {
 				return true
 			}
-			post := transferredPosting{p.no, conn.to.id, conn.addr, p.until, -1, resp}
-			if p.by < t.until {
-				post.SendBy = p.by // a later limit has no effect, and JSON has no infinity
+			post := transferredPosting{p.number, conn.worker.id, conn.addr, p.deadline, -1, resp}
+			if p.sendBy < t.deadline {
+				post.SendBy = p.sendBy // a later limit has no effect, and JSON has no infinity
 			}
 			message.Txn.Posts = append(message.Txn.Posts, post)
 			fds = append(fds, conn.conn.Fd())
@@ -158,20 +158,20 @@
 // forgetTransferred drops a client connection that the successor has now, with its txn and worker connections, and tells the
 // module that their txn ended here.
 func (c *client) forgetTransferred() {
-	d := &c.s.drive
-	if t := c.t; t != nil {
-		c.t, t.from, t.over = nil, nil, true
-		d.mod.Gone(d.s.now(), t.ref)
-		for _, p := range t.posts {
+	d := &c.s.driver
+	if t := c.txn; t != nil {
+		c.txn, t.client, t.closed = nil, nil, true
+		d.module.Gone(d.s.now(), t.ref)
+		for _, p := range t.postings {
 			if conn := p.conn; conn != nil {
-				conn.p, p.conn = nil, nil
-				d.ended++
-				t.out--
-				d.mod.Ended(d.s.now(), t.ref, p.no, balance.Cancelled, true, balance.NoLoad)
+				conn.posting, p.conn = nil, nil
+				d.endedSinceCleanup++
+				t.openPostings--
+				d.module.Ended(d.s.now(), t.ref, p.number, balance.Cancelled, true, balance.NoLoad)
 				conn.close()
 			}
 		}
-		d.forget(t)
+		d.deleteIfFinished(t)
 	}
 	c.close()
 }
@@ -182,7 +182,7 @@
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err == nil {
 		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 2*maxMessageBytes)
-		if err = unix.Connect(fd, &unix.SockaddrUnix{Name: h.path + transferSocketSuffix}); err != nil {
+		if err = unix.Connect(fd, &unix.SockaddrUnix{Name: h.recordsPath + transferSocketSuffix}); err != nil {
 			_ = unix.Close(fd)
 		}
 	}
@@ -204,12 +204,12 @@
 
 // ---- the successor ----
 
-// transferSocketSuffix is appended to handover.path for the name of the transfer socket.
+// transferSocketSuffix is appended to handover.recordsPath for the name of the transfer socket.
 const transferSocketSuffix = ".pass"
 
 // listenForTransfers accepts connections from draining processes of this scheduler and receives what they transfer.
 func (h *handover) listenForTransfers() {
-	name := h.path + transferSocketSuffix
+	name := h.recordsPath + transferSocketSuffix
 	_ = os.Remove(name) // left by a process that was killed
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: name, Net: "unixpacket"})
 	if err != nil {
@@ -344,69 +344,69 @@
 	if message.Txn == nil {
 		return
 	}
-	for i, conn := range s.drive.resumeTxn(c, message) {
+	for i, conn := range s.driver.resumeTxn(c, message) {
 		fd := fds[i+1]
 		if conn == nil {
 			_ = unix.Close(fd)
 		} else if err := s.loop.Adopt(fd, conn); err != nil {
 			_ = unix.Close(fd)
-			s.pool.drop(conn)
-			conn.end(balance.Reset)
+			s.pool.removeConn(conn)
+			conn.reportEnd(balance.Reset)
 		}
 	}
 }
 
 // resumeTxn restores a txn of the draining process. It returns a worker connection for each posting of the message, which the
 // caller has still to add to the event loop, or nil where the connection is to be closed as nothing waits for its response.
-func (d *drive) resumeTxn(c *client, message transferMessage) []*workerConn {
+func (d *driver) resumeTxn(c *client, message transferMessage) []*workerConn {
 	sent, now := message.Txn, d.s.now()
 	conns := make([]*workerConn, len(sent.Posts))
 	if c.readsBlocked = false; c.conn == nil || d.txns[sent.State.Txn.Ref] != nil {
 		c.close() // the client has left, or the id is in use here; its postings end as their connections are closed
 		return conns
 	}
-	shift := d.s.clock.shiftFrom(message.BootOffset)
-	if transit := now - message.Now; message.BootOffset == 0 && (transit < 0 || transit > maxTransitMs) {
-		shift = transit
+	shiftMs := d.s.clock.offsetFromMs(message.BootOffsetMs)
+	if transitMs := now - message.Now; message.BootOffsetMs == 0 && (transitMs < 0 || transitMs > maxTransitMs) {
+		shiftMs = transitMs
 	}
 	state := &sent.State
-	state.Came, state.Due, state.Until = state.Came+shift, state.Due+shift, state.Until+shift
+	state.Came, state.Due, state.Until = state.Came+shiftMs, state.Due+shiftMs, state.Until+shiftMs
 	for i := range state.Posts {
-		state.Posts[i].At += shift
-		state.Posts[i].Start += shift
+		state.Posts[i].At += shiftMs
+		state.Posts[i].Start += shiftMs
 	}
-	t := &txn{ref: state.Txn.Ref, from: c, until: min(sent.Until+shift, d.stopAt)}
-	t.ask = ask{txn: state.Txn, row: &state.Row, method: sent.Method, path: sent.Path, host: sent.Host,
-		mark: sent.IdempotencyKey, kind: sent.ContentType, body: sent.Body}
+	t := &txn{ref: state.Txn.Ref, client: c, deadline: min(sent.Until+shiftMs, d.stopAt)}
+	t.request = clientRequest{txn: state.Txn, scheme: &state.Row, method: sent.Method, path: sent.Path, host: sent.Host,
+		idempotencyKey: sent.IdempotencyKey, contentType: sent.ContentType, body: sent.Body}
 	c.setBodyBytes(len(sent.Body))
-	t.posts = make([]*posting, len(state.Posts))
-	for i := range t.posts {
-		t.posts[i] = &posting{t: t, no: i}
+	t.postings = make([]*posting, len(state.Posts))
+	for i := range t.postings {
+		t.postings[i] = &posting{txn: t, number: i}
 	}
 	for i, sentPost := range sent.Posts {
-		if sentPost.Number < 0 || sentPost.Number >= len(t.posts) {
+		if sentPost.Number < 0 || sentPost.Number >= len(t.postings) {
 			continue
 		}
-		p := t.posts[sentPost.Number]
-		if p.until, p.by = min(sentPost.Until+shift, t.until), sentPost.SendBy+shift; sentPost.SendBy < 0 {
-			p.by = t.until
+		p := t.postings[sentPost.Number]
+		if p.deadline, p.sendBy = min(sentPost.Until+shiftMs, t.deadline), sentPost.SendBy+shiftMs; sentPost.SendBy < 0 {
+			p.sendBy = t.deadline
 		}
-		to := d.s.pool.target(sentPost.Worker)
-		if to == nil {
-			to = &target{id: sentPost.Worker, addr: sentPost.Addr}
+		worker := d.s.pool.worker(sentPost.Worker)
+		if worker == nil {
+			worker = &poolWorker{id: sentPost.Worker, addr: sentPost.Addr}
 		}
-		conn := &workerConn{s: d.s, to: to, addr: sentPost.Addr, rested: -1, state: busy, passed: true, p: p,
-			at: len(d.s.pool.conns)}
+		conn := &workerConn{s: d.s, worker: worker, addr: sentPost.Addr, idleBeforeUseMs: -1, state: connBusy,
+			transferred: true, posting: p, index: len(d.s.pool.conns)}
 		if err := conn.resp.Restore(sentPost.Response, responseLimits); err != nil {
 			d.s.log.Printf("msg=malformed from=process err=%q", err)
 		}
 		d.s.pool.conns = append(d.s.pool.conns, conn)
 		p.conn, conns[i] = conn, conn
-		t.out++
-		heap.Push(&d.ends, ending{p.until, p})
+		t.openPostings++
+		heap.Push(&d.deadlines, postingDeadline{p.deadline, p})
 	}
-	d.txns[t.ref], c.t = t, t
-	d.mod.Carry(*state)
+	d.txns[t.ref], c.txn = t, t
+	d.module.Carry(*state)
 	d.s.handover.txnsReceived++
 	return conns
 }
--- a/scheduler/transfer_test.go
+++ b/scheduler/transfer_test.go
@@ -12,14 +12,15 @@
 	"shalebeam/balance"
 )
 
-// A connection is transferred to the successor only once, also if the next look for connections to transfer is due during its
-// transfer. The transfer closes it in this process, and closing runs that look. If the connection was still listed then, it was
-// sent a second time, and with two descriptors of one connection either holder might read the next request, or part of it.
+// A connection is transferred to the successor only once, also if the next refresh, which transfers connections too, is due
+// during its transfer. The transfer closes it in this process, and closing runs the refresh. If the connection was still listed
+// then, it was sent a second time, and with two descriptors of one connection either holder might read the next request, or part
+// of it.
 func TestConnectionIsTransferredOnce(t *testing.T) {
 	t.Parallel()
 	v := newLive(t)
-	c := v.client("")
-	v.until("it is accepted", func() bool { return len(v.clients.all) == 1 })
+	c := v.connectClient("")
+	v.waitUntil("it is accepted", func() bool { return len(v.clients.all) == 1 })
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -33,16 +34,17 @@
 		}
 		t.Cleanup(func() { locks[i].Close() })
 	}
-	other := handover{lock: locks[1]}
-	if !other.take(processLocks + 1) {
+	other := handover{lockFile: locks[1]}
+	if !other.lockByte(processLocks + 1) {
 		t.Fatal("the second process got no lock")
 	}
-	look(v, func() bool {
+	onLoopResult(v, func() bool {
 		h := &v.handover
-		h.lock, h.path, h.processNumber, h.others, h.hasSuccessor, h.successorFD = locks[0], path, 2, 1, true, pair[0]
-		v.phase, v.drained = draining, v.now()
-		v.drainDeadline = v.drained + maxDrainMs
-		h.lookAt = 0 // the next look is due
+		h.lockFile, h.recordsPath, h.processNumber = locks[0], path, 2
+		h.otherProcesses, h.hasSuccessor, h.successorFD = 1, true, pair[0]
+		v.phase, v.drainStart = draining, v.now()
+		v.drainDeadline = v.drainStart + maxDrainMs
+		h.nextRefreshAt = 0 // the next refresh is due
 		h.transferClients()
 		return true
 	})
@@ -90,7 +92,7 @@
 		if json.Unmarshal([]byte(text), &want); json.Unmarshal(raw, &wrote) != nil || !reflect.DeepEqual(wrote, want) {
 			t.Errorf("read %s and wrote %s", text, raw)
 		}
-		if got.Now != 1000.5 || got.BootOffset != 400.25 || !got.Answered || (got.Txn != nil) != (text == withTxn) {
+		if got.Now != 1000.5 || got.BootOffsetMs != 400.25 || !got.Answered || (got.Txn != nil) != (text == withTxn) {
 			t.Errorf("read %+v from %s", got, text)
 		}
 		if got.Txn == nil {
