--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -103,8 +103,8 @@
 	return file, nil
 }
 
-// updateRecords applies a change to the records and writes them whole, before any caller is answered that it is in force. If change
-// returns false nothing is written. It blocks for up to 20 ms while another process writes.
+// updateRecords applies a change to the records and writes them whole, before any caller is answered that it is in
+// force. If change returns false nothing is written. It blocks for up to 20 ms while another process writes.
 func (h *handover) updateRecords(change func(stored *records) bool) error {
 	if h.lockFile == nil {
 		change(&records{Workers: maps.Clone(h.s.ops.workerRecords)})
