--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,7 @@
-// Package load makes the work that clients bring and decides what clients do with answers. It has no clock and
-// no I/O: the same stream of jobs, drawn from a seed alone, is played in simulated time and on sockets, and
-// whatever decides cannot change what comes.
+// Package load generates the jobs of clients and models how clients react to answers: retry, back off or leave. It has
+// no clock and no I/O. The stream of jobs is drawn from a seed alone, so that the same one is played in simulated time
+// and on real sockets, and no policy under test can change which jobs come. All times are milliseconds since the start
+// of the experiment.
 package load
 
 import (
@@ -12,100 +13,101 @@
 	"shalebeam/lab/plan"
 )
 
-// Rand is a stream of draws for one part of an experiment. Parts draw from streams of their own, so that
-// a change of one leaves the others' draws as they were.
+// Rand returns the random source of one part of an experiment, derived from the seed and the part's name. Each part has
+// a source of its own, so that a change in how often one draws leaves the draws of the others as they were.
 func Rand(seed uint64, part string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(part))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// Job is what one client wants done. Its tries are txns, each with a reference of its own.
+// Job is one request of a client. The client may make several attempts at it; each attempt is a txn with a reference of
+// its own.
 type Job struct {
-	No     int
-	At     float64
-	Scheme int
-	Tenant int
-	Key    string
-	Mark   string // its idempotency key, the same with each try
-	Work   float64
-	Hint   float64 // below 0: none
-	Slots  int
-	Zone   int
-	Worth  float64 // gain where it is settled in time
-	Due    float64 // until when that is
-	Leaves float64 // when its client goes away
-	Tries  int
-	Over   bool
-	Got    string // how it ended
+	No     int     // place in the stream, from 0
+	At     float64 // when the client makes its first attempt
+	Scheme int     // index in the plan's schemes
+	Tenant int     // index in the plan's tenants
+	Key    string  // key of the object that it is about; "": none
+	Mark   string  // idempotency key, the same in each attempt; "": none
+	Work   float64 // running time on a core of its own at speed 1, in milliseconds
+	Hint   float64 // client's estimate of Work; below 0: none is sent
+	Slots  int     // slots that it occupies on its worker
+	Zone   int     // zone of the client, as an index in the schedulers' zones
+	Worth  float64 // gain if it is settled by Due
+	Due    float64 // end of its SLA time
+	Leaves float64 // when its client disconnects for good; +Inf: never
+	Tries  int     // attempts that have ended
+	Over   bool    // it has its outcome, and no more attempts follow
+	Got    string  // outcome of the last attempt: Settled, Declined and so on
 }
 
-// Ref is the reference of its present try.
+// Ref returns the txn reference of the current attempt.
 func (j *Job) Ref() string { return fmt.Sprintf("t%d-%d", j.No, j.Tries) }
 
-// Stream makes jobs in the order in which they come.
+// Stream generates the jobs of an experiment in order of arrival.
 type Stream struct {
-	p     *plan.Plan
-	r     *rand.Rand
-	at    float64
-	n     int
-	base  float64 // txns a millisecond
-	burst bool
-	turn  float64 // when the burst or the lull ends
-	parts float64
-	lots  float64
-	used  []float64 // quota tokens by tenant
-	seen  []float64
+	plan        *plan.Plan
+	rand        *rand.Rand
+	now         float64   // arrival of the last job
+	made        int       // jobs generated so far
+	baseRate    float64   // mean arrival rate, in jobs per millisecond
+	inBurst     bool      // with bursty arrivals: now is in a burst, not in a lull
+	phaseEnd    float64   // when that burst or lull ends
+	schemeParts float64   // sum of the schemes' parts
+	tenantParts float64   // sum of the tenants' parts
+	quotaTokens []float64 // tokens left in each tenant's quota bucket, which holds one second's worth
+	refilledAt  []float64 // when each tenant's bucket was last refilled
 }
 
-// NewStream begins the stream of a seed.
+// NewStream returns the stream of jobs that a seed gives.
 func NewStream(p *plan.Plan, seed uint64) *Stream {
-	s := &Stream{p: p, r: Rand(seed, "jobs"), base: p.PerSecond() / 1000,
-		used: make([]float64, len(p.Clients.Tenants)), seen: make([]float64, len(p.Clients.Tenants))}
+	s := &Stream{plan: p, rand: Rand(seed, "jobs"), baseRate: p.PerSecond() / 1000,
+		quotaTokens: make([]float64, len(p.Clients.Tenants)), refilledAt: make([]float64, len(p.Clients.Tenants))}
 	for _, c := range p.Schemes {
-		s.parts += c.Part
+		s.schemeParts += c.Part
 	}
 	for i, t := range p.Clients.Tenants {
-		s.lots += t.Part
-		s.used[i] = t.Quota
+		s.tenantParts += t.Part
+		s.quotaTokens[i] = t.Quota
 	}
 	return s
 }
 
-// rate is that of arrivals now, and until when it stays so.
-func (s *Stream) rate() (rate, until float64) {
-	rate, until = s.base, math.Inf(1)
-	c := &s.p.Clients
+// arrivalRate returns the current rate of arrivals in jobs per millisecond, and until when it holds.
+func (s *Stream) arrivalRate() (rate, until float64) {
+	rate, until = s.baseRate, math.Inf(1)
+	c := &s.plan.Clients
 	switch c.Arrivals {
 	case "ramp":
-		rate *= 1 + (c.RampTo-1)*s.at/float64(s.p.Length)
-		until = s.at + 1000
+		rate *= 1 + (c.RampTo-1)*s.now/float64(s.plan.Length)
+		until = s.now + 1000
 	case "bursty":
-		// Bursts bring half of all txns in the small part of the time that this leaves them.
-		part := 0.5 / c.Burst
-		for s.at >= s.turn {
-			s.burst = !s.burst && s.turn > 0
+		// Bursts bring half of all jobs. At Burst times the mean rate they do so in this share of the time.
+		burstShare := 0.5 / c.Burst
+		for s.now >= s.phaseEnd {
+			s.inBurst = !s.inBurst && s.phaseEnd > 0
 			mean := float64(c.BurstFor)
-			if !s.burst {
-				mean *= (1 - part) / part
+			if !s.inBurst {
+				mean *= (1 - burstShare) / burstShare
 			}
-			s.turn += max(-mean*math.Log(1-s.r.Float64()), 1)
+			s.phaseEnd += max(-mean*math.Log(1-s.rand.Float64()), 1)
 		}
-		if until = s.turn; s.burst {
+		if until = s.phaseEnd; s.inBurst {
 			rate *= c.Burst
 		} else {
-			rate *= 0.5 / (1 - part)
+			rate *= 0.5 / (1 - burstShare)
 		}
 	}
-	for _, f := range s.p.Faults {
+	for _, f := range s.plan.Faults {
 		if f.Do != "burst" {
 			continue
 		}
 		from, to := float64(f.At), float64(f.At+f.For)
 		switch {
-		case s.at < from:
+		case s.now < from:
 			until = min(until, from)
-		case s.at < to:
+		case s.now < to:
 			rate *= f.Factor
 			until = min(until, to)
 		}
@@ -113,140 +115,146 @@
 	return rate, until
 }
 
-// Next returns the next job, until the experiment's length is over.
+// Next returns the next job, and false once the experiment's length is over.
 func (s *Stream) Next() (*Job, bool) {
-	if s.p.Clients.Arrivals == "trace" {
-		if s.n >= len(s.p.Clients.Trace) {
+	if s.plan.Clients.Arrivals == "trace" {
+		if s.made >= len(s.plan.Clients.Trace) {
 			return nil, false
 		}
-		s.at = float64(s.p.Clients.Trace[s.n])
+		s.now = float64(s.plan.Clients.Trace[s.made])
 	} else {
-		// An exponential gap is used up at each rate in turn.
-		for left := -math.Log(1 - s.r.Float64()); ; {
-			rate, until := s.rate()
-			if gap := left / rate; s.at+gap <= until {
-				s.at += gap
+		// One exponential draw of mean 1 gives the gap to the next arrival: each stretch of time with a constant rate
+		// uses up its length times its rate.
+		for left := -math.Log(1 - s.rand.Float64()); ; {
+			rate, until := s.arrivalRate()
+			if gap := left / rate; s.now+gap <= until {
+				s.now += gap
 				break
 			}
-			left -= (until - s.at) * rate
-			s.at = until
+			left -= (until - s.now) * rate
+			s.now = until
 		}
 	}
-	if s.at >= float64(s.p.Length) {
+	if s.now >= float64(s.plan.Length) {
 		return nil, false
 	}
-	j := s.draw()
-	s.n++
+	j := s.drawJob()
+	s.made++
 	return j, true
 }
 
-func (s *Stream) draw() *Job {
-	r := s.r
-	pick := r.Float64() * s.parts
-	scheme := 0
-	for scheme < len(s.p.Schemes)-1 && pick >= s.p.Schemes[scheme].Part {
-		pick -= s.p.Schemes[scheme].Part
-		scheme++
-	}
-	c := &s.p.Schemes[scheme]
-	j := &Job{No: s.n, At: s.at, Scheme: scheme, Slots: c.Slots, Hint: -1, Worth: c.Gain, Leaves: math.Inf(1)}
-	// Every job takes the same number of draws, whatever they are used for.
-	u, v, hinted, a, b := r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
-	key, zone, tenant, leaves, when := r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
-	j.Work = c.Cost.Draw(u, v)
-	if hinted < c.Hinted {
-		j.Hint = j.Work * math.Exp(c.Rough*math.Sqrt(-2*math.Log(1-a))*math.Cos(2*math.Pi*b))
-	}
-	if c.Keys > 0 {
-		j.Key = fmt.Sprintf("k%d", int(float64(c.Keys)*key*key)) // some are asked for far more than others
-	}
-	if c.Effect == "referenced" {
-		j.Mark = fmt.Sprintf("m%d", s.n)
-	}
-	j.Zone = int(zone * float64(len(s.p.Schedulers.Zones)))
-	j.Due = j.At + float64(c.SLA) + c.Stretch*j.Work
-	s.tenant(j, tenant)
-	if leaves < s.p.Clients.Impatient {
-		j.Leaves = j.At + when*(j.Due-j.At)
+// drawJob draws the job that arrives now.
+func (s *Stream) drawJob() *Job {
+	r := s.rand
+	pick := r.Float64() * s.schemeParts
+	schemeNo := 0
+	for schemeNo < len(s.plan.Schemes)-1 && pick >= s.plan.Schemes[schemeNo].Part {
+		pick -= s.plan.Schemes[schemeNo].Part
+		schemeNo++
+	}
+	scheme := &s.plan.Schemes[schemeNo]
+	j := &Job{No: s.made, At: s.now, Scheme: schemeNo, Slots: scheme.Slots, Hint: -1, Worth: scheme.Gain, Leaves: math.Inf(1)}
+	// Every job takes the same number of draws, whichever of them it uses, so that a change of one setting leaves the
+	// other properties of all jobs as they were.
+	costDraw1, costDraw2, hintedDraw, hintDraw1, hintDraw2 := r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
+	keyDraw, zoneDraw, tenantDraw, leavesDraw, leaveTimeDraw := r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
+	j.Work = scheme.Cost.Draw(costDraw1, costDraw2)
+	if hintedDraw < scheme.Hinted {
+		j.Hint = j.Work * math.Exp(scheme.Rough*math.Sqrt(-2*math.Log(1-hintDraw1))*math.Cos(2*math.Pi*hintDraw2))
+	}
+	if scheme.Keys > 0 {
+		j.Key = fmt.Sprintf("k%d", int(float64(scheme.Keys)*keyDraw*keyDraw)) // squared, so that keys are not equally popular
+	}
+	if scheme.Effect == "referenced" {
+		j.Mark = fmt.Sprintf("m%d", s.made)
+	}
+	j.Zone = int(zoneDraw * float64(len(s.plan.Schedulers.Zones)))
+	j.Due = j.At + float64(scheme.SLA) + scheme.Stretch*j.Work
+	s.assignTenant(j, tenantDraw)
+	if leavesDraw < s.plan.Clients.Impatient {
+		j.Leaves = j.At + leaveTimeDraw*(j.Due-j.At)
 	}
 	return j
 }
 
-// tenant deals the job to one and takes a token of its quota; without one it is worth less.
-func (s *Stream) tenant(j *Job, pick float64) {
-	ts := s.p.Clients.Tenants
-	if len(ts) == 0 {
+// assignTenant gives the job a tenant, by a draw from 0 to 1, and takes a token from that tenant's quota. A job over
+// quota is worth less.
+func (s *Stream) assignTenant(j *Job, pick float64) {
+	tenants := s.plan.Clients.Tenants
+	if len(tenants) == 0 {
 		return
 	}
-	pick *= s.lots
-	for j.Tenant < len(ts)-1 && pick >= ts[j.Tenant].Part {
-		pick -= ts[j.Tenant].Part
+	pick *= s.tenantParts
+	for j.Tenant < len(tenants)-1 && pick >= tenants[j.Tenant].Part {
+		pick -= tenants[j.Tenant].Part
 		j.Tenant++
 	}
-	i, quota := j.Tenant, ts[j.Tenant].Quota
+	i, quota := j.Tenant, tenants[j.Tenant].Quota
 	if quota == 0 {
 		return
 	}
-	s.used[i] = min(s.used[i]+(j.At-s.seen[i])*quota/1000, quota)
-	s.seen[i] = j.At
-	if s.used[i] < 1 {
-		j.Worth *= s.p.Schedulers.OverShare
+	s.quotaTokens[i] = min(s.quotaTokens[i]+(j.At-s.refilledAt[i])*quota/1000, quota)
+	s.refilledAt[i] = j.At
+	if s.quotaTokens[i] < 1 {
+		j.Worth *= s.plan.Schedulers.OverShare
 		return
 	}
-	s.used[i]--
+	s.quotaTokens[i]--
 }
 
-// What a client gets for a try.
+// Outcomes of an attempt, as its client sees them.
 const (
 	Settled  = "settled"
 	Declined = "declined"
 	Reversed = "reversed"
-	Refused  = "refused" // no scheduler took it
+	Refused  = "refused" // no scheduler accepted the connection
 	Broken   = "broken"  // the connection ended without an answer
-	Expired  = "expired" // the client's patience with this try is over
-	Left     = "left"    // the client went away
+	Expired  = "expired" // no answer came before the client's timeout
+	Left     = "left"    // the client disconnected for good
 )
 
-// Answered takes what came of a try and tells whether, and when, the client tries again. A once-only job is
-// tried again only where that is harmless, a settled one never.
-func (j *Job) Answered(p *plan.Plan, now float64, got string, stay float64) (again float64, ok bool) {
+// Answered records the outcome of an attempt and returns when the client retries, or false where it does not. retryAfter
+// is the delay that the answer asks for, in milliseconds. A settled job is never retried; a once-only job is retried
+// only if its attempt was declined or refused, so that it cannot have run.
+func (j *Job) Answered(p *plan.Plan, now float64, outcome string, retryAfter float64) (retryAt float64, ok bool) {
 	j.Tries++
-	c := &p.Schemes[j.Scheme]
-	harmless := got == Declined || got == Refused || c.Effect != "once-only"
-	if got == Settled || got == Left || !harmless || j.Tries >= p.Clients.Tries {
-		j.Over, j.Got = true, got
+	scheme := &p.Schemes[j.Scheme]
+	harmless := outcome == Declined || outcome == Refused || scheme.Effect != "once-only"
+	if outcome == Settled || outcome == Left || !harmless || j.Tries >= p.Clients.Tries {
+		j.Over, j.Got = true, outcome
 		return 0, false
 	}
-	// Tries spread out, each by chance of its own number: the stream's draws must not depend on answers.
-	u := Rand(uint64(j.No), fmt.Sprint("again", j.Tries)).Float64()
-	wait := float64(p.Clients.Backoff) * math.Exp2(float64(min(j.Tries-1, 6))) * (0.5 + u)
-	return now + max(wait, stay*(1+0.5*u)), true
+	// The jitter comes from a source of its own for each attempt: the draws of the stream must not depend on answers.
+	jitter := Rand(uint64(j.No), fmt.Sprint("again", j.Tries)).Float64()
+	backoff := float64(p.Clients.Backoff) * math.Exp2(float64(min(j.Tries-1, 6))) * (0.5 + jitter)
+	return now + max(backoff, retryAfter*(1+0.5*jitter)), true
 }
 
-// Front deals the job's present try to one of n schedulers: one of its zone that the front takes for alive, else
-// any such one; below 0 there is none.
-func (j *Job) Front(seed uint64, n int, look func(i int) (zone int, listed bool)) int {
-	var near, all []int
+// Front chooses the scheduler for the current attempt as the load balancer in front of n schedulers does: a random one
+// of the client's zone among those that scheduler(i) reports as listed, that is believed alive, or of any zone where the
+// client's has none. It returns -1 if none is listed.
+func (j *Job) Front(seed uint64, n int, scheduler func(i int) (zone int, listed bool)) int {
+	var sameZone, all []int
 	for i := range n {
-		zone, listed := look(i)
+		zone, listed := scheduler(i)
 		if !listed {
 			continue
 		}
 		if all = append(all, i); zone == j.Zone {
-			near = append(near, i)
+			sameZone = append(sameZone, i)
 		}
 	}
-	if len(near) == 0 {
-		near = all
+	if len(sameZone) == 0 {
+		sameZone = all
 	}
-	if len(near) == 0 {
+	if len(sameZone) == 0 {
 		return -1
 	}
-	u := Rand(seed^uint64(j.No)<<20, fmt.Sprint("front", j.Tries)).Uint64()
-	return near[u%uint64(len(near))]
+	draw := Rand(seed^uint64(j.No)<<20, fmt.Sprint("front", j.Tries)).Uint64()
+	return sameZone[draw%uint64(len(sameZone))]
 }
 
-// Gain is what a job earned that was settled at a time.
+// Gain returns what the job earns if it is settled at a time: a part only after its SLA time.
 func (j *Job) Gain(p *plan.Plan, at float64) float64 {
 	if at <= j.Due {
 		return j.Worth
--- a/lab/machine/machine.go
+++ b/lab/machine/machine.go
@@ -1,7 +1,8 @@
-// Package machine is the model of one worker: its slots and queue, how it comes up cold, falls over, is slowed,
-// drains and loses what it runs. It has no clock and no I/O, so that the same model serves simulated time and
-// real sockets: inputs carry the time, what it says is pulled with NextNote until there is none left, and
-// Next tells when to look again.
+// Package machine models one worker: its slots and queue, slow start after a restart, overload while cold,
+// slowdowns, drains, and the loss of its jobs when its process dies. The model has no clock and no I/O, so that the
+// same code serves simulated time and real sockets: each input carries the current time, the caller pulls
+// notifications with NextNote until none is left, and Next returns when to call Advance again. All times are in
+// milliseconds.
 package machine
 
 import (
@@ -12,106 +13,110 @@
 	"sync"
 )
 
-// Spec is what does not change with a worker's life.
+// Spec holds the parameters of a worker, which stay the same across its restarts.
 type Spec struct {
-	Cores, Speed float64
-	Slots, Queue int
-	Order        string // fifo, backfill, priority
-	RunsOn       bool   // a job that was called off runs on to its end
-	HandBack     bool   // a drain hands back what has not begun
-	ColdFrom     float64
-	ColdFor      float64
-	Fall         float64
-	FallTimes    float64
-	MeanWork     float64 // of a request, in milliseconds at full speed
-	Checkpoint   float64 // of work done; 0: none
+	Cores, Speed float64 // Speed is the work in milliseconds that a core does in one millisecond
+	Slots, Queue int     // jobs of one slot that run at a time, and jobs that may be queued
+	Order        string  // of the queue: fifo, backfill or priority
+	RunsOn       bool    // a cancelled job still runs to its end
+	HandBack     bool    // a drain returns the queued jobs to their senders
+	ColdFrom     float64 // capacity right after a start, as a share of the full capacity
+	ColdFor      float64 // slow start: time from a start to full capacity, in milliseconds
+	Fall         float64 // window over which load on a cold worker is summed, in milliseconds
+	FallTimes    float64 // a cold worker is overloaded by this multiple of its capacity over that window
+	MeanWork     float64 // mean work of a request, in milliseconds of one core at speed 1
+	Checkpoint   float64 // work between two checkpoints of a job, in milliseconds at speed 1; 0: no checkpoints
 }
 
-// Job is one posting as the worker has it.
+// Job is one posting as its worker sees it.
 type Job struct {
-	Ref, Token string  // Token tells apart postings of one txn
-	Work       float64 // running time at full speed, milliseconds
-	Slots      int
-	Rank       float64 // priority order: the greater goes first
-	Mark       string  // its group drops repeats of this mark; "" where it has none
-	Window     float64 // for so long
+	Ref, Token string  // Ref is the reference of the txn; Token distinguishes postings of one txn
+	Work       float64 // running time on a core of its own at speed 1, in milliseconds
+	Slots      int     // slots that it occupies while it runs
+	Rank       float64 // with Order priority, the job with the greatest rank runs first
+	Mark       string  // idempotency key, by which the group of workers drops repeats; "": none
+	Window     float64 // how long after a run repeats of Mark are dropped, in milliseconds
 	Warned     bool    // its sender knew of the worker's last start
-	done       float64
-	began      bool
-	came       float64
+	workDone   float64 // of Work
+	began      bool    // it has started to run
+	arrivedAt  float64
 }
 
-// What a note says.
+// Values of Note.What.
 const (
-	Began    = "began"
-	Settled  = "settled"
-	Returned = "returned" // never ran
-	Lost     = "lost"     // killed while it ran
+	Began    = "began"    // the job started to run
+	Settled  = "settled"  // the job ran to its end
+	Returned = "returned" // the worker gave the job back and never ran it
+	Lost     = "lost"     // the worker's process died with the job running or queued, or rejected it by falling over
 )
 
-// Note is what the worker says of a job.
+// Note notifies the caller of a change of one job.
 type Note struct {
 	What string
 	Job  *Job
-	Drop bool // settled by an earlier run of its mark: this one had no effect
+	Drop bool // settled without a run: an earlier job with the same idempotency key had already run
 }
 
-// Shelf is what a cell or group keeps in common: marks that were carried out, and checkpoints. It is the one
-// thing that machines share, so it has a lock: on sockets each runs by itself.
+// Shelf is a key-value store that several workers share: the idempotency keys that a group has carried out, with the
+// time of the run, or the checkpoints of a cell, with the work done. Workers share nothing else. It is locked because
+// on real sockets each worker runs in goroutines of its own.
 type Shelf struct {
-	mu sync.Mutex
-	at map[string]float64
+	mu     sync.Mutex
+	values map[string]float64
 }
 
-// NewShelf returns an empty one.
-func NewShelf() *Shelf { return &Shelf{at: map[string]float64{}} }
+// NewShelf returns an empty store.
+func NewShelf() *Shelf { return &Shelf{values: map[string]float64{}} }
 
 func (s *Shelf) get(name string) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x, ok := s.at[name]
+	x, ok := s.values[name]
 	return x, ok
 }
 
 func (s *Shelf) put(name string, x float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at[name] = x
+	s.values[name] = x
 }
 
-// Machine is one worker.
+// Machine is the state of one worker.
 type Machine struct {
 	Spec
-	Start    float64 // of its last start; 0: long ago
-	Slow     float64 // times its speed
-	Taken    float64 // part of its cores that neighbours have
-	Paused   bool
-	Draining bool
-	Marks    *Shelf  // of its group for marks; nil: it keeps none
-	Saves    *Shelf  // of its cell, for checkpoints
-	Fell     bool    // it fell over and is down
-	Blame    float64 // part of the pressure then that came from senders who knew of its start
-	Tipped   string  // what tipped it over, in words
-	running  []*Job
-	queue    []*Job
-	sent     []push
-	at       float64
-	notes    []Note
-	busy     float64 // core time spent, milliseconds
+	Start          float64 // time of its last start; 0: so long ago that it is warm
+	Slow           float64 // factor on Speed; 1: not slowed
+	Taken          float64 // share of its cores that other tenants of the host use
+	Paused         bool    // its process stands still
+	Draining       bool
+	Marks          *Shelf  // time of the last run by idempotency key, shared by the group; nil: repeats are not dropped
+	Saves          *Shelf  // work done up to the last checkpoint by txn reference, shared by the cell
+	Fell           bool    // it was overloaded while cold, and is down
+	Blame          float64 // share of that overload that came from senders who knew of its start
+	Tipped         string  // description of that overload
+	running        []*Job
+	queue          []*Job
+	recentArrivals []arrival // during the last Fall milliseconds, while cold
+	advancedTo     float64   // time up to which the state is worked out
+	notes          []Note    // not pulled yet
+	workDone       float64   // in slot-milliseconds at speed 1
 }
 
-// fewRequests is how many requests allowed in a window are few: more is then left to chance.
-const fewRequests = 30
+// smallBudget is the number of requests allowed in a window below which the tolerance for random bunching is larger
+// (see coldBudget).
+const smallBudget = 30
 
-type push struct {
-	at, work float64
-	warned   bool
+// arrival is one job that reached a cold worker, whether or not the worker accepted it.
+type arrival struct {
+	at, work        float64 // work is in slot-milliseconds at speed 1
+	senderKnewStart bool
 }
 
-// New returns a worker that started long ago.
+// New returns a warm worker without jobs.
 func New(s Spec) *Machine { return &Machine{Spec: s, Slow: 1} }
 
-// Capacity is how many cores' worth it does at a time.
+// Capacity returns how many cores the worker can use at a time: 0 while paused or down, a growing share during its
+// slow start.
 func (m *Machine) Capacity(now float64) float64 {
 	if m.Paused || m.Fell {
 		return 0
@@ -123,24 +128,24 @@
 	return c
 }
 
-// Threads is how many slots are in use.
-func (m *Machine) Threads() (n int) {
+// SlotsInUse counts the slots that running jobs occupy.
+func (m *Machine) SlotsInUse() (n int) {
 	for _, j := range m.running {
 		n += j.Slots
 	}
 	return n
 }
 
-// Free counts free slots.
-func (m *Machine) Free() int { return m.Slots - m.Threads() }
+// Free counts the free slots.
+func (m *Machine) Free() int { return m.Slots - m.SlotsInUse() }
 
-// Holds is how many jobs it has, running or queued.
+// Holds counts its jobs, running and queued.
 func (m *Machine) Holds() int { return len(m.running) + len(m.queue) }
 
-// Ahead is the work that it still has, in slot milliseconds.
-func (m *Machine) Ahead() (work float64) {
+// RemainingWork returns the work left of its running and queued jobs, in slot-milliseconds at speed 1.
+func (m *Machine) RemainingWork() (work float64) {
 	for _, j := range m.running {
-		work += (j.Work - j.done) * float64(j.Slots)
+		work += (j.Work - j.workDone) * float64(j.Slots)
 	}
 	for _, j := range m.queue {
 		work += j.Work * float64(j.Slots)
@@ -148,85 +153,92 @@
 	return work
 }
 
-// Busy is the slot time spent so far, in milliseconds at its own speed.
-func (m *Machine) Busy() float64 { return m.busy }
+// Busy returns the work done since the worker was made, in slot-milliseconds at speed 1. Divided by Speed it is the
+// time for which slots were in use at full speed.
+func (m *Machine) Busy() float64 { return m.workDone }
 
-// rate is how fast each running job goes on: as fast as a core, or its part of what cores there are.
-func (m *Machine) rate(now float64) float64 {
-	n := float64(m.Threads())
+// workRate returns the work that each running job gets done in a millisecond per slot: that of one core, or less where
+// the jobs have more slots than there are cores.
+func (m *Machine) workRate(now float64) float64 {
+	n := float64(m.SlotsInUse())
 	if n == 0 {
 		return 0
 	}
 	return min(1, m.Capacity(now)/n) * m.Speed * m.Slow
 }
 
-// step is how often the ramp of a cold worker is looked at anew.
-const step = 250.0
+// rampStepMs is the interval at which the work rate of a cold worker is recomputed, as its capacity grows.
+const rampStepMs = 250.0
 
-// Advance moves the worker on to a time.
+// Advance works out the state of the worker up to a time, and ends the jobs that complete on the way.
 func (m *Machine) Advance(now float64) {
-	for m.at < now {
+	for m.advancedTo < now {
 		to := now
-		if m.Start > 0 && m.at < m.Start+m.ColdFor {
-			to = min(to, m.at+step)
+		if m.Start > 0 && m.advancedTo < m.Start+m.ColdFor {
+			to = min(to, m.advancedTo+rampStepMs)
 		}
-		r := m.rate(m.at)
-		if r > 0 {
+		rate := m.workRate(m.advancedTo)
+		if rate > 0 {
 			for _, j := range m.running {
-				to = min(to, m.at+max((j.Work-j.done)/r, 0))
+				to = min(to, m.advancedTo+max((j.Work-j.workDone)/rate, 0))
 			}
 		}
 		for _, j := range m.running {
-			j.done += r * (to - m.at)
-			m.busy += r * (to - m.at) * float64(j.Slots)
+			j.workDone += rate * (to - m.advancedTo)
+			m.workDone += rate * (to - m.advancedTo) * float64(j.Slots)
 		}
-		// Where the rest is too small to move the clock by, it is done.
-		stuck := to == m.at
-		m.at = to
-		m.settle(stuck, r)
+		// A remainder of work too small to move the floating-point clock counts as done.
+		clockStuck := to == m.advancedTo
+		m.advancedTo = to
+		m.finishCompleted(clockStuck, rate)
 	}
 }
 
-func (m *Machine) settle(stuck bool, r float64) {
-	ended := false
+// finishCompleted ends each running job that has no work left, and starts queued ones in their place. clockStuck means
+// that the last step did not move the clock; rate is the work done in a millisecond per slot.
+// finishCompleted ends each running job that has no work left, and starts queued ones in their place. clockStuck means
+// that the last step did not move the clock; rate is the work done in a millisecond per slot.
+func (m *Machine) finishCompleted(clockStuck bool, rate float64) {
+	anyEnded := false
 	for _, j := range slices.Clone(m.running) {
-		if left := j.Work - j.done; left > 1e-6 && !(stuck && m.at+left/max(r, 1e-9) == m.at) {
+		if left := j.Work - j.workDone; left > 1e-6 && !(clockStuck && m.advancedTo+left/max(rate, 1e-9) == m.advancedTo) {
 			continue
 		}
-		ended = true
-		m.remove(j)
+		anyEnded = true
+		m.removeRunning(j)
 		if j.Mark != "" && m.Marks != nil {
-			m.Marks.put(j.Mark, m.at)
+			m.Marks.put(j.Mark, m.advancedTo)
 		}
 		m.notes = append(m.notes, Note{What: Settled, Job: j})
 	}
-	if ended {
-		m.fill()
+	if anyEnded {
+		m.startQueued()
 	}
 }
 
-// Next is when something happens by itself: a job ends, or the ramp is to be looked at.
+// Next returns when Advance must be called next without any input: at the end of a job, or for the next step of the
+// slow start. It is +Inf while no job progresses.
 func (m *Machine) Next() float64 {
-	r := m.rate(m.at)
-	if len(m.running) == 0 || r == 0 {
+	rate := m.workRate(m.advancedTo)
+	if len(m.running) == 0 || rate == 0 {
 		return math.Inf(1)
 	}
-	at := math.Inf(1)
+	next := math.Inf(1)
 	for _, j := range m.running {
-		at = min(at, m.at+max((j.Work-j.done)/r, 0))
+		next = min(next, m.advancedTo+max((j.Work-j.workDone)/rate, 0))
 	}
-	if m.Start > 0 && m.at < m.Start+m.ColdFor {
-		at = min(at, m.at+step)
+	if m.Start > 0 && m.advancedTo < m.Start+m.ColdFor {
+		next = min(next, m.advancedTo+rampStepMs)
 	}
-	return at
+	return next
 }
 
-// Take brings a job. A worker that is full or draining returns it; a cold one that has been given more than it
-// can bear falls over, with all it has.
+// Take submits a job. A worker that is full or draining returns it. A cold worker that has been sent more than its
+// budget goes down and loses all its jobs.
 func (m *Machine) Take(now float64, j *Job) {
 	m.Advance(now)
-	j.came = now
-	if m.press(now, j) {
+	j.arrivedAt = now
+	if m.coldOverload(now, j) {
 		return
 	}
 	if m.Draining {
@@ -244,66 +256,68 @@
 		return
 	}
 	m.queue = append(m.queue, j)
-	m.fill()
+	m.startQueued()
 }
 
-// press counts what reaches a cold worker, also what it turns away, over the window. The posting that takes it beyond its
-// budget, in requests or in work, tips it over.
-func (m *Machine) press(now float64, j *Job) bool {
+// coldOverload counts the jobs that reach a cold worker within the window, including those that it then returns. The
+// job that exceeds its budget, in requests or in work, takes the worker down; coldOverload then returns true.
+func (m *Machine) coldOverload(now float64, j *Job) bool {
 	if m.Start == 0 || now >= m.Start+m.ColdFor {
-		m.sent = nil
+		m.recentArrivals = nil
 		return false
 	}
-	m.sent = slices.DeleteFunc(m.sent, func(p push) bool { return p.at < now-m.Fall })
-	m.sent = append(m.sent, push{now, j.Work * float64(j.Slots), j.Warned})
+	m.recentArrivals = slices.DeleteFunc(m.recentArrivals, func(a arrival) bool { return a.at < now-m.Fall })
+	m.recentArrivals = append(m.recentArrivals, arrival{now, j.Work * float64(j.Slots), j.Warned})
 	requests, work := 0.0, 0.0
-	warnedRequests, warnedWork := 0.0, 0.0
-	for _, p := range m.sent {
+	knowingRequests, knowingWork := 0.0, 0.0
+	for _, a := range m.recentArrivals {
 		requests++
-		work += p.work
-		if p.warned {
-			warnedRequests++
-			warnedWork += p.work
+		work += a.work
+		if a.senderKnewStart {
+			knowingRequests++
+			knowingWork += a.work
 		}
 	}
-	budget := m.budget(now)
+	budget := m.coldBudget(now)
 	switch {
 	case work > budget*m.MeanWork:
-		m.Blame = warnedWork / work
+		m.Blame = knowingWork / work
 	case requests > budget:
-		m.Blame = warnedRequests / requests
+		m.Blame = knowingRequests / requests
 	default:
 		return false
 	}
-	m.Tipped = fmt.Sprintf("%.0f requests and %.0f ms of work against %.1f and %.0f: %s", requests, work, budget, budget*m.MeanWork, m.pressure())
+	m.Tipped = fmt.Sprintf("%.0f requests and %.0f ms of work against %.1f and %.0f: %s", requests, work, budget, budget*m.MeanWork, m.describeArrivals())
 	m.notes = append(m.notes, Note{What: Lost, Job: j})
 	m.Kill(now)
 	m.Fell = true
 	return true
 }
 
-// budget is how many requests of mean work a cold worker bears in a window that ends now: N by its age, and what is left
-// to chance beyond them.
-func (m *Machine) budget(now float64) float64 {
-	full := m.ColdFrom + (1-m.ColdFrom)*(now-m.Start)/m.ColdFor
-	n := m.FallTimes * m.Cores * m.Speed * full * m.Fall / m.MeanWork
-	if n < fewRequests {
-		return n + 3*math.Sqrt(n) + 3
+// coldBudget returns how many requests of mean work a cold worker withstands in a window that ends now: the number N
+// that its age allows, and a tolerance for random bunching of 2·√N + 2, or 3·√N + 3 where N is small.
+func (m *Machine) coldBudget(now float64) float64 {
+	share := m.ColdFrom + (1-m.ColdFrom)*(now-m.Start)/m.ColdFor
+	expected := m.FallTimes * m.Cores * m.Speed * share * m.Fall / m.MeanWork
+	if expected < smallBudget {
+		return expected + 3*math.Sqrt(expected) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return expected + 2*math.Sqrt(expected) + 2
 }
 
-// pressure lists what was sent in the window: milliseconds since the start, and work.
-func (m *Machine) pressure() string {
+// describeArrivals lists the jobs that arrived in the window as " +T:W": T is the time since the worker's start, W the
+// work, both in milliseconds.
+func (m *Machine) describeArrivals() string {
 	var b strings.Builder
-	for _, p := range m.sent {
-		fmt.Fprintf(&b, " +%.0f:%.0f", p.at-m.Start, p.work)
+	for _, a := range m.recentArrivals {
+		fmt.Fprintf(&b, " +%.0f:%.0f", a.at-m.Start, a.work)
 	}
 	return strings.TrimSpace(b.String())
 }
 
-// fill begins what fits.
-func (m *Machine) fill() {
+// startQueued starts the queued jobs for which there are free slots. Unless Order is backfill, a job that does not fit
+// holds up all behind it.
+func (m *Machine) startQueued() {
 	if m.Order == "priority" {
 		slices.SortStableFunc(m.queue, func(a, b *Job) int {
 			switch {
@@ -328,34 +342,38 @@
 		j.began = true
 		if m.Saves != nil && m.Checkpoint > 0 {
 			saved, _ := m.Saves.get(j.Ref)
-			j.done = min(saved, j.Work)
+			j.workDone = min(saved, j.Work)
 		}
 		m.running = append(m.running, j)
 		m.notes = append(m.notes, Note{What: Began, Job: j})
 	}
 }
 
-func (m *Machine) remove(j *Job) {
+// removeRunning takes a job off the running ones and saves its last checkpoint.
+// removeRunning takes a job off the running ones and saves its last checkpoint.
+func (m *Machine) removeRunning(j *Job) {
 	m.running = slices.DeleteFunc(m.running, func(o *Job) bool { return o == j })
 	if m.Saves != nil && m.Checkpoint > 0 {
-		m.Saves.put(j.Ref, math.Floor(min(j.done, j.Work)/m.Checkpoint)*m.Checkpoint)
+		m.Saves.put(j.Ref, math.Floor(min(j.workDone, j.Work)/m.Checkpoint)*m.Checkpoint)
 	}
 }
 
-// Drop takes that a job was called off. One that waits is forgotten; one that runs is ended, or runs on unseen.
+// Drop cancels a job. A queued or running one is removed without a note. With RunsOn it stays, runs to its end, and
+// its notes still come.
 func (m *Machine) Drop(now float64, j *Job) {
 	m.Advance(now)
-	if i := slices.Index(m.queue, j); i >= 0 && !m.RunsOn {
-		m.queue = slices.Delete(m.queue, i, i+1)
-		m.fill()
+	if place := slices.Index(m.queue, j); place >= 0 && !m.RunsOn {
+		m.queue = slices.Delete(m.queue, place, place+1)
+		m.startQueued()
 	}
 	if j.began && !m.RunsOn && slices.Contains(m.running, j) {
-		m.remove(j)
-		m.fill()
+		m.removeRunning(j)
+		m.startQueued()
 	}
 }
 
-// Drain begins a drain: what comes from now on is returned, and what has not begun is handed back or waits on.
+// Drain begins a drain: jobs that arrive from now on are returned. Queued jobs are returned too with HandBack, and
+// stay queued without it.
 func (m *Machine) Drain(now float64) {
 	m.Advance(now)
 	m.Draining = true
@@ -367,33 +385,34 @@
 	}
 }
 
-// Kill ends the process. What it had is lost; what had not begun never ran, but nobody is left to say so.
+// Kill ends the worker's process. All its jobs are lost, queued ones too: they never ran, but the dead process cannot
+// report that.
 func (m *Machine) Kill(now float64) {
 	m.Advance(now)
 	for _, j := range slices.Clone(m.running) {
-		m.remove(j)
+		m.removeRunning(j)
 		m.notes = append(m.notes, Note{What: Lost, Job: j})
 	}
 	for _, j := range m.queue {
 		m.notes = append(m.notes, Note{What: Lost, Job: j})
 	}
-	m.queue, m.sent = nil, nil
+	m.queue, m.recentArrivals = nil, nil
 }
 
-// Restart starts it anew, cold.
+// Restart kills the worker's process and starts a new one, which is cold.
 func (m *Machine) Restart(now float64) {
 	m.Kill(now)
-	m.Start, m.at = now, now
+	m.Start, m.advancedTo = now, now
 	m.Fell, m.Draining, m.Paused = false, false, false
 }
 
-// Change takes a change of Slow, Taken or Paused: what it did before was done at the old pace.
+// Change applies f, which may set Slow, Taken or Paused, after working out the state up to now at the old rate.
 func (m *Machine) Change(now float64, f func()) {
 	m.Advance(now)
 	f()
 }
 
-// NextNote tells the next thing that the worker has to say.
+// NextNote returns the oldest note that has not been pulled yet, and false where there is none.
 func (m *Machine) NextNote() (Note, bool) {
 	if len(m.notes) == 0 {
 		return Note{}, false
@@ -406,5 +425,5 @@
 	return n, true
 }
 
-// Began reports whether the job has begun to run.
+// Began reports whether the job has started to run.
 func (j *Job) Began() bool { return j.began }
--- a/lab/script/script.go
+++ b/lab/script/script.go
@@ -1,5 +1,6 @@
-// Package script turns a plan's faults into what happens to which part when, drawn from the seed alone. It is
-// played by simulated time and on sockets alike.
+// Package script expands the faults of a plan into a timed list of single actions on single parts of the fleet, drawn
+// from the seed alone. Simulated time and real sockets play the same list. All times are milliseconds since the start
+// of the experiment.
 package script
 
 import (
@@ -12,34 +13,35 @@
 	"shalebeam/lab/plan"
 )
 
-// Act is one change of one part.
+// Act begins or ends one fault on one part of the fleet.
 type Act struct {
 	At     float64
-	Begin  bool // else it ends
-	Do     string
-	Kind   string // workers, schedulers, discovery, clients, network
-	Part   int    // its place among its kind
-	Factor float64
-	Cut    *Cut
-	Seed   uint64 // for what the act itself leaves to chance
+	Begin  bool    // the fault begins; false: it ends
+	Do     string  // name of the fault, such as kill or slow, or a step of a change of settings: phase or twins
+	Kind   string  // of the part: workers, schedulers, discovery, clients, network or settings
+	Part   int     // index among the parts of that kind; with Do phase, the plan.Phase to enter
+	Factor float64 // strength of the fault; its meaning and unit depend on Do
+	Cut    *Cut    // the links that are cut, else nil
+	Seed   uint64  // for the random choices that carrying out the fault takes
 }
 
-// Cut is a broken link between two sides.
+// Cut is a network partition: no link works between a part in A and a part in B.
 type Cut struct {
 	A, B map[Part]bool
 }
 
-// Part names one end of a link.
+// Part names one part of the fleet, as an end of network links.
 type Part struct {
-	Kind string
-	No   int
+	Kind string // as Act.Kind
+	No   int    // index among the parts of that kind
 }
 
-// Between tells whether the cut lies between two parts.
+// Between reports whether the cut separates two parts.
 func (c *Cut) Between(a, b Part) bool { return c.A[a] && c.B[b] || c.A[b] && c.B[a] }
 
-// Play lists all acts in the order in which they happen. A fault that is to hit a share of its parts draws
-// them; with Over they are hit one after another within that time.
+// Play returns all actions in order of time: those of the plan's faults, and the starts of workers that join late. A
+// fault that hits a share of its parts draws which; with Over it hits them one after another, evenly spread over that
+// time.
 func Play(p *plan.Plan, seed uint64) (acts []Act) {
 	boxes := p.Boxes()
 	for i, b := range boxes {
@@ -47,26 +49,26 @@
 			acts = append(acts, Act{At: float64(at), Begin: true, Do: "join", Kind: "workers", Part: i})
 		}
 	}
-	for n, f := range p.Faults {
-		r := load.Rand(seed, "fault"+strconv.Itoa(n))
-		parts := named(p, boxes, f.On)
+	for faultNo, f := range p.Faults {
+		r := load.Rand(seed, "fault"+strconv.Itoa(faultNo))
+		parts := partsNamed(p, boxes, f.On)
 		r.Shuffle(len(parts), func(i, j int) { parts[i], parts[j] = parts[j], parts[i] })
 		parts = parts[:int(math.Ceil(f.Share*float64(len(parts))-1e-9))]
 		if f.Do == "cut" {
-			c := &Cut{A: map[Part]bool{}, B: map[Part]bool{}}
+			cut := &Cut{A: map[Part]bool{}, B: map[Part]bool{}}
 			for _, x := range parts {
-				c.A[x] = true
+				cut.A[x] = true
 			}
-			for _, x := range named(p, boxes, f.To) {
-				c.B[x] = true
+			for _, x := range partsNamed(p, boxes, f.To) {
+				cut.B[x] = true
 			}
-			acts = both(acts, Act{Do: f.Do, Kind: "network", Cut: c}, float64(f.At), float64(f.For))
+			acts = appendFault(acts, Act{Do: f.Do, Kind: "network", Cut: cut}, float64(f.At), float64(f.For))
 			continue
 		}
 		if f.Do == "retune" {
-			acts = retune(acts, float64(f.At), true, plan.Twins)
+			acts = appendRetune(acts, float64(f.At), true, plan.Twins)
 			if f.For > 0 {
-				acts = retune(acts, float64(f.At+f.For), false, plan.First)
+				acts = appendRetune(acts, float64(f.At+f.For), false, plan.First)
 			}
 			continue
 		}
@@ -75,7 +77,7 @@
 			if len(parts) > 1 {
 				at += float64(f.Over) * float64(i) / float64(len(parts)-1)
 			}
-			acts = both(acts, Act{Do: f.Do, Kind: x.Kind, Part: x.No, Factor: f.Factor, Seed: r.Uint64()}, at,
+			acts = appendFault(acts, Act{Do: f.Do, Kind: x.Kind, Part: x.No, Factor: f.Factor, Seed: r.Uint64()}, at,
 				float64(f.For))
 		}
 	}
@@ -83,9 +85,9 @@
 	return acts
 }
 
-// both adds a fault's beginning and, where it has one, its end. What was killed, drained or stopped comes back
-// at the end; without a time it stays away.
-func both(acts []Act, a Act, at, length float64) []Act {
+// appendFault adds the beginning of a fault and, if its length is above 0, its end. A part that was killed, drained or
+// stopped starts again at the end; without an end it stays away.
+func appendFault(acts []Act, a Act, at, length float64) []Act {
 	a.At, a.Begin = at, true
 	acts = append(acts, a)
 	if length > 0 {
@@ -95,14 +97,16 @@
 	return acts
 }
 
-// retune adds the steps to the schemes' twins, or back: both are there, clients use the others, the first are dropped.
-func retune(acts []Act, at float64, twins bool, last plan.Phase) []Act {
+// appendRetune adds the steps of a settings change that replaces each scheme by its twin (see plan.Rows), or the twins
+// by the original schemes: schedulers get both sets, then clients use the new set, then schedulers drop the old set.
+func appendRetune(acts []Act, at float64, twins bool, last plan.Phase) []Act {
 	return append(acts, Act{At: at, Begin: true, Do: "phase", Kind: "settings", Part: int(plan.Both)},
 		Act{At: at + plan.RetuneUse, Begin: twins, Do: "twins", Kind: "settings"},
 		Act{At: at + plan.RetuneDrop, Begin: true, Do: "phase", Kind: "settings", Part: int(last)})
 }
 
-func named(p *plan.Plan, boxes []plan.Box, on string) (parts []Part) {
+// partsNamed lists the parts that the text of a fault's "on" or "to" key names.
+func partsNamed(p *plan.Plan, boxes []plan.Box, on string) (parts []Part) {
 	kind, name, zone, _ := plan.Part(on)
 	zones := p.Zones()
 	switch kind {
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -394,6 +394,6 @@
 		}
 		b.m.Advance(epoch + w.now)
 		pace = min(b.m.Capacity(epoch+w.now), float64(b.m.Slots)) * b.m.Speed * b.m.Slow
-		return b.m.Ahead() + b.coming, pace
+		return b.m.RemainingWork() + b.coming, pace
 	}
 }
