--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -1,5 +1,6 @@
-// Package policy is what decides in an experiment: the shipped module, or a plain baseline to measure it
-// against, behind the edge that the module has towards its hosts.
+// Package policy holds what may make the decisions in an experiment: the shipped package balance, simple baselines to
+// compare it with, and deliberately broken variants that test the auditor. All have the interface that package balance
+// offers to its hosts. All times are milliseconds.
 package policy
 
 import (
@@ -13,7 +14,7 @@
 	"shalebeam/balance"
 )
 
-// Decider is that edge; *balance.Scheduler is one. See package balance for what each call means.
+// Decider makes the decisions of one scheduler. *balance.Scheduler implements it; package balance documents each call.
 type Decider interface {
 	ListChanged(now float64, whole bool, rows []balance.Listed)
 	Watched(now float64, ok bool)
@@ -37,293 +38,302 @@
 	Wake(now float64) float64
 }
 
-// Truth shows a worker as it really is, for the one baseline that sees all: work ahead in slot milliseconds,
-// and what it carries out of that a millisecond.
-type Truth func(worker string) (ahead, pace float64)
+// WorkerLoad returns the true state of a worker, for the baseline sees-all: work is what its running, queued and
+// approaching jobs still need, in slot-milliseconds at speed 1, and pace how much of that it gets done in a millisecond.
+// A pace of 0 means that it takes no jobs.
+type WorkerLoad func(worker string) (work, pace float64)
 
-// Names are the policies by name, the shipped module first.
+// Names returns the names of all policies, the shipped one first.
 func Names() []string { return []string{"adus", "random", "least", "two", "sees-all"} }
 
-// New makes a decider by name, with ":BUG" behind it to plant one (see Bugs).
-func New(name string, terms balance.Terms, truth Truth) (Decider, error) {
+// New returns the decider of a policy. A name of the form POLICY:BUG plants a bug in it, see Bugs.
+func New(name string, terms balance.Terms, workerLoad WorkerLoad) (Decider, error) {
 	name, bug, planted := strings.Cut(name, ":")
 	var d Decider
 	switch name {
 	case "adus":
 		d = balance.New(terms)
 	case "random", "least", "two", "sees-all":
-		d = newPlain(name, terms, truth)
+		d = newBaseline(name, terms, workerLoad)
 	default:
 		return nil, fmt.Errorf("policy %q is not one of %s", name, strings.Join(Names(), ", "))
 	}
 	if planted {
-		return plant(bug, d, terms)
+		return wrapWithBug(bug, d, terms)
 	}
 	return d, nil
 }
 
-// plain is what the baselines share: they post each txn at once, again only where that is harmless, keep the
-// same rules, and differ in how they pick a worker. A cold worker is taken for as much smaller as it is young,
-// which is the usual slow start.
-type plain struct {
-	name  string
-	terms balance.Terms
-	truth Truth
-	draws uint32
-	byID  map[string]*box
-	list  []*box
-	txns  map[string]*owed
-	wait  []*owed
-	calls bool
-	askAt float64
-	till  float64
-	stop  float64
-	out   map[string]bool // workers that staff took out
+// baseline implements the baselines. All post each txn at once, post it again only where that is harmless, and keep the
+// same rules as package balance. They differ in how they pick a worker: random takes any, two the one with fewer own
+// postings of two random ones, least the one with the fewest own postings, and sees-all the one with the shortest true
+// wait. All weight a cold worker by its age, which is the usual slow start.
+type baseline struct {
+	name           string
+	terms          balance.Terms
+	workerLoad     WorkerLoad
+	drawsMade      uint32
+	byID           map[string]*worker // all workers ever listed
+	listed         []*worker          // those in the current list
+	open           map[string]*openTxn
+	waiting        []*openTxn      // open txns without a posting out
+	watching       bool            // a watch on the list of workers is on
+	nextAskAt      float64         // when to ask for a watch next
+	listValidUntil float64         // nothing is posted from then on, see balance.Scheduler.Relies
+	stopAt         float64         // when this scheduler stops; +Inf: no stop is planned
+	withdrawn      map[string]bool // workers that staff took out
 }
 
-type box struct {
+// worker is a worker as the baseline knows it.
+type worker struct {
 	balance.Listed
-	out  int
-	bad  float64 // left alone until
-	here bool
+	outstanding int     // own postings out there
+	avoidUntil  float64 // after a failed or reset connection
+	inList      bool
 }
 
-type owed struct {
+// openTxn is a txn that has arrived, until it is closed and no posting of it is out.
+type openTxn struct {
 	balance.Txn
-	row    balance.SchemeRow // that it came under
-	most   int
-	until  float64
-	posts  []try
-	nextAt float64
-	out    int
-	over   bool
-	ran    bool
+	row         balance.SchemeRow // the scheme's settings when it arrived
+	maxPosts    int
+	until       float64 // expiry, or this scheduler's stop if that is earlier
+	posts       []posting
+	nextPostAt  float64 // earliest time of the next posting
+	outstanding int     // postings out
+	closed      bool    // it has its final answer, or its client is gone
+	mayHaveRun  bool    // an ended posting may have run
 }
 
-type try struct {
-	to   *box
-	at   float64
-	done bool
-	ran  bool
+// posting is one posting of an openTxn.
+type posting struct {
+	to         *worker
+	at         float64
+	done       bool
+	mayHaveRun bool
 }
 
-func newPlain(name string, terms balance.Terms, truth Truth) *plain {
-	return &plain{name: name, terms: terms, truth: truth, byID: map[string]*box{}, txns: map[string]*owed{}, out: map[string]bool{},
-		stop: math.Inf(1), till: math.Inf(1)}
+func newBaseline(name string, terms balance.Terms, workerLoad WorkerLoad) *baseline {
+	return &baseline{name: name, terms: terms, workerLoad: workerLoad, byID: map[string]*worker{},
+		open: map[string]*openTxn{}, withdrawn: map[string]bool{}, stopAt: math.Inf(1), listValidUntil: math.Inf(1)}
 }
 
-func (p *plain) chance() float64 {
-	p.draws++
-	return float64(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d", p.terms.Seed, p.draws))) / (1 << 32)
+// draw returns the next number of the scheduler's random sequence, from 0 to 1.
+func (b *baseline) draw() float64 {
+	b.drawsMade++
+	return float64(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d", b.terms.Seed, b.drawsMade))) / (1 << 32)
 }
 
-func (p *plain) ListChanged(now float64, whole bool, rows []balance.Listed) {
+func (b *baseline) ListChanged(now float64, whole bool, rows []balance.Listed) {
 	if whole {
-		for _, b := range p.list {
-			b.here = false
+		for _, w := range b.listed {
+			w.inList = false
 		}
-		p.list = nil
+		b.listed = nil
 	}
 	for _, r := range rows {
-		b := p.byID[r.ID]
-		if b == nil {
-			b = &box{}
-			p.byID[r.ID] = b
+		w := b.byID[r.ID]
+		if w == nil {
+			w = &worker{}
+			b.byID[r.ID] = w
 		}
-		if r.State != balance.Removed && !b.here {
-			p.list = append(p.list, b)
+		if r.State != balance.Removed && !w.inList {
+			b.listed = append(b.listed, w)
 		}
-		b.Listed, b.here = r, r.State != balance.Removed
+		w.Listed, w.inList = r, r.State != balance.Removed
 	}
-	p.list = slices.DeleteFunc(p.list, func(b *box) bool { return !b.here })
+	b.listed = slices.DeleteFunc(b.listed, func(w *worker) bool { return !w.inList })
 }
 
-func (p *plain) Relies(till float64) { p.till = till }
+func (b *baseline) Relies(till float64) { b.listValidUntil = till }
 
-func (p *plain) Watched(now float64, ok bool) {
-	p.calls = ok
+func (b *baseline) Watched(now float64, ok bool) {
+	b.watching = ok
 	if !ok {
-		p.askAt = now + 500 + 500*p.chance()
+		b.nextAskAt = now + 500 + 500*b.draw()
 	}
 }
 
-func (p *plain) Arrived(now float64, x balance.Txn) {
-	t := &owed{Txn: x, row: p.terms.Schemes[x.Scheme], most: p.terms.MaxPosts, until: min(now+x.Left, p.stop)}
-	p.txns[x.Ref] = t
-	p.wait = append(p.wait, t)
+func (b *baseline) Arrived(now float64, x balance.Txn) {
+	t := &openTxn{Txn: x, row: b.terms.Schemes[x.Scheme], maxPosts: b.terms.MaxPosts, until: min(now+x.Left, b.stopAt)}
+	b.open[x.Ref] = t
+	b.waiting = append(b.waiting, t)
 }
 
-func (p *plain) Started(float64, string, int) {}
+func (b *baseline) Started(float64, string, int) {}
 
-func (p *plain) Ended(now float64, ref string, no int, how balance.Outcome, closed bool, _ balance.Load) {
-	t := p.txns[ref]
+func (b *baseline) Ended(now float64, ref string, no int, how balance.Outcome, closed bool, _ balance.Load) {
+	t := b.open[ref]
 	if t == nil || no >= len(t.posts) || t.posts[no].done {
 		return
 	}
 	x := &t.posts[no]
-	x.done, x.ran = true, !how.NeverRan()
-	x.to.out--
-	t.out--
-	t.ran = t.ran || x.ran && how != balance.Done
+	x.done, x.mayHaveRun = true, !how.NeverRan()
+	x.to.outstanding--
+	t.outstanding--
+	t.mayHaveRun = t.mayHaveRun || x.mayHaveRun && how != balance.Done
 	if how == balance.NoConnect || how == balance.Reset {
-		x.to.bad = now + 1000
+		x.to.avoidUntil = now + 1000
 	}
-	t.over = t.over || closed || how == balance.Done
-	if t.over {
-		p.drop(t)
-	} else if t.out == 0 {
-		t.nextAt = now + float64(len(t.posts))*10*p.terms.Tick
-		p.wait = append(p.wait, t)
+	t.closed = t.closed || closed || how == balance.Done
+	if t.closed {
+		b.closeTxn(t)
+	} else if t.outstanding == 0 {
+		t.nextPostAt = now + float64(len(t.posts))*10*b.terms.Tick
+		b.waiting = append(b.waiting, t)
 	}
 }
 
-func (p *plain) drop(t *owed) {
-	p.wait = slices.DeleteFunc(p.wait, func(o *owed) bool { return o == t })
-	if t.out == 0 {
-		delete(p.txns, t.Ref)
+// closeTxn stops posting a txn, and forgets it once no posting is out.
+func (b *baseline) closeTxn(t *openTxn) {
+	b.waiting = slices.DeleteFunc(b.waiting, func(o *openTxn) bool { return o == t })
+	if t.outstanding == 0 {
+		delete(b.open, t.Ref)
 	}
 }
 
-func (p *plain) Probed(float64, string, balance.Outcome, balance.Load) {}
-func (p *plain) Heard(float64, int, []byte)                            {}
+func (b *baseline) Probed(float64, string, balance.Outcome, balance.Load) {}
+func (b *baseline) Heard(float64, int, []byte)                            {}
 
-func (p *plain) Gone(_ float64, ref string) {
-	if t := p.txns[ref]; t != nil {
-		t.over = true
-		p.drop(t)
+func (b *baseline) Gone(_ float64, ref string) {
+	if t := b.open[ref]; t != nil {
+		t.closed = true
+		b.closeTxn(t)
 	}
 }
 
-func (p *plain) Stops(by float64) {
-	p.stop = by
-	for _, t := range p.txns {
+func (b *baseline) Stops(by float64) {
+	b.stopAt = by
+	for _, t := range b.open {
 		t.until = min(t.until, by)
 	}
 }
 
-func (p *plain) Withdrawn(_ float64, id string) { p.out[id] = true }
-func (p *plain) Returned(_ float64, id string)  { delete(p.out, id) }
+func (b *baseline) Withdrawn(_ float64, id string) { b.withdrawn[id] = true }
+func (b *baseline) Returned(_ float64, id string)  { delete(b.withdrawn, id) }
 
-// Retune is taken for new txns alone, as the module does.
-func (p *plain) Retune(terms balance.Terms) { p.terms = terms }
+// Retune applies the new terms to txns that arrive from now on, as package balance does.
+func (b *baseline) Retune(terms balance.Terms) { b.terms = terms }
 
-func (p *plain) NextFinal(now float64) (balance.Final, bool) {
-	for _, t := range p.wait {
+func (b *baseline) NextFinal(now float64) (balance.Final, bool) {
+	for _, t := range b.waiting {
 		row := &t.row
-		stuck := len(t.posts) >= t.most || t.ran && row.Effect == balance.OnceOnly
-		if !stuck && now < t.until-2*p.terms.Tick {
+		stuck := len(t.posts) >= t.maxPosts || t.mayHaveRun && row.Effect == balance.OnceOnly
+		if !stuck && now < t.until-2*b.terms.Tick {
 			continue
 		}
-		t.over = true
-		p.drop(t)
-		return balance.Final{Ref: t.Ref, Declined: !t.ran || row.Effect == balance.Repeatable ||
+		t.closed = true
+		b.closeTxn(t)
+		return balance.Final{Ref: t.Ref, Declined: !t.mayHaveRun || row.Effect == balance.Repeatable ||
 			row.Effect == balance.Referenced && row.Group == balance.GroupAll}, true
 	}
 	return balance.Final{}, false
 }
 
-func (p *plain) NextCancel(float64) (balance.Cancel, bool) { return balance.Cancel{}, false }
+func (b *baseline) NextCancel(float64) (balance.Cancel, bool) { return balance.Cancel{}, false }
 
-func (p *plain) NextPosting(now float64) (balance.Post, bool) {
-	for _, t := range p.wait {
-		if now >= p.till || now < t.nextAt || len(t.posts) >= t.most {
+func (b *baseline) NextPosting(now float64) (balance.Post, bool) {
+	for _, t := range b.waiting {
+		if now >= b.listValidUntil || now < t.nextPostAt || len(t.posts) >= t.maxPosts {
 			continue
 		}
-		b := p.pick(now, t)
-		if b == nil {
-			t.nextAt = now + 10*p.terms.Tick
+		w := b.pickWorker(now, t)
+		if w == nil {
+			t.nextPostAt = now + 10*b.terms.Tick
 			continue
 		}
-		t.posts = append(t.posts, try{to: b, at: now})
-		t.out++
-		b.out++
-		p.wait = slices.DeleteFunc(p.wait, func(o *owed) bool { return o == t })
-		return balance.Post{Ref: t.Ref, Worker: b.ID, By: math.Inf(1)}, true
+		t.posts = append(t.posts, posting{to: w, at: now})
+		t.outstanding++
+		w.outstanding++
+		b.waiting = slices.DeleteFunc(b.waiting, func(o *openTxn) bool { return o == t })
+		return balance.Post{Ref: t.Ref, Worker: w.ID, By: math.Inf(1)}, true
 	}
 	return balance.Post{}, false
 }
 
-// may keeps the rules, and draws a cold worker only as often as it is warm.
-func (p *plain) may(now float64, t *owed, b *box) bool {
+// eligible reports whether a txn may be posted to a worker now. It keeps the rules on repeats. For slow start it accepts
+// a cold worker at random, with a probability of half of the capacity share that its age gives.
+func (b *baseline) eligible(now float64, t *openTxn, w *worker) bool {
 	row := &t.row
-	if b.State != balance.Running || p.out[b.ID] || now < b.bad || !row.Open(b.Zone, b.Kind) {
+	if w.State != balance.Running || b.withdrawn[w.ID] || now < w.avoidUntil || !row.Open(w.Zone, w.Kind) {
 		return false
 	}
 	for _, x := range t.posts {
-		if !x.ran || row.Effect == balance.Repeatable {
+		if !x.mayHaveRun || row.Effect == balance.Repeatable {
 			continue
 		}
 		if row.Effect == balance.OnceOnly || now-x.at >= row.Window ||
-			row.Group == balance.GroupZone && x.to.Zone != b.Zone ||
-			row.Group == balance.GroupCell && x.to.Cell != b.Cell {
+			row.Group == balance.GroupZone && x.to.Zone != w.Zone ||
+			row.Group == balance.GroupCell && x.to.Cell != w.Cell {
 			return false
 		}
 	}
-	if age := now - b.Start; b.Start > 0 && age < p.terms.ColdFor {
-		return p.chance() < 0.5*(p.terms.ColdFrom+(1-p.terms.ColdFrom)*max(age, 0)/p.terms.ColdFor)
+	if age := now - w.Start; w.Start > 0 && age < b.terms.ColdFor {
+		return b.draw() < 0.5*(b.terms.ColdFrom+(1-b.terms.ColdFrom)*max(age, 0)/b.terms.ColdFor)
 	}
 	return true
 }
 
-func (p *plain) pick(now float64, t *owed) *box {
-	if p.name == "random" || p.name == "two" {
-		var got []*box
-		for tries := 0; tries < 20+len(p.list) && len(p.list) > 0; tries++ {
-			b := p.list[int(p.chance()*float64(len(p.list)))]
-			if !p.may(now, t, b) {
+// pickWorker chooses the worker for the next posting of a txn, nil if there is none.
+func (b *baseline) pickWorker(now float64, t *openTxn) *worker {
+	if b.name == "random" || b.name == "two" {
+		var candidates []*worker
+		for attempts := 0; attempts < 20+len(b.listed) && len(b.listed) > 0; attempts++ {
+			w := b.listed[int(b.draw()*float64(len(b.listed)))]
+			if !b.eligible(now, t, w) {
 				continue
 			}
-			if got = append(got, b); p.name == "random" || len(got) == 2 {
+			if candidates = append(candidates, w); b.name == "random" || len(candidates) == 2 {
 				break
 			}
 		}
-		if len(got) == 0 {
+		if len(candidates) == 0 {
 			return nil
 		}
-		return slices.MinFunc(got, func(a, b *box) int { return cmp.Compare(a.out, b.out) })
+		return slices.MinFunc(candidates, func(w1, w2 *worker) int { return cmp.Compare(w1.outstanding, w2.outstanding) })
 	}
-	var best *box
-	least, tie := 0.0, 0.0
-	for _, b := range p.list {
-		x := float64(b.out)
-		if p.name == "sees-all" {
-			ahead, pace := p.truth(b.ID)
+	var best *worker
+	lowest, lowestTie := 0.0, 0.0
+	for _, w := range b.listed {
+		load := float64(w.outstanding)
+		if b.name == "sees-all" {
+			work, pace := b.workerLoad(w.ID)
 			if pace <= 0 {
 				continue
 			}
-			x = ahead / pace
+			load = work / pace
 		}
-		if best != nil && x > least {
+		if best != nil && load > lowest {
 			continue
 		}
-		if c := p.chance(); (best == nil || x < least || c < tie) && p.may(now, t, b) {
-			best, least, tie = b, x, c
+		if tie := b.draw(); (best == nil || load < lowest || tie < lowestTie) && b.eligible(now, t, w) {
+			best, lowest, lowestTie = w, load, tie
 		}
 	}
 	return best
 }
 
-func (p *plain) NextProbe(float64) (string, bool)   { return "", false }
-func (p *plain) NextMessage(float64) ([]byte, bool) { return nil, false }
+func (b *baseline) NextProbe(float64) (string, bool)   { return "", false }
+func (b *baseline) NextMessage(float64) ([]byte, bool) { return nil, false }
 
-func (p *plain) NextWatch(now float64) bool {
-	if !p.terms.MustAsk || p.calls || now < p.askAt {
+func (b *baseline) NextWatch(now float64) bool {
+	if !b.terms.MustAsk || b.watching || now < b.nextAskAt {
 		return false
 	}
-	p.askAt = now + p.terms.AskIn
+	b.nextAskAt = now + b.terms.AskIn
 	return true
 }
 
-func (p *plain) Wake(now float64) float64 {
+func (b *baseline) Wake(now float64) float64 {
 	at := math.Inf(1)
-	if p.terms.MustAsk && !p.calls {
-		at = p.askAt
+	if b.terms.MustAsk && !b.watching {
+		at = b.nextAskAt
 	}
-	for _, t := range p.wait {
-		at = min(at, t.until-2*p.terms.Tick)
-		if len(t.posts) < t.most {
-			at = min(at, t.nextAt)
+	for _, t := range b.waiting {
+		at = min(at, t.until-2*b.terms.Tick)
+		if len(t.posts) < t.maxPosts {
+			at = min(at, t.nextPostAt)
 		}
 	}
-	return max(at, now+p.terms.Tick)
+	return max(at, now+b.terms.Tick)
 }
--- a/lab/sim/procs.go
+++ b/lab/sim/procs.go
@@ -427,7 +427,7 @@
 	}
 	s.dial(b, x.live, func(boxGen int) {
 		away := s.state[b.no] != balance.Running || s.clock() >= s.watch.Till() || s.w.out[b.Name] > 0
-		if _, bug := s.d.(interface{ Unchecked() }); away && !bug || t.over || s.clock() > p.By {
+		if _, bug := s.d.(interface{ SkipsLastCheck() }); away && !bug || t.over || s.clock() > p.By {
 			s.ended(x, balance.NeverSent, balance.NoLoad) // too late: see balance.Post, and the host on sockets
 			return
 		}
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -386,7 +386,7 @@
 }
 
 // truth shows workers as they are to the baseline that sees all.
-func (w *world) truth() policy.Truth {
+func (w *world) truth() policy.WorkerLoad {
 	return func(id string) (ahead, pace float64) {
 		b := w.disc.byName[id]
 		if b == nil || !b.up || b.m.Draining {
