--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -51,7 +51,7 @@
 	rand        *rand.Rand
 	now         float64   // arrival of the last job
 	made        int       // jobs generated so far
-	baseRate    float64   // mean arrival rate, in jobs per millisecond
+	baseRate    float64   // arrival rate apart from bursts and ramps, in jobs per millisecond
 	inBurst     bool      // with bursty arrivals: now is in a burst, not in a lull
 	phaseEnd    float64   // when that burst or lull ends
 	schemeParts float64   // sum of the schemes' parts
@@ -153,11 +153,14 @@
 		schemeNo++
 	}
 	scheme := &s.plan.Schemes[schemeNo]
-	j := &Job{No: s.made, At: s.now, Scheme: schemeNo, Slots: scheme.Slots, Hint: -1, Worth: scheme.Gain, Leaves: math.Inf(1)}
+	j := &Job{No: s.made, At: s.now, Scheme: schemeNo, Slots: scheme.Slots, Hint: -1, Worth: scheme.Gain,
+		Leaves: math.Inf(1)}
 	// Every job takes the same number of draws, whichever of them it uses, so that a change of one setting leaves the
 	// other properties of all jobs as they were.
-	costDraw1, costDraw2, hintedDraw, hintDraw1, hintDraw2 := r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
-	keyDraw, zoneDraw, tenantDraw, leavesDraw, leaveTimeDraw := r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
+	costDraw1, costDraw2, hintedDraw, hintDraw1, hintDraw2 :=
+		r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
+	keyDraw, zoneDraw, tenantDraw, leavesDraw, leaveTimeDraw :=
+		r.Float64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
 	j.Work = scheme.Cost.Draw(costDraw1, costDraw2)
 	if hintedDraw < scheme.Hinted {
 		j.Hint = j.Work * math.Exp(scheme.Rough*math.Sqrt(-2*math.Log(1-hintDraw1))*math.Cos(2*math.Pi*hintDraw2))
--- a/lab/machine/machine.go
+++ b/lab/machine/machine.go
@@ -16,14 +16,14 @@
 // Spec holds the parameters of a worker, which stay the same across its restarts.
 type Spec struct {
 	Cores, Speed float64 // Speed is the work in milliseconds that a core does in one millisecond
-	Slots, Queue int     // jobs of one slot that run at a time, and jobs that may be queued
+	Slots, Queue int     // Slots are for running jobs, which may take several each; Queue is how many jobs may wait
 	Order        string  // of the queue: fifo, backfill or priority
 	RunsOn       bool    // a cancelled job still runs to its end
 	HandBack     bool    // a drain returns the queued jobs to their senders
 	ColdFrom     float64 // capacity right after a start, as a share of the full capacity
 	ColdFor      float64 // slow start: time from a start to full capacity, in milliseconds
 	Fall         float64 // window over which load on a cold worker is summed, in milliseconds
-	FallTimes    float64 // a cold worker is overloaded by this multiple of its capacity over that window
+	FallTimes    float64 // a cold worker goes down at more than this multiple of its capacity over that window, see coldBudget
 	MeanWork     float64 // mean work of a request, in milliseconds of one core at speed 1
 	Checkpoint   float64 // work between two checkpoints of a job, in milliseconds at speed 1; 0: no checkpoints
 }
@@ -39,7 +39,7 @@
 	Warned     bool    // its sender knew of the worker's last start
 	workDone   float64 // of Work
 	began      bool    // it has started to run
-	arrivedAt  float64
+	arrivedAt  float64 // when it reached the worker
 }
 
 // Values of Note.What.
@@ -47,7 +47,7 @@
 	Began    = "began"    // the job started to run
 	Settled  = "settled"  // the job ran to its end
 	Returned = "returned" // the worker gave the job back and never ran it
-	Lost     = "lost"     // the worker's process died with the job running or queued, or rejected it by falling over
+	Lost     = "lost"     // the worker's process died before the job ended
 )
 
 // Note notifies the caller of a change of one job.
@@ -68,6 +68,7 @@
 // NewShelf returns an empty store.
 func NewShelf() *Shelf { return &Shelf{values: map[string]float64{}} }
 
+// get returns the value stored under a name, and whether there is one.
 func (s *Shelf) get(name string) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +116,7 @@
 // New returns a warm worker without jobs.
 func New(s Spec) *Machine { return &Machine{Spec: s, Slow: 1} }
 
-// Capacity returns how many cores the worker can use at a time: 0 while paused or down, a growing share during its
-// slow start.
+// Capacity returns how many cores the worker can use now: none while paused or down, a growing share during slow start.
 func (m *Machine) Capacity(now float64) float64 {
 	if m.Paused || m.Fell {
 		return 0
@@ -194,8 +194,6 @@
 	}
 }
 
-// finishCompleted ends each running job that has no work left, and starts queued ones in their place. clockStuck means
-// that the last step did not move the clock; rate is the work done in a millisecond per slot.
 // finishCompleted ends each running job that has no work left, and starts queued ones in their place. clockStuck means
 // that the last step did not move the clock; rate is the work done in a millisecond per slot.
 func (m *Machine) finishCompleted(clockStuck bool, rate float64) {
@@ -287,7 +285,8 @@
 	default:
 		return false
 	}
-	m.Tipped = fmt.Sprintf("%.0f requests and %.0f ms of work against %.1f and %.0f: %s", requests, work, budget, budget*m.MeanWork, m.describeArrivals())
+	m.Tipped = fmt.Sprintf("%.0f requests and %.0f ms of work against %.1f and %.0f: %s", requests, work, budget,
+		budget*m.MeanWork, m.describeArrivals())
 	m.notes = append(m.notes, Note{What: Lost, Job: j})
 	m.Kill(now)
 	m.Fell = true
@@ -349,7 +348,6 @@
 	}
 }
 
-// removeRunning takes a job off the running ones and saves its last checkpoint.
 // removeRunning takes a job off the running ones and saves its last checkpoint.
 func (m *Machine) removeRunning(j *Job) {
 	m.running = slices.DeleteFunc(m.running, func(o *Job) bool { return o == j })
--- a/lab/machine/machine_test.go
+++ b/lab/machine/machine_test.go
@@ -141,7 +141,8 @@
 	if goesDown(defaultSpec, sameWork(14, 10)...) || !goesDown(defaultSpec, sameWork(15, 10)...) {
 		t.Error("the limit on requests is not 14.7")
 	}
-	if goesDown(defaultSpec, 1460) || !goesDown(defaultSpec, 1480) || goesDown(defaultSpec, 1000, 400, 60) || !goesDown(defaultSpec, 60, 1000, 420) {
+	if goesDown(defaultSpec, 1460) || !goesDown(defaultSpec, 1480) || goesDown(defaultSpec, 1000, 400, 60) ||
+		!goesDown(defaultSpec, 60, 1000, 420) {
 		t.Error("the limit on work is not 1,470 ms")
 	}
 	large := defaultSpec
--- a/lab/script/script.go
+++ b/lab/script/script.go
@@ -97,7 +97,7 @@
 	return acts
 }
 
-// appendRetune adds the steps of a settings change that replaces each scheme by its twin (see plan.Rows), or the twins
+// appendRetune adds the steps of a settings change that replaces each scheme by its twin (see plan.Plan.Rows), or the twins
 // by the original schemes: schedulers get both sets, then clients use the new set, then schedulers drop the old set.
 func appendRetune(acts []Act, at float64, twins bool, last plan.Phase) []Act {
 	return append(acts, Act{At: at, Begin: true, Do: "phase", Kind: "settings", Part: int(plan.Both)},
--- a/lab/sim/boxes.go
+++ b/lab/sim/boxes.go
@@ -10,265 +10,279 @@
 	"shalebeam/lab/script"
 )
 
-// box is a worker: its model, its process and its link.
-type box struct {
+// worker is one worker: its model, its process and how it answers schedulers.
+type worker struct {
 	plan.Box
-	w      *world
-	no     int
-	m      *machine.Machine
-	up     bool // a process runs there
-	silent bool // the machine answers nothing, not even that no process runs
-	gen    int  // of its process; connections to a former one are broken
-	marks  map[balance.Group]*machine.Shelf
-	rand   *rand.Rand
-	armed  float64
-	// parts of its answers that go wrong
-	erring, twice, late, other float64
-	coming                     float64 // work on its way here
-	wasted                     float64
-	reports                    []report
-	reportAt                   float64
+	sim             *simulation
+	no              int
+	model           *machine.Machine
+	up              bool // its process runs
+	unresponsive    bool // its host sends nothing at all, not even a reset of connections to a dead process
+	generation      int  // counts starts and ends of its process; connections to an earlier process are broken
+	idempotencyKeys map[balance.Group]*machine.Shelf
+	rand            *rand.Rand
+	wakeAt          float64 // time of the scheduled call of Advance; -1: none
+	// Shares of its answers that faults make fail, repeat, come late, or name another txn.
+	errorRate, duplicateRate, lateRate, wrongIDRate float64
+	approachingWork                                 float64      // work of postings under way to it, in slot-milliseconds
+	wastedWork                                      float64      // work whose result nobody got, in slot-milliseconds
+	loadReports                                     []loadReport // the last two
+	nextReportAt                                    float64
 }
 
-type report struct{ at, free float64 }
+// loadReport is how many slots were free at a time.
+type loadReport struct{ at, free float64 }
 
-// lateAfter is how long an answer is kept back that comes late: past most SLA times.
-const lateAfter = 4000.0
+// lateAnswerMs is the delay of an answer that a fault makes late. It is longer than most SLA times.
+const lateAnswerMs = 4000.0
 
-func (b *box) part() script.Part { return script.Part{Kind: "workers", No: b.no} }
-func (b *box) clock() float64    { return epoch + b.w.now }
+// maintenanceRestartMs is the time from the beginning of maintenance to the worker's restart.
+const maintenanceRestartMs = 100
 
-// take brings a posting's request, whole.
-func (b *box) take(x *sent) {
-	x.land()
-	if !b.up || x.boxGen != b.gen {
-		if !b.silent {
-			b.w.net.send(b.part(), x.s.part(), x.live, func() { x.s.ended(x, balance.Reset, balance.NoLoad) })
+func (w *worker) part() script.Part { return script.Part{Kind: "workers", No: w.no} }
+
+// clock returns the time that the worker's clock shows.
+func (w *worker) clock() float64 { return epochMs + w.sim.now }
+
+// receive takes the request of a posting, which has arrived in full.
+func (w *worker) receive(p *posting) {
+	p.arrive()
+	if !w.up || p.workerGen != w.generation {
+		if !w.unresponsive {
+			w.sim.net.send(w.part(), p.scheduler.part(), p.awaited, func() {
+				p.scheduler.postingEnded(p, balance.Reset, balance.NoLoad)
+			})
 		}
 		return
 	}
-	c := &b.w.p.Schemes[x.t.call.j.Scheme]
-	row := b.w.rows[x.t.scheme]
-	j := &machine.Job{Ref: x.t.ref, Work: x.t.call.j.Work, Slots: x.t.call.j.Slots, Rank: c.Gain,
-		Window: float64(c.Window), Warned: b.w.audit.Knows(x.s.name, b.Name, b.m.Start)}
+	scheme := &w.sim.plan.Schemes[p.txn.attempt.job.Scheme]
+	row := w.sim.rows[p.txn.scheme]
+	job := &machine.Job{Ref: p.txn.ref, Work: p.txn.attempt.job.Work, Slots: p.txn.attempt.job.Slots, Rank: scheme.Gain,
+		Window: float64(scheme.Window), Warned: w.sim.auditor.Knows(p.scheduler.name, w.Name, w.model.Start)}
 	if row.Effect == balance.Referenced {
-		j.Mark = x.t.call.j.Mark
+		job.Mark = p.txn.attempt.job.Mark
 	}
-	b.m.Marks = b.marks[row.Group]
-	x.job = j
-	b.w.whose[j] = x
-	b.m.Take(b.clock(), j)
-	b.settle()
+	w.model.Marks = w.idempotencyKeys[row.Group]
+	p.job = job
+	w.sim.postings[job] = p
+	w.model.Take(w.clock(), job)
+	w.processNotes()
 }
 
-// settle passes on what the worker says, and arms its next step.
-func (b *box) settle() {
-	if b.m.Fell && b.up {
-		b.fell()
+// processNotes reports the model's notes to schedulers and schedules its next step. A worker that fell over in the model
+// goes down.
+func (w *worker) processNotes() {
+	if w.model.Fell && w.up {
+		w.goDown()
 	}
-	for n, ok := b.m.NextNote(); ok; n, ok = b.m.NextNote() {
-		x := b.w.whose[n.Job]
-		if x == nil {
+	for note, ok := w.model.NextNote(); ok; note, ok = w.model.NextNote() {
+		p := w.sim.postings[note.Job]
+		if p == nil {
 			continue
 		}
-		b.say(x, n)
-		if n.What != machine.Began {
-			delete(b.w.whose, n.Job)
+		w.reportNote(p, note)
+		if note.What != machine.Began {
+			delete(w.sim.postings, note.Job)
 		}
 	}
-	b.arm()
+	w.scheduleWake()
 }
 
-func (b *box) arm() {
-	next := b.m.Next() - epoch
-	if math.IsInf(next, 1) || next == b.armed {
+// scheduleWake schedules the next call of Advance, unless it is already scheduled for that time.
+func (w *worker) scheduleWake() {
+	next := w.model.Next() - epochMs
+	if math.IsInf(next, 1) || next == w.wakeAt {
 		return
 	}
-	b.armed = next
-	b.w.at(next, func() {
-		if b.armed != next {
+	w.wakeAt = next
+	w.sim.at(next, func() {
+		if w.wakeAt != next {
 			return
 		}
-		b.armed = -1
-		if b.up {
-			b.m.Advance(b.clock())
-			b.settle()
+		w.wakeAt = -1
+		if w.up {
+			w.model.Advance(w.clock())
+			w.processNotes()
 		}
 	})
 }
 
-// say sends one note of the worker's back to the scheduler that posted the job.
-func (b *box) say(x *sent, n machine.Note) {
-	reply := func(wait float64, do func()) {
-		b.w.after(wait, func() {
-			if !b.silent {
-				b.w.net.send(b.part(), x.s.part(), x.live, do)
+// reportNote reports one note of the model to the auditor and to the scheduler that posted the job.
+func (w *worker) reportNote(p *posting, note machine.Note) {
+	reply := func(wait float64, deliver func()) {
+		w.sim.after(wait, func() {
+			if !w.unresponsive {
+				w.sim.net.send(w.part(), p.scheduler.part(), p.awaited, deliver)
 			}
 		})
 	}
-	load := b.load()
-	end := func(how balance.Outcome) {
-		reply(0, func() { x.s.ended(x, how, load) })
+	load := w.load()
+	reportEnd := func(outcome balance.Outcome) {
+		reply(0, func() { p.scheduler.postingEnded(p, outcome, load) })
 	}
-	switch n.What {
+	switch note.What {
 	case machine.Began:
-		b.w.audit.Began(b.w.now, x.t.ref, x.no, b.Name)
-		reply(0, func() { x.s.began(x) })
+		w.sim.auditor.Began(w.sim.now, p.txn.ref, p.no, w.Name)
+		reply(0, func() { p.scheduler.postingStarted(p) })
 	case machine.Returned:
-		end(balance.Full)
+		reportEnd(balance.Full)
 	case machine.Lost:
-		b.waste(n.Job)
+		w.addWasted(note.Job)
 		load = balance.NoLoad
-		end(balance.Reset)
+		reportEnd(balance.Reset)
 	case machine.Settled:
-		if b.rand.Float64() < b.erring {
-			if b.rand.Float64() < 0.5 { // some fail before they had an effect, and nobody can tell which
-				b.w.audit.Made(b.w.now, x.t.ref, x.no, b.Name, "", n.Drop)
+		if w.rand.Float64() < w.errorRate {
+			if w.rand.Float64() < 0.5 { // half of them fail after they had their effect; the scheduler cannot tell which
+				w.sim.auditor.Made(w.sim.now, p.txn.ref, p.no, w.Name, "", note.Drop)
 			}
-			b.waste(n.Job)
-			end(balance.Erred)
+			w.addWasted(note.Job)
+			reportEnd(balance.Erred)
 			return
 		}
-		result := x.t.ref + " by " + b.Name
-		b.w.audit.Made(b.w.now, x.t.ref, x.no, b.Name, result, n.Drop)
-		x.settled = !n.Drop
-		if b.rand.Float64() < b.other {
-			end(balance.Reset) // a scheduler that reads another's id ends the connection
+		result := p.txn.ref + " by " + w.Name
+		w.sim.auditor.Made(w.sim.now, p.txn.ref, p.no, w.Name, result, note.Drop)
+		p.ranUnused = !note.Drop
+		if w.rand.Float64() < w.wrongIDRate {
+			reportEnd(balance.Reset) // a scheduler that reads the id of another txn closes the connection
 			return
 		}
 		wait := 0.0
-		if b.rand.Float64() < b.late {
-			wait = lateAfter
+		if w.rand.Float64() < w.lateRate {
+			wait = lateAnswerMs
 		}
-		reply(wait, func() { x.s.settled(x, result, load) })
-		if b.rand.Float64() < b.twice {
-			reply(wait+1, func() { x.s.settled(x, result, load) })
+		reply(wait, func() { p.scheduler.postingSettled(p, result, load) })
+		if w.rand.Float64() < w.duplicateRate {
+			reply(wait+1, func() { p.scheduler.postingSettled(p, result, load) })
 		}
 	}
 }
 
-// waste counts work whose result nobody got.
-func (b *box) waste(j *machine.Job) {
+// addWasted counts half of the work of a job that was cut short or failed as wasted, however far it got.
+func (w *worker) addWasted(j *machine.Job) {
 	if j.Began() {
-		b.wasted += j.Work * float64(j.Slots) / 2
+		w.wastedWork += j.Work * float64(j.Slots) / 2
 	}
 }
 
-// load is what the worker reports of itself: free slots some time ago, not quite right.
-func (b *box) load() balance.Load {
-	g := &b.w.p.Workers[b.Group]
-	if g.ReportsEach == 0 {
+// load returns the worker's load report: its free slots as of the last report but one, so that it has some age, with
+// random noise.
+func (w *worker) load() balance.Load {
+	group := &w.sim.plan.Workers[w.Group]
+	if group.ReportsEach == 0 {
 		return balance.NoLoad
 	}
-	if b.w.now >= b.reportAt {
-		b.reportAt = b.w.now + float64(g.ReportsEach)
-		b.reports = append(b.reports[max(len(b.reports)-1, 0):], report{b.w.now, float64(b.m.Free())})
+	if w.sim.now >= w.nextReportAt {
+		w.nextReportAt = w.sim.now + float64(group.ReportsEach)
+		w.loadReports = append(w.loadReports[max(len(w.loadReports)-1, 0):], loadReport{w.sim.now, float64(w.model.Free())})
 	}
-	free := b.reports[0].free + g.Noise*(2*b.rand.Float64()-1)
+	free := w.loadReports[0].free + group.Noise*(2*w.rand.Float64()-1)
 	return balance.Load{Free: max(math.Round(free), 0)}
 }
 
-// weight is its entry in a list with live weights.
-func (b *box) weight() float64 {
-	size := b.m.Cores * b.m.Speed
-	if b.w.p.Discovery.Weights != "live" {
+// weight returns its weight in the list of workers: its size, which live weights divide by 1 plus its jobs per core.
+func (w *worker) weight() float64 {
+	size := w.model.Cores * w.model.Speed
+	if w.sim.plan.Discovery.Weights != "live" {
 		return size
 	}
-	b.m.Advance(b.clock())
-	return size / (1 + float64(b.m.Holds())/b.m.Cores)
+	w.model.Advance(w.clock())
+	return size / (1 + float64(w.model.Holds())/w.model.Cores)
 }
 
-// die ends its process. What it had is lost, and connections to it are reset unless the machine is silent.
-func (b *box) die(silent bool) {
-	b.silent = silent
-	b.m.Kill(b.clock())
-	for n, ok := b.m.NextNote(); ok; n, ok = b.m.NextNote() {
-		if x := b.w.whose[n.Job]; x != nil {
-			delete(b.w.whose, n.Job)
-			b.waste(n.Job)
-			if !silent {
-				b.w.net.send(b.part(), x.s.part(), x.live, func() { x.s.ended(x, balance.Reset, balance.NoLoad) })
+// endProcess ends its process. Its jobs are lost, and connections to it are reset unless its host is unresponsive.
+func (w *worker) endProcess(unresponsive bool) {
+	w.unresponsive = unresponsive
+	w.model.Kill(w.clock())
+	for note, ok := w.model.NextNote(); ok; note, ok = w.model.NextNote() {
+		if p := w.sim.postings[note.Job]; p != nil {
+			delete(w.sim.postings, note.Job)
+			w.addWasted(note.Job)
+			if !unresponsive {
+				w.sim.net.send(w.part(), p.scheduler.part(), p.awaited, func() {
+					p.scheduler.postingEnded(p, balance.Reset, balance.NoLoad)
+				})
 			}
 		}
 	}
-	b.up = false
-	b.gen++
+	w.up = false
+	w.generation++
 }
 
-// fell has a cold worker that was pushed over go down, and start again later.
-func (b *box) fell() {
-	b.w.audit.Fell(b.w.now, b.Name, b.m.Blame, b.m.Tipped)
-	b.die(false)
-	b.w.disc.tell(b, balance.Removed)
-	b.w.after(float64(b.w.p.Cold.Down), b.restart)
+// goDown ends the process of a cold worker that was overloaded, and schedules its restart.
+func (w *worker) goDown() {
+	w.sim.auditor.Fell(w.sim.now, w.Name, w.model.Blame, w.model.Tipped)
+	w.endProcess(false)
+	w.sim.discovery.setState(w, balance.Removed)
+	w.sim.after(float64(w.sim.plan.Cold.Down), w.restart)
 }
 
-// restart starts a process anew, cold.
-func (b *box) restart() {
-	b.m.Restart(b.clock())
-	for _, ok := b.m.NextNote(); ok; _, ok = b.m.NextNote() {
+// restart starts a new process, which is cold.
+func (w *worker) restart() {
+	w.model.Restart(w.clock())
+	for _, ok := w.model.NextNote(); ok; _, ok = w.model.NextNote() {
 	}
-	b.up, b.silent = true, false
-	b.gen++
-	b.w.disc.tell(b, balance.Running)
+	w.up, w.unresponsive = true, false
+	w.generation++
+	w.sim.discovery.setState(w, balance.Running)
 }
 
-func (b *box) act(a script.Act) {
-	now := b.clock()
+// applyFault begins or ends a fault of this worker.
+func (w *worker) applyFault(a script.Act) {
+	now := w.clock()
 	switch {
 	case a.Do == "kill" && a.Begin:
-		b.die(false)
+		w.endProcess(false)
 	case a.Do == "vanish" && a.Begin:
-		b.die(true)
+		w.endProcess(true)
 	case a.Do == "join", a.Do == "kill", a.Do == "vanish":
-		b.restart()
+		w.restart()
 	case a.Do == "drain" && a.Begin:
-		if !b.up {
+		if !w.up {
 			return
 		}
-		b.m.Drain(now)
-		b.w.disc.tell(b, balance.Draining)
-		gen := b.gen
-		b.settle()
-		b.w.after(float64(b.w.p.Workers[b.Group].DrainFor), func() {
-			if b.gen == gen {
-				b.die(false)
-				b.w.disc.tell(b, balance.Removed)
+		w.model.Drain(now)
+		w.sim.discovery.setState(w, balance.Draining)
+		gen := w.generation
+		w.processNotes()
+		w.sim.after(float64(w.sim.plan.Workers[w.Group].DrainFor), func() {
+			if w.generation == gen {
+				w.endProcess(false)
+				w.sim.discovery.setState(w, balance.Removed)
 			}
 		})
 	case a.Do == "drain":
-		if b.up {
-			b.die(false)
+		if w.up {
+			w.endProcess(false)
 		}
-		b.restart()
+		w.restart()
 	case a.Do == "maintain":
-		b.w.maintain(b, a)
+		w.sim.maintain(w, a)
 	case a.Do == "pause":
-		b.m.Change(now, func() { b.m.Paused = a.Begin })
+		w.model.Change(now, func() { w.model.Paused = a.Begin })
 	case a.Do == "slow":
-		b.m.Change(now, func() { b.m.Slow = pick(a, a.Factor, 1) })
+		w.model.Change(now, func() { w.model.Slow = during(a, a.Factor, 1) })
 	case a.Do == "neighbour":
-		b.m.Change(now, func() { b.m.Taken = pick(a, a.Factor, 0) })
+		w.model.Change(now, func() { w.model.Taken = during(a, a.Factor, 0) })
 	case a.Do == "erring":
-		b.erring = pick(a, a.Factor, 0)
+		w.errorRate = during(a, a.Factor, 0)
 	case a.Do == "twice":
-		b.twice = pick(a, a.Factor, 0)
+		w.duplicateRate = during(a, a.Factor, 0)
 	case a.Do == "late":
-		b.late = pick(a, a.Factor, 0)
+		w.lateRate = during(a, a.Factor, 0)
 	case a.Do == "other":
-		b.other = pick(a, a.Factor, 0)
+		w.wrongIDRate = during(a, a.Factor, 0)
 	case a.Do == "reset" && a.Begin:
-		b.w.resetAll(b, a)
+		w.sim.resetConnections(w, a)
 	}
-	if b.up {
-		b.settle()
+	if w.up {
+		w.processNotes()
 	}
 }
 
-// pick is a fault's factor while it lasts, else what is usual.
-func pick(a script.Act, while, usual float64) float64 {
+// during returns factor at the beginning of a fault and the normal value at its end.
+func during(a script.Act, factor, normal float64) float64 {
 	if a.Begin {
-		return while
+		return factor
 	}
-	return usual
+	return normal
 }
--- a/lab/sim/clients.go
+++ b/lab/sim/clients.go
@@ -8,120 +8,126 @@
 	"shalebeam/lab/script"
 )
 
-// call is one try of a job: a txn on its way to a scheduler, at it, or answered.
-type call struct {
-	j    *load.Job
-	ref  string
-	s    *proc
-	gen  int // of the scheduler's process that its connection leads to
-	over bool
-	took bool
-	twin bool // it asks for its scheme's twin
+// attempt is one attempt of a client at a job: a txn on its way to a scheduler, at the scheduler, or ended.
+type attempt struct {
+	job        *load.Job
+	ref        string     // of the txn
+	scheduler  *scheduler // nil: the front found none alive
+	generation int        // of the scheduler's process that accepted it
+	ended      bool       // the client has its outcome
+	accepted   bool       // it has reached a running scheduler
+	useTwin    bool       // it is sent to the twin of the job's scheme
 }
 
-// nextJob takes the next job from the stream.
-func (w *world) nextJob() {
-	j, ok := w.stream.Next()
+// scheduleNextJob schedules the arrival of the next job of the stream, and the time at which its client leaves.
+func (sim *simulation) scheduleNextJob() {
+	j, ok := sim.stream.Next()
 	if !ok {
-		w.more = false
+		sim.moreJobs = false
 		return
 	}
-	w.at(j.At, func() {
-		w.jobs++
-		w.got.Came(j)
-		w.try(j)
-		w.nextJob()
+	sim.at(j.At, func() {
+		sim.openJobs++
+		sim.result.Came(j)
+		sim.startAttempt(j)
+		sim.scheduleNextJob()
 	})
 	if !math.IsInf(j.Leaves, 1) {
-		w.at(j.Leaves, func() { w.leave(j) })
+		sim.at(j.Leaves, func() { sim.clientLeaves(j) })
 	}
 }
 
-// front finds the scheduler that a try goes to, nil where none is taken for alive.
-func (w *world) front(j *load.Job) *proc {
-	i := j.Front(w.seed, len(w.procs), func(i int) (int, bool) { return w.procs[i].zone, w.procs[i].listed })
-	if i < 0 {
+// pickScheduler returns the scheduler to which the front sends the current attempt at a job, nil if it believes none
+// alive.
+func (sim *simulation) pickScheduler(j *load.Job) *scheduler {
+	no := j.Front(sim.seed, len(sim.schedulers), func(no int) (int, bool) {
+		return sim.schedulers[no].zone, sim.schedulers[no].inService
+	})
+	if no < 0 {
 		return nil
 	}
-	return w.procs[i]
+	return sim.schedulers[no]
 }
 
-func (w *world) try(j *load.Job) {
+// startAttempt starts the next attempt at a job.
+func (sim *simulation) startAttempt(j *load.Job) {
 	if j.Over {
 		return
 	}
-	c := &call{j: j, ref: j.Ref(), s: w.front(j), twin: w.twins}
-	w.open[j.No] = c
-	until := w.now + float64(w.p.Schemes[j.Scheme].Expiry)
-	// A little beyond its time a client waits for an answer that is on its way, and no longer.
-	w.at(until+2*answerIn+1000, func() { w.answered(c, load.Expired, 0) })
-	if c.s == nil {
-		w.after(w.net.delay(), func() { w.answered(c, load.Refused, 0) })
+	attempt := &attempt{job: j, ref: j.Ref(), scheduler: sim.pickScheduler(j), useTwin: sim.useTwins}
+	sim.attempts[j.No] = attempt
+	expiry := sim.now + float64(sim.plan.Schemes[j.Scheme].Expiry)
+	// After the expiry the client waits a little longer for an answer that is on its way.
+	sim.at(expiry+2*answerGraceMs+1000, func() { sim.endAttempt(attempt, load.Expired, 0) })
+	if attempt.scheduler == nil {
+		sim.after(sim.net.delay(), func() { sim.endAttempt(attempt, load.Refused, 0) })
 		return
 	}
-	w.after(w.net.delay(), func() {
-		if !c.s.alive {
-			w.after(w.net.delay(), func() { w.answered(c, load.Refused, 0) })
+	sim.after(sim.net.delay(), func() {
+		if !attempt.scheduler.alive {
+			sim.after(sim.net.delay(), func() { sim.endAttempt(attempt, load.Refused, 0) })
 			return
 		}
-		if c.over {
+		if attempt.ended {
 			return
 		}
-		c.gen, c.took = c.s.gen, true
-		c.s.arrived(c, until)
+		attempt.generation, attempt.accepted = attempt.scheduler.generation, true
+		attempt.scheduler.acceptTxn(attempt, expiry)
 	})
 }
 
-// answered takes what came of a try, once.
-func (w *world) answered(c *call, got string, stay float64) {
-	if c.over {
+// endAttempt gives an attempt its outcome, unless it has one, and schedules the client's next attempt, if any.
+// retryAfter is the delay in milliseconds that the answer asks for.
+func (sim *simulation) endAttempt(attempt *attempt, outcome string, retryAfter float64) {
+	if attempt.ended {
 		return
 	}
-	c.over = true
-	if c.took && got != load.Settled && got != load.Declined && got != load.Reversed && got != load.Broken {
-		s, gen := c.s, c.gen // it closes its connection
-		w.after(w.net.delay(), func() {
-			if s.gen == gen && s.alive {
-				s.gone(c.ref)
+	attempt.ended = true
+	if attempt.accepted && outcome != load.Settled && outcome != load.Declined && outcome != load.Reversed &&
+		outcome != load.Broken {
+		s, gen := attempt.scheduler, attempt.generation // the client closes its connection to it
+		sim.after(sim.net.delay(), func() {
+			if s.generation == gen && s.alive {
+				s.clientGone(attempt.ref)
 			}
 		})
 	}
-	j := c.j
-	delete(w.open, j.No)
-	at, again := j.Answered(w.p, w.now, got, stay)
+	j := attempt.job
+	delete(sim.attempts, j.No)
+	retryAt, again := j.Answered(sim.plan, sim.now, outcome, retryAfter)
 	if !again {
-		w.jobs--
-		w.got.Over(w.p, j, w.now)
+		sim.openJobs--
+		sim.result.Over(sim.plan, j, sim.now)
 		return
 	}
-	w.at(at, func() { w.try(j) })
+	sim.at(retryAt, func() { sim.startAttempt(j) })
 }
 
-// leave has a client go away, wherever its job is.
-func (w *world) leave(j *load.Job) {
+// clientLeaves makes the client of a job disconnect for good, during an attempt or between two.
+func (sim *simulation) clientLeaves(j *load.Job) {
 	if j.Over {
 		return
 	}
-	if c := w.open[j.No]; c != nil {
-		w.answered(c, load.Left, 0)
+	if attempt := sim.attempts[j.No]; attempt != nil {
+		sim.endAttempt(attempt, load.Left, 0)
 		return
 	}
-	j.Over, j.Got = true, load.Left // between two tries
-	w.jobs--
-	w.got.Over(w.p, j, w.now)
+	j.Over, j.Got = true, load.Left // between two attempts
+	sim.openJobs--
+	sim.result.Over(sim.plan, j, sim.now)
 }
 
-// massCancel has a part of all waiting clients leave at once.
-func (w *world) massCancel(a script.Act) {
-	var nos []int
-	for no := range w.open {
-		nos = append(nos, no)
+// massCancel makes a random share of all waiting clients leave at once.
+func (sim *simulation) massCancel(a script.Act) {
+	var jobNos []int
+	for jobNo := range sim.attempts {
+		jobNos = append(jobNos, jobNo)
 	}
-	slices.Sort(nos)
+	slices.Sort(jobNos)
 	r := load.Rand(a.Seed, "cancel")
-	for _, no := range nos {
-		if c := w.open[no]; r.Float64() < a.Factor {
-			w.leave(c.j)
+	for _, jobNo := range jobNos {
+		if attempt := sim.attempts[jobNo]; r.Float64() < a.Factor {
+			sim.clientLeaves(attempt.job)
 		}
 	}
 }
--- a/lab/sim/discovery.go
+++ b/lab/sim/discovery.go
@@ -6,430 +6,441 @@
 	"shalebeam/watch"
 )
 
-// discovery keeps the list of workers with versions, and tells it: to all when it changes, or to those whose
-// watch is on. It carries out calls that begin a watch and answers with news one after another, so that many wait
-// for each other.
+// discovery keeps the versioned list of workers. In push mode it sends each change to all schedulers, otherwise it
+// answers their long polls. It processes the calls that begin a watch and the answers with changes one after another, so
+// that each waits for those before it.
 type discovery struct {
-	w      *world
-	down   bool
-	lag    float64 // a fault's further one
-	seq    int
-	log    []entry          // each version's change, the first ones being the list at the start
-	late   []balance.Listed // what changed while it was down
-	byName map[string]*box
-	busy   float64 // when it is done with the calls it has
+	sim       *simulation
+	down      bool
+	extraLag  float64          // lag that faults add, in milliseconds
+	version   int              // of the list
+	changes   []listChange     // all changes in order; those of version 0 are the list at the start
+	pending   []balance.Listed // changes that happened while it was down
+	byName    map[string]*worker
+	busyUntil float64 // when it has processed all that is queued
 }
 
-// callFor is how long a call that begins a watch waits for its turn, and then is turned away. Its turn is worked
-// through all the same.
-const callFor = 2000.0
+// callTimeoutMs is how long a call that begins a watch may wait in the queue. It is then turned away, and still takes up
+// its processing time in the queue.
+const callTimeoutMs = 2000.0
 
-// callLines is how many lines of the list are as much work as a call.
-const callLines = 40
+// linesPerCall is the number of lines of the list that take as long to send as a call takes to process.
+const linesPerCall = 40
 
-// formerFor is how long a former address still answers.
-const formerFor = 1500.0
+// formerAddressMs is how long discovery still answers at its former address after a move.
+const formerAddressMs = 1500.0
 
-type entry struct {
-	seq int
-	row balance.Listed
+// listChange is one change of the list.
+type listChange struct {
+	version int
+	entry   balance.Listed // of the worker from then on
 }
 
-// line is a scheduler's connection to discovery. What becomes of it is nothing to the scheduler once it has another.
-type line struct {
-	s      *proc
-	gen    int
-	call   watch.Call
-	no     int // of that call
-	out    bool
-	sent   float64
-	on     bool // a watch is on
-	queued bool // an answer waits for its turn
-	flying bool // an answer is on its way
-	mute   bool // nothing comes through, and neither side knows
-	reset  bool // it is broken without a word
-	former bool // at an address that discovery has left
+// connection is a scheduler's connection to discovery. Its events are ignored once the scheduler uses another.
+type connection struct {
+	scheduler      *scheduler
+	generation     int        // of the scheduler's process
+	call           watch.Call // the last one
+	callNo         int        // number of that call on this connection, from 1
+	callOut        bool       // that call has no answer yet
+	sentAt         float64    // when that call was sent
+	watching       bool       // a watch is on
+	answerQueued   bool       // an answer waits in discovery's queue
+	answerInFlight bool       // an answer is under way in the network
+	silent         bool       // nothing gets through, and neither side has noticed
+	reset          bool       // it ends with a reset, not with an answer
+	formerAddress  bool       // it leads to an address that discovery has left
 }
 
-func (l *line) lives() bool {
-	return l.s.alive && l.s.gen == l.gen && (l.s.line == l || l.s.aside == l)
+// inUse reports whether the scheduler still reads the connection.
+func (conn *connection) inUse() bool {
+	return conn.scheduler.alive && conn.scheduler.generation == conn.generation &&
+		(conn.scheduler.conn == conn || conn.scheduler.oldConn == conn)
 }
 
-func (d *discovery) init(w *world) {
-	*d = discovery{w: w, byName: map[string]*box{}}
-	for _, b := range w.boxes {
-		d.byName[b.Name] = b
-		if b.up {
-			d.log = append(d.log, entry{d.seq, d.row(b, balance.Running)})
+func (d *discovery) init(sim *simulation) {
+	*d = discovery{sim: sim, byName: map[string]*worker{}}
+	for _, w := range sim.workers {
+		d.byName[w.Name] = w
+		if w.up {
+			d.changes = append(d.changes, listChange{d.version, d.entryOf(w, balance.Running)})
 		}
 	}
-	if w.p.Discovery.Weights == "live" {
-		w.after(float64(w.p.Discovery.LiveEach), d.live)
+	if sim.plan.Discovery.Weights == "live" {
+		sim.after(float64(sim.plan.Discovery.LiveEach), d.refreshWeights)
 	}
 }
 
-func (d *discovery) row(b *box, state balance.State) balance.Listed {
-	return balance.Listed{ID: b.Name, Cell: b.Cell, Zone: b.Zone, Kind: b.Kind, State: state, Start: b.m.Start,
-		Weight: b.weight()}
+// entryOf returns a worker's entry in the list.
+func (d *discovery) entryOf(w *worker, state balance.State) balance.Listed {
+	return balance.Listed{ID: w.Name, Cell: w.Cell, Zone: w.Zone, Kind: w.Kind, State: state, Start: w.model.Start,
+		Weight: w.weight()}
 }
 
-// live puts all weights in the list anew.
-func (d *discovery) live() {
-	for _, b := range d.w.boxes {
-		if b.up && !b.m.Draining && !d.down {
-			d.change(d.row(b, balance.Running))
+// refreshWeights updates the weights of all running workers in the list, now and after each interval from then on.
+func (d *discovery) refreshWeights() {
+	for _, w := range d.sim.workers {
+		if w.up && !w.model.Draining && !d.down {
+			d.recordChange(d.entryOf(w, balance.Running))
 		}
 	}
-	d.spread()
-	d.w.after(float64(d.w.p.Discovery.LiveEach), d.live)
+	d.notifyAll()
+	d.sim.after(float64(d.sim.plan.Discovery.LiveEach), d.refreshWeights)
 }
 
-// tell changes a worker's entry. The change is known here after a lag, and not while discovery is down, and then
-// goes out.
-func (d *discovery) tell(b *box, state balance.State) {
-	row := d.row(b, state)
-	d.w.after(float64(d.w.p.Discovery.Lag)+d.lag, func() {
+// setState changes a worker's entry in the list. Discovery learns of the change after its lag, or when it comes back if
+// it is down by then, and notifies schedulers.
+func (d *discovery) setState(w *worker, state balance.State) {
+	entry := d.entryOf(w, state)
+	d.sim.after(float64(d.sim.plan.Discovery.Lag)+d.extraLag, func() {
 		if d.down {
-			d.late = append(d.late, row)
+			d.pending = append(d.pending, entry)
 			return
 		}
-		d.change(row)
-		d.spread()
+		d.recordChange(entry)
+		d.notifyAll()
 	})
 }
 
-func (d *discovery) change(row balance.Listed) {
-	d.seq++
-	d.log = append(d.log, entry{d.seq, row})
-	d.w.audit.Changed(d.w.now, d.seq, row.ID, row.State, row.Start)
+// recordChange adds a change to the list as a new version.
+func (d *discovery) recordChange(entry balance.Listed) {
+	d.version++
+	d.changes = append(d.changes, listChange{d.version, entry})
+	d.sim.auditor.Changed(d.sim.now, d.version, entry.ID, entry.State, entry.Start)
 }
 
-// spread has news go out to those that wait for them.
-func (d *discovery) spread() {
-	for _, s := range d.w.procs {
+// notifyAll pushes the list's changes to all schedulers, or answers those whose call waits for a change.
+func (d *discovery) notifyAll() {
+	for _, s := range d.sim.schedulers {
 		switch {
 		case !s.alive:
-		case d.w.p.Discovery.Mode == "push":
-			d.push(s)
-		case s.line != nil && s.line.on && s.line.out:
-			d.turn(s.line)
+		case d.sim.plan.Discovery.Mode == "push":
+			d.pushList(s)
+		case s.conn != nil && s.conn.watching && s.conn.callOut:
+			d.enqueueAnswer(s.conn)
 		}
 	}
 }
 
-// queue is when what comes now has had its turn: a call, which is as much work as some tens of lines, or the lines that
-// are told.
-func (d *discovery) queue(call bool, lines int) float64 {
-	work := float64(lines) / callLines
-	if call {
+// enqueue adds a call, or only the sending of lines, to discovery's queue, and returns when it will have been processed.
+// A call is as much work as linesPerCall lines.
+func (d *discovery) enqueue(isCall bool, lines int) float64 {
+	work := float64(lines) / linesPerCall
+	if isCall {
 		work++
 	}
-	d.busy = max(d.busy, d.w.now) + work*1000/d.w.p.Discovery.Calls
-	return d.busy
+	d.busyUntil = max(d.busyUntil, d.sim.now) + work*1000/d.sim.plan.Discovery.Calls
+	return d.busyUntil
 }
 
-// push tells a scheduler the list's changes without being asked.
-func (d *discovery) push(s *proc) {
-	if s.queued || d.down {
+// pushList sends a scheduler the changes that it does not have yet, in push mode.
+func (d *discovery) pushList(s *scheduler) {
+	if s.pushQueued || d.down {
 		return
 	}
-	s.queued = true
-	gen := s.gen
-	lives := func() bool { return s.alive && s.gen == gen }
-	d.w.at(d.queue(false, callLines), func() {
-		if !lives() {
+	s.pushQueued = true
+	gen := s.generation
+	wanted := func() bool { return s.alive && s.generation == gen }
+	d.sim.at(d.enqueue(false, linesPerCall), func() {
+		if !wanted() {
 			return
 		}
-		s.queued = false
+		s.pushQueued = false
 		if d.down {
 			return
 		}
-		rows, seq := d.since(s.known), d.seq
-		d.w.net.send(script.Part{Kind: "discovery"}, s.part(), lives, func() {
-			if seq < s.known {
-				return // what was overtaken
+		rows, version := d.changesSince(s.listVersion), d.version
+		d.sim.net.send(script.Part{Kind: "discovery"}, s.part(), wanted, func() {
+			if version < s.listVersion {
+				return // a later push arrived first
 			}
-			s.known = seq
-			d.w.hears(d.w.now, s, rows)
+			s.listVersion = version
+			d.sim.auditListed(d.sim.now, s, rows)
 			if len(rows) > 0 {
-				s.list(rows, false)
+				s.applyList(rows, false)
 			}
-			s.pull()
-			if d.seq > s.known {
-				d.push(s)
+			s.runDecisions()
+			if d.version > s.listVersion {
+				d.pushList(s)
 			}
 		})
 	})
 }
 
-// call carries a scheduler's call: on the connection that it has, or on a new one, which comes up after a round trip.
-func (d *discovery) call(s *proc, c watch.Call) {
-	l := s.line
-	d.w.audit.Asked(d.w.now, s.name, l == nil)
-	if l != nil {
-		d.w.got.Fleet.Renewals++
-		d.send(l, c)
+// makeCall makes a scheduler's call, on its connection or on a new one, which is up after a round trip.
+func (d *discovery) makeCall(s *scheduler, call watch.Call) {
+	conn := s.conn
+	d.sim.auditor.Asked(d.sim.now, s.name, conn == nil)
+	if conn != nil {
+		d.sim.result.Fleet.Renewals++
+		d.sendCall(conn, call)
 		return
 	}
-	d.w.got.Fleet.Calls++
-	l = &line{s: s, gen: s.gen}
-	s.line = l
-	if d.w.net.cut(s.part(), script.Part{Kind: "discovery"}) {
-		d.w.after(float64(d.w.p.Schedulers.Dial), func() { d.fail(l, watch.Broken) })
+	d.sim.result.Fleet.Calls++
+	conn = &connection{scheduler: s, generation: s.generation}
+	s.conn = conn
+	if d.sim.net.isCut(s.part(), script.Part{Kind: "discovery"}) {
+		d.sim.after(float64(d.sim.plan.Schedulers.Dial), func() { d.connectionFailed(conn, watch.Broken) })
 		return
 	}
-	d.w.net.send(s.part(), script.Part{Kind: "discovery"}, l.lives, func() {
+	d.sim.net.send(s.part(), script.Part{Kind: "discovery"}, conn.inUse, func() {
 		if d.down {
-			d.refuse(l, watch.Refused)
+			d.endConnection(conn, watch.Refused)
 			return
 		}
-		d.w.net.send(script.Part{Kind: "discovery"}, s.part(), l.lives, func() {
-			d.send(l, c)
-			s.follow()
+		d.sim.net.send(script.Part{Kind: "discovery"}, s.part(), conn.inUse, func() {
+			d.sendCall(conn, call)
+			s.followWatch()
 		})
 	})
 }
 
-// send writes a call on a connection that is up.
-func (d *discovery) send(l *line, c watch.Call) {
-	l.s.watch.Sent(l.s.clock())
-	l.call, l.out, l.sent = c, true, d.w.now
-	l.no++
-	no := l.no
-	d.w.net.send(l.s.part(), script.Part{Kind: "discovery"}, l.lives, func() {
+// sendCall sends a call on a connection that is up. One that begins a watch is answered with what the scheduler lacks
+// when its turn in the queue comes; one on a watch is answered at the next change, or after the wait that it gives.
+func (d *discovery) sendCall(conn *connection, call watch.Call) {
+	conn.scheduler.watch.Sent(conn.scheduler.clock())
+	conn.call, conn.callOut, conn.sentAt = call, true, d.sim.now
+	conn.callNo++
+	callNo := conn.callNo
+	d.sim.net.send(conn.scheduler.part(), script.Part{Kind: "discovery"}, conn.inUse, func() {
 		switch {
-		case l.mute:
+		case conn.silent:
 		case d.down:
-			d.refuse(l, watch.TurnedAway)
-		case !l.on:
-			if at := d.queue(true, d.news(l)); at > d.w.now+callFor {
-				d.w.after(callFor, func() { d.refuse(l, watch.TurnedAway) })
+			d.endConnection(conn, watch.TurnedAway)
+		case !conn.watching:
+			if at := d.enqueue(true, d.linesOwed(conn)); at > d.sim.now+callTimeoutMs {
+				d.sim.after(callTimeoutMs, func() { d.endConnection(conn, watch.TurnedAway) })
 			} else {
-				d.w.at(at, func() { d.answer(l, no) })
+				d.sim.at(at, func() { d.writeAnswer(conn, callNo) })
 			}
-		case d.seq > int(c.After):
-			d.turn(l)
+		case d.version > int(call.After):
+			d.enqueueAnswer(conn)
 		default:
-			d.w.after(c.Wait, func() {
-				if !l.queued {
-					d.answer(l, no)
+			d.sim.after(call.Wait, func() {
+				if !conn.answerQueued {
+					d.writeAnswer(conn, callNo)
 				}
 			})
 		}
 	})
 }
 
-// turn has a watch answered with news in its turn.
-func (d *discovery) turn(l *line) {
-	if l.queued {
+// enqueueAnswer queues the answer with changes to the call of a watch.
+func (d *discovery) enqueueAnswer(conn *connection) {
+	if conn.answerQueued {
 		return
 	}
-	l.queued = true
-	no := l.no
-	d.w.at(d.queue(false, d.news(l)), func() {
-		l.queued = false
-		d.answer(l, no)
+	conn.answerQueued = true
+	callNo := conn.callNo
+	d.sim.at(d.enqueue(false, d.linesOwed(conn)), func() {
+		conn.answerQueued = false
+		d.writeAnswer(conn, callNo)
 	})
 }
 
-// news is how many lines a connection's call is owed.
-func (d *discovery) news(l *line) int {
-	if l.call.After < 0 {
+// linesOwed returns how many lines the answer to a connection's call has.
+func (d *discovery) linesOwed(conn *connection) int {
+	if conn.call.After < 0 {
 		return len(d.byName)
 	}
-	return len(d.since(int(l.call.After)))
+	return len(d.changesSince(int(conn.call.After)))
 }
 
-// answer writes what is new since the version that was asked from, or all.
-func (d *discovery) answer(l *line, no int) {
-	if !l.lives() || d.down || !l.out || l.no != no {
+// writeAnswer answers a call with the changes since the version that it names, or with the whole list, unless the call
+// has been answered or its connection is no longer in use.
+func (d *discovery) writeAnswer(conn *connection, callNo int) {
+	if !conn.inUse() || d.down || !conn.callOut || conn.callNo != callNo {
 		return
 	}
-	l.out = false
-	if d.w.net.cut(l.s.part(), script.Part{Kind: "discovery"}) {
-		l.on = true
-		d.mute(l)
+	conn.callOut = false
+	if d.sim.net.isCut(conn.scheduler.part(), script.Part{Kind: "discovery"}) {
+		conn.watching = true
+		d.silence(conn)
 	}
-	if l.mute {
-		return // written to nobody
+	if conn.silent {
+		return // nobody receives it
 	}
-	s, seq, whole := l.s, d.seq, l.call.After < 0
-	rows := d.since(int(l.call.After))
+	s, version, whole := conn.scheduler, d.version, conn.call.After < 0
+	rows := d.changesSince(int(conn.call.After))
 	if whole {
-		rows = d.as(seq)
+		rows = d.listAt(version)
 	}
-	l.on, l.flying = true, true
-	d.w.got.Fleet.Lines += len(rows)
-	at, away := d.w.now, d.away()
-	d.w.net.send(script.Part{Kind: "discovery"}, s.part(), l.lives, func() {
-		// It counts from when it was written; what a cut keeps back was written on a watch that fell silent.
-		l.flying = false
-		d.w.audit.Wrote(s.name, seq, l.former)
-		d.w.hears(at, s, rows)
+	conn.watching, conn.answerInFlight = true, true
+	d.sim.result.Fleet.Lines += len(rows)
+	writtenAt, removed := d.sim.now, d.removedWorkers()
+	d.sim.net.send(script.Part{Kind: "discovery"}, s.part(), conn.inUse, func() {
+		// For the auditor the scheduler has the list from when it was written. What a network cut holds back is no
+		// exception: it was written on a watch that had fallen silent.
+		conn.answerInFlight = false
+		d.sim.auditor.Wrote(s.name, version, conn.formerAddress)
+		d.sim.auditListed(writtenAt, s, rows)
 		if whole {
-			d.w.hears(at, s, away)
+			d.sim.auditListed(writtenAt, s, removed)
 		}
-		if s.aside == l {
-			if s.aside = nil; s.watch.Overhears(s.clock(), int64(seq)) {
-				s.known = seq
-				s.list(rows, whole)
-				s.pull()
+		if s.oldConn == conn {
+			if s.oldConn = nil; s.watch.Overhears(s.clock(), int64(version)) {
+				s.listVersion = version
+				s.applyList(rows, whole)
+				s.runDecisions()
 			}
 			return
 		}
-		s.known = seq
+		s.listVersion = version
 		if len(rows) > 0 || whole {
-			s.list(rows, whole)
+			s.applyList(rows, whole)
 		}
-		s.watch.Answered(s.clock(), int64(seq), true)
-		s.follow()
-		s.pull()
+		s.watch.Answered(s.clock(), int64(version), true)
+		s.followWatch()
+		s.runDecisions()
 	})
 }
 
-// refuse ends a connection from discovery's side. What was written before comes before.
-func (d *discovery) refuse(l *line, how watch.Failure) {
-	if l.lives() {
-		d.w.net.send(script.Part{Kind: "discovery"}, l.s.part(), l.lives, func() {
-			if l.flying {
-				d.refuse(l, how)
+// endConnection closes a connection from discovery's side. Answers that were written before arrive first.
+func (d *discovery) endConnection(conn *connection, failure watch.Failure) {
+	if conn.inUse() {
+		d.sim.net.send(script.Part{Kind: "discovery"}, conn.scheduler.part(), conn.inUse, func() {
+			if conn.answerInFlight {
+				d.endConnection(conn, failure)
 			} else {
-				d.fail(l, how)
+				d.connectionFailed(conn, failure)
 			}
 		})
 	}
 }
 
-// fail tells a scheduler that its connection is no more.
-func (d *discovery) fail(l *line, how watch.Failure) {
-	if !l.lives() {
+// connectionFailed tells a scheduler that its connection has ended.
+func (d *discovery) connectionFailed(conn *connection, failure watch.Failure) {
+	if !conn.inUse() {
 		return
 	}
-	if l.s.aside == l {
-		l.s.aside = nil
+	if conn.scheduler.oldConn == conn {
+		conn.scheduler.oldConn = nil
 		return
 	}
-	if !l.on {
-		d.w.got.Fleet.Failed++
+	if !conn.watching {
+		d.sim.result.Fleet.Failed++
 	}
-	l.s.line = nil
-	d.w.audit.Unwatched(l.s.name)
-	if l.reset {
-		how = watch.Broken
+	conn.scheduler.conn = nil
+	d.sim.auditor.Unwatched(conn.scheduler.name)
+	if conn.reset {
+		failure = watch.Broken
 	}
-	l.s.watch.Failed(l.s.clock(), how)
-	l.s.follow()
-	l.s.pull()
+	conn.scheduler.watch.Failed(conn.scheduler.clock(), failure)
+	conn.scheduler.followWatch()
+	conn.scheduler.runDecisions()
 }
 
-// hears tells the auditor what was written to a scheduler.
-func (w *world) hears(at float64, s *proc, rows []balance.Listed) {
+// auditListed reports entries of the list that were written to a scheduler to the auditor.
+func (sim *simulation) auditListed(at float64, s *scheduler, rows []balance.Listed) {
 	for _, r := range rows {
-		w.audit.Listed(at, s.name, r.ID, r.State, r.Start)
+		sim.auditor.Listed(at, s.name, r.ID, r.State, r.Start)
 	}
 }
 
-// away lists the workers that were listed once and are no more.
-func (d *discovery) away() (rows []balance.Listed) {
-	for _, r := range d.since(-1) {
-		if r.State == balance.Removed {
-			rows = append(rows, r)
+// removedWorkers returns the last entries of the workers that have been removed from the list.
+func (d *discovery) removedWorkers() (rows []balance.Listed) {
+	for _, entry := range d.changesSince(-1) {
+		if entry.State == balance.Removed {
+			rows = append(rows, entry)
 		}
 	}
 	return rows
 }
 
-// since lists what changed after a version: each worker's last entry, in the order of these.
-func (d *discovery) since(seq int) (rows []balance.Listed) {
-	last := map[string]bool{}
-	for i := len(d.log) - 1; i >= 0 && d.log[i].seq > seq; i-- {
-		if r := d.log[i].row; !last[r.ID] {
-			last[r.ID] = true
-			rows = append(rows, r)
+// changesSince returns the last entry of each worker that changed after a version, the newest first.
+func (d *discovery) changesSince(version int) (rows []balance.Listed) {
+	seen := map[string]bool{}
+	for i := len(d.changes) - 1; i >= 0 && d.changes[i].version > version; i-- {
+		if entry := d.changes[i].entry; !seen[entry.ID] {
+			seen[entry.ID] = true
+			rows = append(rows, entry)
 		}
 	}
 	return rows
 }
 
-// as is the whole list as it was at a version.
-func (d *discovery) as(seq int) []balance.Listed {
-	at := map[string]int{}
+// listAt returns the whole list as it was at a version.
+func (d *discovery) listAt(version int) []balance.Listed {
+	place := map[string]int{}
 	var rows []balance.Listed
-	for _, e := range d.log {
-		if e.seq > seq {
+	for _, change := range d.changes {
+		if change.version > version {
 			break
 		}
-		if i, ok := at[e.row.ID]; ok {
-			rows[i] = e.row
+		if i, ok := place[change.entry.ID]; ok {
+			rows[i] = change.entry
 		} else {
-			at[e.row.ID] = len(rows)
-			rows = append(rows, e.row)
+			place[change.entry.ID] = len(rows)
+			rows = append(rows, change.entry)
 		}
 	}
-	kept := rows[:0]
-	for _, r := range rows {
-		if r.State != balance.Removed {
-			kept = append(kept, r)
+	current := rows[:0]
+	for _, entry := range rows {
+		if entry.State != balance.Removed {
+			current = append(current, entry)
 		}
 	}
-	return kept
+	return current
 }
 
-// cutOff has the watches fall silent that a cut broke: what is on its way there is given up, not sent again for ever.
-func (d *discovery) cutOff() {
-	for _, s := range d.w.procs {
-		for _, l := range []*line{s.line, s.aside} {
-			if s.alive && l != nil && d.w.net.cut(s.part(), script.Part{Kind: "discovery"}) {
-				d.mute(l)
+// silenceCutWatches makes the connections across a network cut fall silent: what is under way there is given up instead
+// of being resent for ever.
+func (d *discovery) silenceCutWatches() {
+	for _, s := range d.sim.schedulers {
+		for _, conn := range []*connection{s.conn, s.oldConn} {
+			if s.alive && conn != nil && d.sim.net.isCut(s.part(), script.Part{Kind: "discovery"}) {
+				d.silence(conn)
 			}
 		}
 	}
 }
 
-// mute has a scheduler's watch fall silent.
-func (d *discovery) mute(l *line) {
-	was := l.mute
-	if l.mute = true; l.on && !was && l == l.s.line {
-		d.w.audit.Muted(d.w.now, l.s.name, l.sent, l.call.Wait)
+// silence makes a connection fall silent: calls and answers on it are lost, and neither side notices.
+func (d *discovery) silence(conn *connection) {
+	wasSilent := conn.silent
+	if conn.silent = true; conn.watching && !wasSilent && conn == conn.scheduler.conn {
+		d.sim.auditor.Muted(d.sim.now, conn.scheduler.name, conn.sentAt, conn.call.Wait)
 	}
 }
 
-// move tells a scheduler of another address. The former one answers for a while.
-func (d *discovery) move(s *proc) {
+// changeAddress tells a scheduler that discovery has moved to another address. The former one still answers for
+// formerAddressMs.
+func (d *discovery) changeAddress(s *scheduler) {
 	if !s.alive {
 		return
 	}
-	d.w.audit.Moved(d.w.now, s.name)
+	d.sim.auditor.Moved(d.sim.now, s.name)
 	s.watch.Went(s.clock())
-	if l := s.line; l != nil {
-		l.former = true
-		d.w.after(formerFor, func() { d.fail(l, watch.TurnedAway) })
+	if conn := s.conn; conn != nil {
+		conn.formerAddress = true
+		d.sim.after(formerAddressMs, func() { d.connectionFailed(conn, watch.TurnedAway) })
 	}
-	s.follow()
-	s.pull()
+	s.followWatch()
+	s.runDecisions()
 }
 
-func (d *discovery) act(a script.Act) {
+// applyFault begins or ends a fault of discovery.
+func (d *discovery) applyFault(a script.Act) {
 	switch {
 	case a.Do == "lag":
-		d.lag += sign(a) * a.Factor
+		d.extraLag += signOf(a) * a.Factor
 	case a.Do == "down" && a.Begin:
-		d.down, d.busy = true, 0
-		d.w.audit.Down(d.w.now, true)
-		for _, s := range d.w.procs {
-			s.queued = false
-			if l := s.line; s.alive && l != nil && !l.mute {
-				l.on = false // discovery has ended its watch, which no more can fall silent
-				d.refuse(l, watch.TurnedAway)
+		d.down, d.busyUntil = true, 0
+		d.sim.auditor.Down(d.sim.now, true)
+		for _, s := range d.sim.schedulers {
+			s.pushQueued = false
+			if conn := s.conn; s.alive && conn != nil && !conn.silent {
+				conn.watching = false // discovery ends the watch itself, so that it can no longer fall silent
+				d.endConnection(conn, watch.TurnedAway)
 			}
 		}
 	case a.Do == "down":
 		d.down = false
-		d.w.audit.Down(d.w.now, false)
-		for _, row := range d.late {
-			d.change(row)
+		d.sim.auditor.Down(d.sim.now, false)
+		for _, entry := range d.pending {
+			d.recordChange(entry)
 		}
-		d.late = nil
-		d.spread()
+		d.pending = nil
+		d.notifyAll()
 	}
 }
--- a/lab/sim/procs.go
+++ b/lab/sim/procs.go
@@ -14,448 +14,474 @@
 	"shalebeam/watch"
 )
 
-// proc is a scheduler: one decider and the host around it, which does what the host on sockets does.
-type proc struct {
-	w        *world
-	no       int
-	name     string
-	zone     int
-	d        policy.Decider
-	seed     uint64 // of this process
-	gen      int    // counts starts and ends; what is for a former process is lost
-	alive    bool
-	listed   bool // the front deals it clients
-	stopping bool
-	again    bool // it starts anew when it has stopped
-	stopBy   float64
-	stopped  float64 // when it was told to stop
-	skew     float64 // its clock against the others'
-	txns     map[string]*taken
-	conns    map[int]conn // kept connections, by worker
-	state    map[int]balance.State
-	timer    float64
-	watch    *watch.Watch
-	line     *line // its connection to discovery, nil while there is none
-	aside    *line // the one before, which may be only late
-	watchAt  float64
-	queued   bool // discovery pushes something to it
-	known    int  // the version of the list it has
-	pulling  bool
-}
-
-type conn struct {
-	boxGen int
-	used   float64
-}
-
-// taken is a txn that the scheduler has taken.
-type taken struct {
-	ref    string
-	call   *call
-	scheme int
-	until  float64
-	posts  []*sent
-	out    int
-	over   bool
-}
-
-// sent is one posting.
-type sent struct {
-	t       *taken
-	s       *proc
-	gen     int
-	b       *box
-	boxGen  int
-	no      int
-	job     *machine.Job
-	flying  bool // its work counts as on its way to the worker
-	dialled bool
-	done    bool
-	settled bool // it ran, and its result may reach its client
-}
-
-func (x *sent) live() bool    { return !x.done && x.s.gen == x.gen }
-func (x *sent) work() float64 { return x.t.call.j.Work * float64(x.t.call.j.Slots) }
-
-// land takes its work from what is on its way.
-func (x *sent) land() {
-	if x.flying {
-		x.flying = false
-		x.b.coming -= x.work()
-	}
-}
-
-func (s *proc) part() script.Part { return script.Part{Kind: "schedulers", No: s.no} }
-
-// clock is what the scheduler's own clock shows.
-func (s *proc) clock() float64 { return epoch + s.w.now + s.skew }
-
-// start begins a process with the list that the last one had.
-func (s *proc) start() {
-	s.gen++
-	s.alive, s.stopping, s.line, s.aside, s.queued = true, false, nil, nil, false
-	s.stopBy, s.timer, s.watchAt = math.Inf(1), math.Inf(1), math.Inf(1)
+// scheduler is one scheduler: a decider, and the host around it, which does what the host on real sockets does.
+type scheduler struct {
+	sim                *simulation
+	no                 int
+	name               string
+	zone               int
+	decider            policy.Decider
+	seed               uint64 // of the current process
+	generation         int    // counts starts and ends of its process; messages to an earlier process are lost
+	alive              bool
+	inService          bool    // the front, the load balancer before all schedulers, sends it clients
+	stopping           bool    // a planned stop is under way
+	restartWhenStopped bool    // it starts again when the planned stop has ended
+	stopBy             float64 // when the planned stop must have ended its txns; +Inf: no stop
+	stopBegan          float64
+	clockSkew          float64 // of its clock against the others, in milliseconds
+	txns               map[string]*openTxn
+	idleConns          map[int]idleConn      // kept connections, by worker
+	states             map[int]balance.State // in the list that it has, by worker
+	wakeAt             float64               // scheduled call of runDecisions; +Inf: none
+	watch              *watch.Watch
+	conn               *connection // its connection to discovery; nil: none
+	oldConn            *connection // the connection before, whose answer may only be late
+	watchWakeAt        float64     // scheduled call of watch.Passed; +Inf: none
+	pushQueued         bool        // discovery has a push for it in its queue
+	listVersion        int         // version of the list that it has
+	runningDecisions   bool        // runDecisions is under way, and must not be entered again
+}
+
+// Times of a scheduler's starts and stops.
+const (
+	frontNoticeMs  = 200   // from a start until the front sends it clients; from a stop until it sends none: 1 to 2 times that
+	stopLeastMs    = 700.0 // a planned stop lasts at least this long
+	stopOverrunMs  = 300   // after stopBy the process ends in any case
+	stopRestartMs  = 200   // from the end of a planned stop to the restart
+	clockRestartMs = 500   // from the end caused by a change of the clock to the restart
+)
+
+// idleConn is a kept connection to a worker.
+type idleConn struct {
+	workerGen int // generation of the worker's process
+	idleSince float64
+}
+
+// openTxn is a txn that the scheduler has accepted, until it is closed and none of its postings is out.
+type openTxn struct {
+	ref         string
+	attempt     *attempt
+	scheme      int     // index in simulation.rows
+	until       float64 // its expiry, or stopBy if that is earlier
+	postings    []*posting
+	outstanding int  // postings out
+	closed      bool // it has its final answer, or its client is gone
+}
+
+// posting is one posting of an openTxn.
+type posting struct {
+	txn          *openTxn
+	scheduler    *scheduler
+	schedulerGen int // generation of the scheduler's process
+	worker       *worker
+	workerGen    int          // generation of the worker's process to which its connection leads
+	no           int          // index in the txn's postings
+	job          *machine.Job // nil until it reaches the worker
+	approaching  bool         // its work is counted in the worker's approachingWork
+	requestSent  bool         // its connection is up and the request has been sent
+	ended        bool         // for the scheduler
+	ranUnused    bool         // it ran, and its result has not been given to the client
+}
+
+// awaited reports whether the scheduler's process still waits for the end of the posting.
+func (p *posting) awaited() bool { return !p.ended && p.scheduler.generation == p.schedulerGen }
+
+// work returns its work in slot-milliseconds at speed 1.
+func (p *posting) work() float64 { return p.txn.attempt.job.Work * float64(p.txn.attempt.job.Slots) }
+
+// arrive removes its work from that under way to its worker.
+func (p *posting) arrive() {
+	if p.approaching {
+		p.approaching = false
+		p.worker.approachingWork -= p.work()
+	}
+}
+
+func (s *scheduler) part() script.Part { return script.Part{Kind: "schedulers", No: s.no} }
+
+// clock returns the time that the scheduler's own clock shows.
+func (s *scheduler) clock() float64 { return epochMs + s.sim.now + s.clockSkew }
+
+// startProcess starts a process with the list of workers that the last one had.
+func (s *scheduler) startProcess() {
+	s.generation++
+	s.alive, s.stopping, s.conn, s.oldConn, s.pushQueued = true, false, nil, nil, false
+	s.stopBy, s.wakeAt, s.watchWakeAt = math.Inf(1), math.Inf(1), math.Inf(1)
 	s.watch = watch.New(math.Inf(1), 0, 0)
-	if s.w.p.Discovery.Mode != "push" {
-		s.watch = watch.New(s.clock(), float64(s.w.p.Discovery.MustAsk), watch.EachCall*float64(s.w.p.Schedulers.Count))
+	if s.sim.plan.Discovery.Mode != "push" {
+		s.watch = watch.New(s.clock(), float64(s.sim.plan.Discovery.MustAsk),
+			watch.EachCall*float64(s.sim.plan.Schedulers.Count))
 	}
-	s.watch.Began(int64(s.known))
-	s.txns, s.conns, s.state = map[string]*taken{}, map[int]conn{}, map[int]balance.State{}
-	if s.d = s.w.decider(s.no, s.gen); s.d == nil {
+	s.watch.Began(int64(s.listVersion))
+	s.txns, s.idleConns, s.states = map[string]*openTxn{}, map[int]idleConn{}, map[int]balance.State{}
+	if s.decider = s.sim.newDecider(s.no, s.generation); s.decider == nil {
 		return
 	}
-	s.w.audit.Hears(s.w.now, s.name, s.known)
-	s.w.hears(s.w.now, s, s.w.disc.as(s.known))
-	s.follow() // from what its list counts as to begin with
-	s.list(s.w.disc.as(s.known), true)
-	for _, id := range slices.Sorted(maps.Keys(s.w.out)) {
-		if s.w.out[id] > 0 {
-			s.staff(id, true) // it keeps that over its ends
+	s.sim.auditor.Hears(s.sim.now, s.name, s.listVersion)
+	s.sim.auditListed(s.sim.now, s, s.sim.discovery.listAt(s.listVersion))
+	s.followWatch() // tells the decider how long the list may be relied on, before it gets the list
+	s.applyList(s.sim.discovery.listAt(s.listVersion), true)
+	for _, id := range slices.Sorted(maps.Keys(s.sim.withdrawn)) {
+		if s.sim.withdrawn[id] > 0 {
+			s.applyWithdrawal(id, true) // withdrawals by staff outlast the process
 		}
 	}
-	s.pull()
-	if s.w.now == 0 {
-		s.listed = true
+	s.runDecisions()
+	if s.sim.now == 0 {
+		s.inService = true
 		return
 	}
-	gen := s.gen
-	s.w.after(200, func() { s.listed = s.listed || s.gen == gen })
+	gen := s.generation
+	s.sim.after(frontNoticeMs, func() { s.inService = s.inService || s.generation == gen })
 }
 
-// list tells the module of entries.
-func (s *proc) list(rows []balance.Listed, whole bool) {
+// applyList passes entries of the list to the decider. whole means that workers not named are no longer listed.
+func (s *scheduler) applyList(rows []balance.Listed, whole bool) {
 	for _, r := range rows {
-		b := s.w.disc.byName[r.ID]
-		s.state[b.no] = r.State
+		w := s.sim.discovery.byName[r.ID]
+		s.states[w.no] = r.State
 	}
-	s.d.ListChanged(s.clock(), whole, rows)
+	s.decider.ListChanged(s.clock(), whole, rows)
 }
 
-func (s *proc) staff(id string, out bool) {
-	if out {
-		s.d.Withdrawn(s.clock(), id)
+// applyWithdrawal tells the decider that staff took a worker out, or put it back.
+func (s *scheduler) applyWithdrawal(workerID string, withdrawn bool) {
+	if withdrawn {
+		s.decider.Withdrawn(s.clock(), workerID)
 	} else {
-		s.d.Returned(s.clock(), id)
+		s.decider.Returned(s.clock(), workerID)
 	}
 }
 
-func (s *proc) arrived(c *call, until float64) {
-	scheme := c.j.Scheme
-	if c.twin {
-		scheme += len(s.w.p.Schemes)
+// acceptTxn accepts the txn of a client's attempt. Its expiry is given in simulated time.
+func (s *scheduler) acceptTxn(attempt *attempt, expiry float64) {
+	scheme := attempt.job.Scheme
+	if attempt.useTwin {
+		scheme += len(s.sim.plan.Schemes)
 	}
-	place := slices.Index(s.w.p.In(s.w.phase), scheme)
-	if place < 0 { // the host answers that there is no such scheme, and the module never hears of it
-		s.w.after(s.w.net.delay(), func() { s.w.answered(c, load.Reversed, 0) })
+	schemePlace := slices.Index(s.sim.plan.In(s.sim.phase), scheme)
+	if schemePlace < 0 { // the host itself answers that there is no such scheme; the decider is not told
+		s.sim.after(s.sim.net.delay(), func() { s.sim.endAttempt(attempt, load.Reversed, 0) })
 		return
 	}
-	t := &taken{ref: c.ref, call: c, scheme: scheme, until: min(until, s.stopBy)}
-	s.txns[t.ref] = t
-	s.w.audit.Took(s.w.now, s.name, t.ref, t.scheme, t.until)
-	s.d.Arrived(s.clock(), balance.Txn{Ref: t.ref, Scheme: place, Tenant: c.j.Tenant, Key: c.j.Key,
-		Hint: c.j.Hint, Slots: float64(c.j.Slots), Left: until - s.w.now, Repeat: c.j.Tries > 0})
-	s.expireAt(t)
-	s.pull()
-}
-
-// expireAt ends what is out when the txn's time is over.
-func (s *proc) expireAt(t *taken) {
-	gen, until := s.gen, t.until
-	s.w.at(until, func() {
-		if s.gen != gen || t.until != until {
+	txn := &openTxn{ref: attempt.ref, attempt: attempt, scheme: scheme, until: min(expiry, s.stopBy)}
+	s.txns[txn.ref] = txn
+	s.sim.auditor.Took(s.sim.now, s.name, txn.ref, txn.scheme, txn.until)
+	s.decider.Arrived(s.clock(), balance.Txn{Ref: txn.ref, Scheme: schemePlace, Tenant: attempt.job.Tenant,
+		Key: attempt.job.Key, Hint: attempt.job.Hint, Slots: float64(attempt.job.Slots), Left: expiry - s.sim.now,
+		Repeat: attempt.job.Tries > 0})
+	s.scheduleExpiry(txn)
+	s.runDecisions()
+}
+
+// scheduleExpiry schedules the end, as timed out, of the postings that are out when the txn's time is over.
+func (s *scheduler) scheduleExpiry(txn *openTxn) {
+	gen, until := s.generation, txn.until
+	s.sim.at(until, func() {
+		if s.generation != gen || txn.until != until {
 			return
 		}
-		for _, x := range t.posts {
-			if !x.done {
-				s.drop(x, balance.TimedOut)
+		for _, p := range txn.postings {
+			if !p.ended {
+				s.abandon(p, balance.TimedOut)
 			}
 		}
-		s.pull()
+		s.runDecisions()
 	})
 }
 
-// gone takes that a client closed its connection.
-func (s *proc) gone(ref string) {
-	t := s.txns[ref]
-	if t == nil || t.over {
+// clientGone handles that a client closed its connection.
+func (s *scheduler) clientGone(ref string) {
+	txn := s.txns[ref]
+	if txn == nil || txn.closed {
 		return
 	}
-	t.over = true
-	s.w.audit.Left(s.w.now, ref)
-	s.d.Gone(s.clock(), ref)
-	s.forget(t)
-	s.pull()
+	txn.closed = true
+	s.sim.auditor.Left(s.sim.now, ref)
+	s.decider.Gone(s.clock(), ref)
+	s.forgetIfDone(txn)
+	s.runDecisions()
 }
 
-func (s *proc) forget(t *taken) {
-	if t.over && t.out == 0 {
-		delete(s.txns, t.ref)
+// forgetIfDone deletes a txn that is closed and has no posting out.
+func (s *scheduler) forgetIfDone(txn *openTxn) {
+	if txn.closed && txn.outstanding == 0 {
+		delete(s.txns, txn.ref)
 	}
 }
 
-func (s *proc) began(x *sent) {
-	s.d.Started(s.clock(), x.t.ref, x.no)
-	s.pull()
+// postingStarted handles a worker's notice that a posting has begun to run.
+func (s *scheduler) postingStarted(p *posting) {
+	s.decider.Started(s.clock(), p.txn.ref, p.no)
+	s.runDecisions()
 }
 
-// settled takes a result. One that comes a second time is told to the module too, which must not mind.
-func (s *proc) settled(x *sent, result string, l balance.Load) {
-	if x.done {
-		s.d.Ended(s.clock(), x.t.ref, x.no, balance.Done, true, l)
-		s.pull()
+// postingSettled handles the result of a posting. A result that comes a second time is passed to the decider too, which
+// must tolerate it.
+func (s *scheduler) postingSettled(p *posting, result string, l balance.Load) {
+	if p.ended {
+		s.decider.Ended(s.clock(), p.txn.ref, p.no, balance.Done, true, l)
+		s.runDecisions()
 		return
 	}
-	if !x.t.over {
-		x.t.over = true
-		x.settled = false
-		s.answer(x.t, load.Settled, result, 0)
+	if !p.txn.closed {
+		p.txn.closed = true
+		p.ranUnused = false
+		s.answerClient(p.txn, load.Settled, result, 0)
 	}
-	s.ended(x, balance.Done, l)
+	s.postingEnded(p, balance.Done, l)
 }
 
-func (s *proc) ended(x *sent, how balance.Outcome, l balance.Load) {
-	if x.done {
+// postingEnded handles the end of a posting, unless it has already ended for the scheduler.
+func (s *scheduler) postingEnded(p *posting, outcome balance.Outcome, l balance.Load) {
+	if p.ended {
 		return
 	}
-	s.end(x, how, l)
-	s.pull()
+	s.recordEnd(p, outcome, l)
+	s.runDecisions()
 }
 
-func (s *proc) end(x *sent, how balance.Outcome, l balance.Load) {
-	x.done = true
-	if !x.dialled {
-		x.land()
+// recordEnd marks a posting as ended, tells the auditor and the decider, and keeps its connection if it can be used
+// again.
+func (s *scheduler) recordEnd(p *posting, outcome balance.Outcome, l balance.Load) {
+	p.ended = true
+	if !p.requestSent {
+		p.arrive()
 	}
-	if x.settled {
-		x.b.wasted += x.work()
+	if p.ranUnused {
+		p.worker.wastedWork += p.work()
 	}
-	x.t.out--
-	if how == balance.Done || how == balance.Full || how == balance.Erred {
-		s.conns[x.b.no] = conn{x.boxGen, s.w.now}
+	p.txn.outstanding--
+	if outcome == balance.Done || outcome == balance.Full || outcome == balance.Erred {
+		s.idleConns[p.worker.no] = idleConn{p.workerGen, s.sim.now}
 	}
-	s.w.audit.Ended(s.w.now, x.t.ref, x.no, how)
-	s.d.Ended(s.clock(), x.t.ref, x.no, how, x.t.over, l)
-	s.forget(x.t)
+	s.sim.auditor.Ended(s.sim.now, p.txn.ref, p.no, outcome)
+	s.decider.Ended(s.clock(), p.txn.ref, p.no, outcome, p.txn.closed, l)
+	s.forgetIfDone(p.txn)
 }
 
-// drop gives a posting up. One that was never sent whole cannot have run.
-func (s *proc) drop(x *sent, how balance.Outcome) {
-	if !x.dialled {
-		how = balance.NeverSent
+// abandon gives up a posting. One whose request was not sent in full cannot have run.
+func (s *scheduler) abandon(p *posting, outcome balance.Outcome) {
+	if !p.requestSent {
+		outcome = balance.NeverSent
 	} else {
-		s.unsend(x)
+		s.closePostingConn(p)
 	}
-	s.end(x, how, balance.NoLoad)
+	s.recordEnd(p, outcome, balance.NoLoad)
 }
 
-// unsend closes a posting's connection: its worker learns of it, sooner or later.
-func (s *proc) unsend(x *sent) {
-	boxGen := x.boxGen
-	s.w.net.send(s.part(), x.b.part(), always, func() {
-		if x.job == nil || x.b.gen != boxGen || !x.b.up {
+// closePostingConn closes a posting's connection. When the worker notices, it cancels the job.
+func (s *scheduler) closePostingConn(p *posting) {
+	workerGen := p.workerGen
+	s.sim.net.send(s.part(), p.worker.part(), always, func() {
+		if p.job == nil || p.worker.generation != workerGen || !p.worker.up {
 			return
 		}
-		if !x.b.m.RunsOn {
-			x.b.waste(x.job)
-			delete(s.w.whose, x.job)
+		if !p.worker.model.RunsOn {
+			p.worker.addWasted(p.job)
+			delete(s.sim.postings, p.job)
 		}
-		x.b.m.Drop(x.b.clock(), x.job)
-		x.b.settle()
+		p.worker.model.Drop(p.worker.clock(), p.job)
+		p.worker.processNotes()
 	})
 }
 
-// answer gives a txn's client its answer.
-func (s *proc) answer(t *taken, kind, result string, stay float64) {
-	s.w.audit.Answered(s.w.now, s.name, t.ref, kind, result)
-	c := t.call
-	slow := float64(s.w.p.Clients.SlowRead) * load.Rand(s.w.seed^uint64(c.j.No), "slow").Float64()
-	s.w.after(s.w.net.delay()+slow, func() { s.w.answered(c, kind, stay) })
+// answerClient sends a txn's final answer to its client. retryAfter is the delay in milliseconds that it asks for.
+func (s *scheduler) answerClient(txn *openTxn, answer, result string, retryAfter float64) {
+	s.sim.auditor.Answered(s.sim.now, s.name, txn.ref, answer, result)
+	attempt := txn.attempt
+	readDelay := float64(s.sim.plan.Clients.SlowRead) * load.Rand(s.sim.seed^uint64(attempt.job.No), "slow").Float64()
+	s.sim.after(s.sim.net.delay()+readDelay, func() { s.sim.endAttempt(attempt, answer, retryAfter) })
 }
 
-// follow does what the watch says, and tells the module what it has to hear.
-func (s *proc) follow() {
+// followWatch carries out what the watch asks for, and passes its state on to the decider.
+func (s *scheduler) followWatch() {
 	if s.watch.NextHangUp() {
-		s.line = nil
+		s.conn = nil
 	}
 	if s.watch.NextAside() {
-		s.aside, s.line = s.line, nil
+		s.oldConn, s.conn = s.conn, nil
 	}
 	if !s.watch.Besides() {
-		s.aside = nil
+		s.oldConn = nil
 	}
-	if c, ok := s.watch.NextCall(); ok {
-		s.w.disc.call(s, c)
+	if call, ok := s.watch.NextCall(); ok {
+		s.sim.discovery.makeCall(s, call)
 	}
-	s.d.Relies(s.watch.Till())
-	for on, ok := s.watch.NextTold(); ok; on, ok = s.watch.NextTold() {
-		s.d.Watched(s.clock(), on)
+	s.decider.Relies(s.watch.Till())
+	for watching, ok := s.watch.NextTold(); ok; watching, ok = s.watch.NextTold() {
+		s.decider.Watched(s.clock(), watching)
 	}
-	if at := s.watch.Wake(); at < s.watchAt {
-		s.watchAt = at
-		gen := s.gen
-		s.w.after(at-s.clock(), func() {
-			if s.gen == gen && s.watchAt == at {
-				s.watchAt = math.Inf(1)
+	if at := s.watch.Wake(); at < s.watchWakeAt {
+		s.watchWakeAt = at
+		gen := s.generation
+		s.sim.after(at-s.clock(), func() {
+			if s.generation == gen && s.watchWakeAt == at {
+				s.watchWakeAt = math.Inf(1)
 				s.watch.Passed(s.clock())
-				s.follow()
-				s.pull()
+				s.followWatch()
+				s.runDecisions()
 			}
 		})
 	}
 }
 
-// pull carries out what the module decides until there is nothing left.
-func (s *proc) pull() {
-	if s.pulling || !s.alive {
+// runDecisions carries out the decider's decisions until there is none left, and schedules the next call.
+func (s *scheduler) runDecisions() {
+	if s.runningDecisions || !s.alive {
 		return
 	}
-	s.pulling = true
-	for gen := s.gen; s.gen == gen && s.step(s.clock()); {
+	s.runningDecisions = true
+	for gen := s.generation; s.generation == gen && s.runOneDecision(s.clock()); {
 	}
-	s.pulling = false
-	s.settleStop()
+	s.runningDecisions = false
+	s.endStopIfDone()
 	if !s.alive {
 		return
 	}
 	now := s.clock()
-	if at := s.d.Wake(now); at < s.timer {
-		s.timer = at
-		gen := s.gen
-		s.w.after(at-now, func() {
-			if s.gen == gen && s.timer == at {
-				s.timer = math.Inf(1)
-				s.pull()
+	if at := s.decider.Wake(now); at < s.wakeAt {
+		s.wakeAt = at
+		gen := s.generation
+		s.sim.after(at-now, func() {
+			if s.generation == gen && s.wakeAt == at {
+				s.wakeAt = math.Inf(1)
+				s.runDecisions()
 			}
 		})
 	}
 }
 
-// decided adds a decision to the run's digest: runs of two builds that decide alike have the same.
-func (s *proc) decided(now float64, what, ref string, more float64) {
-	var b [8]byte
-	h := s.w.digest
-	for _, x := range []float64{now, float64(s.no), more} {
-		binary.LittleEndian.PutUint64(b[:], math.Float64bits(x))
-		h.Write(b[:])
+// digestDecision adds a decision to the digest of the run, by which two builds can be checked for equal decisions.
+func (s *scheduler) digestDecision(now float64, decision, ref string, value float64) {
+	var buf [8]byte
+	digest := s.sim.digest
+	for _, x := range []float64{now, float64(s.no), value} {
+		binary.LittleEndian.PutUint64(buf[:], math.Float64bits(x))
+		digest.Write(buf[:])
 	}
-	h.WriteString(what)
-	h.WriteString(ref)
+	digest.WriteString(decision)
+	digest.WriteString(ref)
 }
 
-func (s *proc) step(now float64) bool {
-	if f, ok := s.d.NextFinal(now); ok {
-		s.decided(now, "final", f.Ref, f.Stay)
-		kind := load.Reversed
-		if f.Declined {
-			kind = load.Declined
+// runOneDecision pulls one decision and carries it out. It returns false if there is none.
+func (s *scheduler) runOneDecision(now float64) bool {
+	if final, ok := s.decider.NextFinal(now); ok {
+		s.digestDecision(now, "final", final.Ref, final.Stay)
+		answer := load.Reversed
+		if final.Declined {
+			answer = load.Declined
 		}
-		t := s.txns[f.Ref]
-		if t == nil || t.over {
-			s.w.audit.Answered(s.w.now, s.name, f.Ref, kind, "") // the auditor says what is wrong with it
+		txn := s.txns[final.Ref]
+		if txn == nil || txn.closed {
+			s.sim.auditor.Answered(s.sim.now, s.name, final.Ref, answer, "") // the auditor reports the broken rule
 			return true
 		}
-		t.over = true
-		s.answer(t, kind, "", f.Stay)
-		s.forget(t)
+		txn.closed = true
+		s.answerClient(txn, answer, "", final.Stay)
+		s.forgetIfDone(txn)
 		return true
 	}
-	if c, ok := s.d.NextCancel(now); ok {
-		s.decided(now, "cancel", c.Ref, float64(c.Posting))
-		if t := s.txns[c.Ref]; t != nil && c.Posting < len(t.posts) && !t.posts[c.Posting].done {
-			s.drop(t.posts[c.Posting], balance.Cancelled)
+	if cancel, ok := s.decider.NextCancel(now); ok {
+		s.digestDecision(now, "cancel", cancel.Ref, float64(cancel.Posting))
+		if txn := s.txns[cancel.Ref]; txn != nil && cancel.Posting < len(txn.postings) && !txn.postings[cancel.Posting].ended {
+			s.abandon(txn.postings[cancel.Posting], balance.Cancelled)
 		}
 		return true
 	}
-	if p, ok := s.d.NextPosting(now); ok {
-		s.decided(now, p.Worker, p.Ref, p.By)
+	if p, ok := s.decider.NextPosting(now); ok {
+		s.digestDecision(now, p.Worker, p.Ref, p.By)
 		s.post(p)
 		return true
 	}
-	if id, ok := s.d.NextProbe(now); ok {
-		s.decided(now, "probe", id, 0)
+	if id, ok := s.decider.NextProbe(now); ok {
+		s.digestDecision(now, "probe", id, 0)
 		s.probe(id)
 		return true
 	}
-	if body, ok := s.d.NextMessage(now); ok {
-		s.decided(now, "message", string(body), 0)
-		s.w.got.Fleet.Messages++
-		for _, o := range s.w.procs {
-			if o != s && s.w.net.r.Float64() >= s.w.net.loss() {
-				gen := o.gen
-				s.w.after(s.w.net.delay(), func() {
-					if o.gen == gen && o.alive {
-						s.w.got.Fleet.Heard++
-						s.w.got.Fleet.Bytes += len(body)
-						o.d.Heard(o.clock(), s.no, body)
-						o.pull()
+	if body, ok := s.decider.NextMessage(now); ok {
+		s.digestDecision(now, "message", string(body), 0)
+		s.sim.result.Fleet.Messages++
+		for _, peer := range s.sim.schedulers {
+			if peer != s && s.sim.net.rand.Float64() >= s.sim.net.lossRate() {
+				gen := peer.generation
+				s.sim.after(s.sim.net.delay(), func() {
+					if peer.generation == gen && peer.alive {
+						s.sim.result.Fleet.Heard++
+						s.sim.result.Fleet.Bytes += len(body)
+						peer.decider.Heard(peer.clock(), s.no, body)
+						peer.runDecisions()
 					}
 				})
 			}
 		}
 		return true
 	}
-	if s.d.NextWatch(now) {
+	if s.decider.NextWatch(now) {
 		s.watch.Wanted(s.clock())
-		s.follow()
+		s.followWatch()
 		return true
 	}
 	return false
 }
 
-// post makes a posting: on a kept connection, or a new one. What must be sure of its connection gets a new
-// one, as a reset of an old one says nothing of whether the posting ran.
-func (s *proc) post(p balance.Post) {
-	b := s.w.disc.byName[p.Worker]
-	t := s.txns[p.Ref]
-	if t == nil || b == nil {
-		s.w.audit.Posted(s.w.now, s.name, p.Ref, 0, p.Worker, 0, 0)
+// post makes a posting, on a kept connection or a new one. A once-only txn always gets a new connection, because the
+// reset of a kept one does not tell whether the posting ran.
+func (s *scheduler) post(decision balance.Post) {
+	w := s.sim.discovery.byName[decision.Worker]
+	txn := s.txns[decision.Ref]
+	if txn == nil || w == nil {
+		s.sim.auditor.Posted(s.sim.now, s.name, decision.Ref, 0, decision.Worker, 0, 0)
 		return
 	}
-	x := &sent{t: t, s: s, gen: s.gen, b: b, no: len(t.posts)}
-	t.posts = append(t.posts, x)
-	t.out++
-	s.w.got.Postings++
-	x.flying = true
-	b.coming += x.work()
-	old, kept := s.conns[b.no]
-	delete(s.conns, b.no)
-	if kept && s.w.now-old.used < float64(s.w.p.Schedulers.Idle)/2 && old.boxGen == b.gen &&
-		s.w.rows[t.scheme].Effect != balance.OnceOnly {
-		x.boxGen = old.boxGen
-		s.write(x)
+	p := &posting{txn: txn, scheduler: s, schedulerGen: s.generation, worker: w, no: len(txn.postings)}
+	txn.postings = append(txn.postings, p)
+	txn.outstanding++
+	s.sim.result.Postings++
+	p.approaching = true
+	w.approachingWork += p.work()
+	idle, found := s.idleConns[w.no]
+	delete(s.idleConns, w.no)
+	if found && s.sim.now-idle.idleSince < float64(s.sim.plan.Schedulers.Idle)/2 && idle.workerGen == w.generation &&
+		s.sim.rows[txn.scheme].Effect != balance.OnceOnly {
+		p.workerGen = idle.workerGen
+		s.sendRequest(p)
 		return
 	}
-	s.dial(b, x.live, func(boxGen int) {
-		away := s.state[b.no] != balance.Running || s.clock() >= s.watch.Till() || s.w.out[b.Name] > 0
-		if _, bug := s.d.(interface{ SkipsLastCheck() }); away && !bug || t.over || s.clock() > p.By {
-			s.ended(x, balance.NeverSent, balance.NoLoad) // too late: see balance.Post, and the host on sockets
+	s.dial(w, p.awaited, func(workerGen int) {
+		unusable := s.states[w.no] != balance.Running || s.clock() >= s.watch.Till() || s.sim.withdrawn[w.Name] > 0
+		if _, skipCheck := s.decider.(interface{ SkipsLastCheck() }); unusable && !skipCheck || txn.closed ||
+			s.clock() > decision.By {
+			s.postingEnded(p, balance.NeverSent, balance.NoLoad) // too late, see balance.Post.By
 			return
 		}
-		x.boxGen = boxGen
-		s.write(x)
-	}, func() { s.ended(x, balance.NoConnect, balance.NoLoad) })
+		p.workerGen = workerGen
+		s.sendRequest(p)
+	}, func() { s.postingEnded(p, balance.NoConnect, balance.NoLoad) })
 }
 
-// dial makes a connection: up after a round trip, refused as soon, or never, which a time-out tells.
-func (s *proc) dial(b *box, lives func() bool, up func(boxGen int), failed func()) {
-	s.w.got.Fleet.Dials++
+// dial makes a connection to a worker. After a round trip it calls connected with the generation of the worker's
+// process, or failed if no process runs. It calls failed after a timeout if the worker's host does not answer.
+func (s *scheduler) dial(w *worker, wanted func() bool, connected func(workerGen int), failed func()) {
+	s.sim.result.Fleet.Dials++
 	ended := false
 	once := func(f func()) {
-		if !ended && lives() {
+		if !ended && wanted() {
 			ended = true
 			f()
 		}
 	}
-	s.w.after(float64(s.w.p.Schedulers.Dial), func() { once(failed) })
-	s.w.net.send(s.part(), b.part(), lives, func() {
-		if b.silent {
+	s.sim.after(float64(s.sim.plan.Schedulers.Dial), func() { once(failed) })
+	s.sim.net.send(s.part(), w.part(), wanted, func() {
+		if w.unresponsive {
 			return
 		}
-		open, gen := b.up, b.gen
-		s.w.net.send(b.part(), s.part(), lives, func() {
+		accepted, workerGen := w.up, w.generation
+		s.sim.net.send(w.part(), s.part(), wanted, func() {
 			once(func() {
-				if open {
-					up(gen)
+				if accepted {
+					connected(workerGen)
 				} else {
 					failed()
 				}
@@ -464,124 +490,127 @@
 	})
 }
 
-// write sends a posting's request.
-func (s *proc) write(x *sent) {
-	x.dialled = true
-	s.w.audit.Posted(s.w.now, s.name, x.t.ref, x.no, x.b.Name, x.b.Zone, x.b.Cell)
-	// Even if it is given up at once the request may still arrive, so that its worker works in vain.
-	s.w.net.send(s.part(), x.b.part(), always, func() { x.b.take(x) })
-}
-
-// probe asks a worker whether it answers.
-func (s *proc) probe(id string) {
-	b := s.w.disc.byName[id]
-	s.w.got.Fleet.Probes++
-	gen, told := s.gen, false
-	tell := func(how balance.Outcome, l balance.Load) {
-		if !told && s.gen == gen && s.alive {
-			told = true
-			s.d.Probed(s.clock(), id, how, l)
-			s.pull()
+// sendRequest sends the request of a posting, whose connection is up.
+func (s *scheduler) sendRequest(p *posting) {
+	p.requestSent = true
+	s.sim.auditor.Posted(s.sim.now, s.name, p.txn.ref, p.no, p.worker.Name, p.worker.Zone, p.worker.Cell)
+	// The request arrives even if the posting is abandoned meanwhile; the worker then works in vain.
+	s.sim.net.send(s.part(), p.worker.part(), always, func() { p.worker.receive(p) })
+}
+
+// probe checks whether a worker answers, on a new connection.
+func (s *scheduler) probe(workerID string) {
+	w := s.sim.discovery.byName[workerID]
+	s.sim.result.Fleet.Probes++
+	gen, reported := s.generation, false
+	report := func(outcome balance.Outcome, l balance.Load) {
+		if !reported && s.generation == gen && s.alive {
+			reported = true
+			s.decider.Probed(s.clock(), workerID, outcome, l)
+			s.runDecisions()
 		}
 	}
-	lives := func() bool { return !told && s.gen == gen }
-	s.dial(b, lives, func(boxGen int) {
-		s.w.after(2*float64(s.w.p.Schedulers.Dial), func() { tell(balance.TimedOut, balance.NoLoad) })
-		s.w.net.send(s.part(), b.part(), lives, func() {
-			how := balance.Done
-			if !b.up || b.gen != boxGen {
-				how = balance.Reset
+	wanted := func() bool { return !reported && s.generation == gen }
+	s.dial(w, wanted, func(workerGen int) {
+		s.sim.after(2*float64(s.sim.plan.Schedulers.Dial), func() { report(balance.TimedOut, balance.NoLoad) })
+		s.sim.net.send(s.part(), w.part(), wanted, func() {
+			outcome := balance.Done
+			if !w.up || w.generation != workerGen {
+				outcome = balance.Reset
 			}
-			if !b.silent && !b.m.Paused {
-				l := b.load()
-				s.w.net.send(b.part(), s.part(), lives, func() { tell(how, l) })
+			if !w.unresponsive && !w.model.Paused {
+				l := w.load()
+				s.sim.net.send(w.part(), s.part(), wanted, func() { report(outcome, l) })
 			}
 		})
-	}, func() { tell(balance.NoConnect, balance.NoLoad) })
+	}, func() { report(balance.NoConnect, balance.NoLoad) })
 }
 
-// drain begins a planned stop.
-func (s *proc) drain() {
+// beginStop begins a planned stop: open txns must end by stopBy, and the front stops sending clients after a moment.
+func (s *scheduler) beginStop() {
 	if !s.alive || s.stopping {
 		return
 	}
-	s.stopping, s.stopped = true, s.w.now
-	most := 0.0
-	for _, c := range s.w.p.Schemes {
-		most = max(most, float64(c.Expiry))
+	s.stopping, s.stopBegan = true, s.sim.now
+	longestExpiry := 0.0
+	for _, c := range s.sim.plan.Schemes {
+		longestExpiry = max(longestExpiry, float64(c.Expiry))
 	}
-	s.stopBy = s.w.now + max(min(most, float64(s.w.p.Schedulers.StopFor)), 700)
+	s.stopBy = s.sim.now + max(min(longestExpiry, float64(s.sim.plan.Schedulers.StopFor)), stopLeastMs)
 	for _, ref := range sortedRefs(s.txns) {
-		t := s.txns[ref]
-		t.until = min(t.until, s.stopBy)
-		s.expireAt(t)
-	}
-	s.d.Stops(s.clock() + s.stopBy - s.w.now)
-	gen := s.gen
-	s.w.after(200+200*load.Rand(s.w.seed, s.name+"front").Float64(), func() { s.listed = s.listed && s.gen != gen })
-	s.w.after(700, func() {
-		if s.gen == gen {
-			s.pull()
+		txn := s.txns[ref]
+		txn.until = min(txn.until, s.stopBy)
+		s.scheduleExpiry(txn)
+	}
+	s.decider.Stops(s.clock() + s.stopBy - s.sim.now)
+	gen := s.generation
+	s.sim.after(frontNoticeMs+frontNoticeMs*load.Rand(s.sim.seed, s.name+"front").Float64(), func() {
+		s.inService = s.inService && s.generation != gen
+	})
+	s.sim.after(stopLeastMs, func() {
+		if s.generation == gen {
+			s.runDecisions()
 		}
 	})
-	s.w.at(s.stopBy+300, func() {
-		if s.gen == gen && s.alive {
-			s.die(false)
+	s.sim.at(s.stopBy+stopOverrunMs, func() {
+		if s.generation == gen && s.alive {
+			s.endProcess(false)
 		}
 	})
-	s.pull()
+	s.runDecisions()
 }
 
-// settleStop ends a stop once all is answered.
-func (s *proc) settleStop() {
-	if !s.stopping || s.w.now < s.stopped+700 {
+// endStopIfDone ends the process of a planned stop when all txns are closed, after stopLeastMs at the earliest.
+func (s *scheduler) endStopIfDone() {
+	if !s.stopping || s.sim.now < s.stopBegan+stopLeastMs {
 		return
 	}
-	for _, t := range s.txns {
-		if !t.over {
+	for _, txn := range s.txns {
+		if !txn.closed {
 			return
 		}
 	}
-	s.die(false)
+	s.endProcess(false)
 }
 
-// die ends the process: clients' connections break, and workers see theirs closed.
-func (s *proc) die(killed bool) {
+// endProcess ends the process: the connections of its clients break, and workers see theirs closed.
+func (s *scheduler) endProcess(killed bool) {
 	if !s.alive {
 		return
 	}
 	s.alive = false
-	s.w.audit.Died(s.w.now, s.name, killed)
+	s.sim.auditor.Died(s.sim.now, s.name, killed)
 	for _, ref := range sortedRefs(s.txns) {
-		t := s.txns[ref]
-		c := t.call
-		if !t.over {
-			s.w.after(s.w.net.delay(), func() { s.w.answered(c, load.Broken, 0) })
+		txn := s.txns[ref]
+		attempt := txn.attempt
+		if !txn.closed {
+			s.sim.after(s.sim.net.delay(), func() { s.sim.endAttempt(attempt, load.Broken, 0) })
 		}
-		for _, x := range t.posts {
-			if !x.done && x.dialled {
-				s.unsend(x)
+		for _, p := range txn.postings {
+			if !p.ended && p.requestSent {
+				s.closePostingConn(p)
 			} else {
-				x.land()
+				p.arrive()
 			}
-			x.done = true
+			p.ended = true
 		}
 	}
-	s.gen++
+	s.generation++
 	s.txns = nil
-	gen := s.gen
-	s.w.after(float64(s.w.p.Clients.FrontLag), func() {
-		if s.gen == gen {
-			s.listed = false
+	gen := s.generation
+	s.sim.after(float64(s.sim.plan.Clients.FrontLag), func() {
+		if s.generation == gen {
+			s.inService = false
 		}
 	})
-	if s.again {
-		s.again = false
-		s.w.after(200, s.startAgain)
+	if s.restartWhenStopped {
+		s.restartWhenStopped = false
+		s.sim.after(stopRestartMs, s.startIfDead)
 	}
 }
 
-func sortedRefs(m map[string]*taken) []string {
+// sortedRefs returns the references of txns in order.
+func sortedRefs(m map[string]*openTxn) []string {
 	refs := make([]string, 0, len(m))
 	for ref := range m {
 		refs = append(refs, ref)
@@ -590,62 +619,65 @@
 	return refs
 }
 
-func (s *proc) act(a script.Act) {
+// applyFault begins or ends a fault of this scheduler.
+func (s *scheduler) applyFault(a script.Act) {
 	switch {
 	case a.Do == "kill" && a.Begin, a.Do == "clock" && a.Begin:
-		s.die(true)
+		s.endProcess(true)
 		if a.Do == "clock" {
-			s.skew += a.Factor
-			s.w.after(500, s.startAgain)
+			s.clockSkew += a.Factor
+			s.sim.after(clockRestartMs, s.startIfDead)
 		}
 	case a.Do == "clock":
-		s.skew -= a.Factor
-		s.die(true)
-		s.w.after(500, s.startAgain)
+		s.clockSkew -= a.Factor
+		s.endProcess(true)
+		s.sim.after(clockRestartMs, s.startIfDead)
 	case a.Do == "mute" && a.Begin:
-		if s.line != nil && s.line.on {
-			s.w.disc.mute(s.line)
+		if s.conn != nil && s.conn.watching {
+			s.sim.discovery.silence(s.conn)
 		}
 	case a.Do == "unwatch" && a.Begin:
-		if s.line != nil {
-			s.line.reset = s.line.on
-			s.w.disc.refuse(s.line, watch.TurnedAway)
+		if s.conn != nil {
+			s.conn.reset = s.conn.watching
+			s.sim.discovery.endConnection(s.conn, watch.TurnedAway)
 		}
 	case a.Do == "move" && a.Begin:
-		s.w.disc.move(s)
+		s.sim.discovery.changeAddress(s)
 	case a.Do == "kill":
-		s.startAgain()
+		s.startIfDead()
 	case a.Do == "stop" && a.Begin:
-		s.drain()
+		s.beginStop()
 	case a.Do == "stop":
-		if s.again = s.alive && s.stopping; !s.again { // one that has not ended yet starts anew when it has
-			s.startAgain()
+		// A scheduler whose stop has not ended yet starts again when it has.
+		if s.restartWhenStopped = s.alive && s.stopping; !s.restartWhenStopped {
+			s.startIfDead()
 		}
 	}
 }
 
-func (s *proc) startAgain() {
+// startIfDead starts a process unless one runs.
+func (s *scheduler) startIfDead() {
 	if !s.alive {
-		s.start()
+		s.startProcess()
 	}
 }
 
-// resetAll breaks a part of the connections to a worker that carry something.
-func (w *world) resetAll(b *box, a script.Act) {
+// resetConnections resets a random share of the connections to a worker that carry a posting, and all idle ones.
+func (sim *simulation) resetConnections(w *worker, a script.Act) {
 	r := load.Rand(a.Seed, "reset")
-	for _, s := range w.procs {
+	for _, s := range sim.schedulers {
 		for _, ref := range sortedRefs(s.txns) {
-			t := s.txns[ref]
-			if t == nil {
+			txn := s.txns[ref]
+			if txn == nil {
 				continue
 			}
-			for _, x := range slices.Clone(t.posts) {
-				if x.b == b && !x.done && x.dialled && r.Float64() < a.Factor {
-					s.unsend(x)
-					s.ended(x, balance.Reset, balance.NoLoad)
+			for _, p := range slices.Clone(txn.postings) {
+				if p.worker == w && !p.ended && p.requestSent && r.Float64() < a.Factor {
+					s.closePostingConn(p)
+					s.postingEnded(p, balance.Reset, balance.NoLoad)
 				}
 			}
 		}
-		delete(s.conns, b.no)
+		delete(s.idleConns, w.no)
 	}
 }
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -14,7 +14,8 @@
 	"shalebeam/lab/tally"
 )
 
-func play(t testing.TB, p *plan.Plan, seed uint64, name string) *tally.Result {
+// playPlan simulates one plan and returns its result with a row for each second.
+func playPlan(t testing.TB, p *plan.Plan, seed uint64, name string) *tally.Result {
 	t.Helper()
 	r, err := Play(context.Background(), p, seed, name, Options{Seconds: true})
 	if err != nil {
@@ -23,68 +24,73 @@
 	return r
 }
 
-// days plays rough days side by side and returns their results in order.
-func days(t testing.TB, made func(uint64) *plan.Plan, from, n int, policy string) []*tally.Result {
-	got := make([]*tally.Result, n)
+// playPlans simulates the plans that makePlan draws from count seeds, several at once, and returns their results in
+// order of the seeds.
+func playPlans(t testing.TB, makePlan func(uint64) *plan.Plan, from, count int, policy string) []*tally.Result {
+	results := make([]*tally.Result, count)
 	var wg sync.WaitGroup
 	next := make(chan int)
 	for range runtime.NumCPU() {
 		wg.Go(func() {
 			for i := range next {
-				p := made(uint64(from + i))
+				p := makePlan(uint64(from + i))
 				if err := p.Check(); err != nil {
-					t.Errorf("day %d: %v", from+i, err)
+					t.Errorf("plan of seed %d: %v", from+i, err)
 					continue
 				}
-				got[i] = play(t, p, p.Seed, policy)
+				results[i] = playPlan(t, p, p.Seed, policy)
 			}
 		})
 	}
-	for i := range n {
+	for i := range count {
 		next <- i
 	}
 	close(next)
 	wg.Wait()
-	return got
+	return results
 }
 
-// Discovery ends the watches of most of 150 schedulers with a status, and is then crowded by all that call at once: what it
-// turns away late is no sign that it is down, and a drain that it tells to others meanwhile counts as told after 6 s. (Known
-// red: docs/design/told.md. Not taken for a sign, herd+mass falls from 0.787 to 0.694, as a discovery that is down does the same.)
+// Discovery ends the watches of most of 150 schedulers with a status, and all of them call it again at once. The calls
+// that it then turns away late do not show that it is down, and a drain that it reports to other schedulers meanwhile
+// counts as told after 6 s. This test is known to fail, see docs/design/told.md: if such refusals are not taken as a sign
+// of an outage, G of the experiment herd+mass falls from 0.787 to 0.694, since a discovery that is down shows the same.
 func TestACrowdAfterEndedWatchesIsNotAnOutage(t *testing.T) {
-	for _, r := range days(t, plan.Told, 242, 1, "adus") {
+	for _, r := range playPlans(t, plan.Told, 242, 1, "adus") {
 		for _, b := range r.Breaks {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
 	}
 }
 
-// A cold worker is not pushed over on a day whose hints vary by a factor of e^0.5. (It was, with 3,106 ms of work where 3,061 are allowed:
-// capacity was taken from a high quantile of runs, which those hints make that overstate their work.)
-func TestNoColdWorkerFallsOnRoughDay874(t *testing.T) {
-	for _, r := range days(t, plan.Rough, 874, 1, "adus") {
+// No cold worker is overloaded where hints are off by a factor of e^0.5 (a lognormal error of sigma 0.5). One was, with
+// 3,106 ms of work where 3,061 ms are allowed, when capacity was estimated from a high quantile of runs: such hints put
+// the runs whose work they overstate there.
+func TestNoColdWorkerIsOverloadedInRoughPlan874(t *testing.T) {
+	for _, r := range playPlans(t, plan.Rough, 874, 1, "adus") {
 		for _, b := range r.Breaks {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
 	}
 }
 
-// The clean module breaks no rule on rough days; beamlab soak plays more of them.
-func TestRoughDaysAreClean(t *testing.T) {
+// Package balance without a planted bug breaks no rule under random faults, also with operations by staff. beamlab soak
+// plays more such plans.
+func TestRoughPlansBreakNoRule(t *testing.T) {
 	txns := 0
-	for _, r := range append(days(t, plan.Rough, 1, 60, "adus"), days(t, plan.Operated, 1, 30, "adus")...) {
+	for _, r := range append(playPlans(t, plan.Rough, 1, 60, "adus"), playPlans(t, plan.Operated, 1, 30, "adus")...) {
 		for _, b := range r.Breaks {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
 		txns += r.Offered
 	}
 	if txns < 10000 {
-		t.Errorf("only %d txns", txns)
+		t.Errorf("%d txns, want at least 10000", txns)
 	}
 }
 
-// Each planted bug is named by the auditor, as what it is, on some of a few rough days.
-func TestPlantedBugsAreNamed(t *testing.T) {
+// The auditor reports each planted bug as a break of the bug's rule, with the history of the txn, in at least one of
+// 20 random plans.
+func TestAuditorReportsPlantedBugs(t *testing.T) {
 	for _, b := range policy.Bugs {
 		t.Run(b.Name, func(t *testing.T) {
 			found := 0
@@ -95,7 +101,7 @@
 			case "late-notice", "asks-late", "skips-last-check", "forgets-removals":
 				made = plan.Told
 			}
-			for _, r := range days(t, made, 1, 20, "adus:"+b.Name) {
+			for _, r := range playPlans(t, made, 1, 20, "adus:"+b.Name) {
 				if found += r.Counts[b.Rule]; r.Counts[b.Rule] > 0 && b.Rule != "flooded" && b.Name != "posts-after" {
 					for _, x := range r.Breaks {
 						if x.Rule == b.Rule && len(x.History) == 0 {
@@ -105,18 +111,19 @@
 				}
 			}
 			if found == 0 {
-				t.Error("not found")
+				t.Errorf("no break of rule %q reported", b.Rule)
 			}
 		})
 	}
 }
 
+// Two runs of a plan with the same seed give the same result to the byte.
 func TestSameSeedSameBytes(t *testing.T) {
 	for seed := range uint64(6) {
 		p := plan.Rough(seed)
 		var got [2][]byte
 		for i := range got {
-			raw, err := json.Marshal(play(t, p, seed, "adus"))
+			raw, err := json.Marshal(playPlan(t, p, seed, "adus"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -128,11 +135,11 @@
 	}
 }
 
-// Every policy is given the same work by a seed, whatever it does with it.
-func TestPoliciesMeetTheSameJobs(t *testing.T) {
+// All policies get the same jobs from the same seed, whatever they decide.
+func TestPoliciesGetTheSameJobs(t *testing.T) {
 	want := ""
 	for _, name := range policy.Names() {
-		r := play(t, plan.Rough(3), 3, name)
+		r := playPlan(t, plan.Rough(3), 3, name)
 		got := ""
 		for _, c := range r.Schemes {
 			got += fmt.Sprint(c.Offered, " ")
@@ -141,14 +148,15 @@
 			want = got
 		}
 		if got != want {
-			t.Errorf("%s was given %s, not %s", name, got, want)
+			t.Errorf("policy %s got %s jobs by scheme, the first policy got %s", name, got, want)
 		}
 	}
 }
 
-// What schedulers tell each other of failures grows no faster than the fleet where it has a price: told by all to all, a
-// fleet three times as large heard nine times as much. Traffic and workers grow with the schedulers.
-func TestNewsGrowsNoFasterThanTheFleet(t *testing.T) {
+// Where messages between schedulers have a price, those about failures that a fleet receives grow no faster than the
+// fleet. When all schedulers sent to all others, a fleet three times as large received nine times as many. Traffic and
+// workers grow with the number of schedulers here.
+func TestPeerMessagesGrowNoFasterThanTheFleet(t *testing.T) {
 	heard := map[int]float64{}
 	for _, n := range []int{10, 100, 300} {
 		raw, err := os.ReadFile("../../experiments/news.toml")
@@ -164,21 +172,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := play(t, p, 1, "adus")
+		r := playPlan(t, p, 1, "adus")
 		heard[n] = float64(r.Fleet.Heard) / (float64(p.Length) / 1000)
 		if cost := 0.1 * float64(r.Fleet.Bytes) / 256 / float64(r.Offered); cost > 0.01 {
-			t.Errorf("%d schedulers: news costs %.4f of all worth", n, cost)
+			t.Errorf("%d schedulers: messages cost %.4f of the gain offered, want at most 0.01", n, cost)
 		}
 	}
-	if told := func(n int) float64 { return heard[n] / float64(n-1) }; told(10) == 0 || told(100) > 12*told(10) ||
-		told(300) > 36*told(10) || heard[300] > 3*heard[100] {
-		t.Errorf("messages that came a second, by schedulers: %v", heard)
+	if perPeer := func(n int) float64 { return heard[n] / float64(n-1) }; perPeer(10) == 0 ||
+		perPeer(100) > 12*perPeer(10) || perPeer(300) > 36*perPeer(10) || heard[300] > 3*heard[100] {
+		t.Errorf("messages received a second, by number of schedulers: %v", heard)
 	}
 }
 
-// Drains are kept however late their news comes; beamlab soak --told plays more of these days.
-func TestDrainsAreKeptHoweverTheyAreTold(t *testing.T) {
-	for _, r := range days(t, plan.Told, 1, 60, "adus") {
+// No scheduler posts to a draining worker after the change counts as told, even if discovery reports it late or never.
+// beamlab soak --told plays more such plans.
+func TestDrainsAreKeptHoweverDiscoveryReportsThem(t *testing.T) {
+	for _, r := range playPlans(t, plan.Told, 1, 60, "adus") {
 		for _, b := range r.Breaks {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
--- a/lab/sim/world.go
+++ b/lab/sim/world.go
@@ -1,7 +1,7 @@
-// Package sim plays an experiment in simulated time, in one process: it drives the decision module as the
-// other hosts do, one instance a scheduler with nothing shared, amid workers, clients, discovery and a network
-// that are all models. One queue of events in order of time, and of making where times are the same, makes
-// a run the same to the byte for the same plan, seed and policy.
+// Package sim plays an experiment as a discrete-event simulation in one process. It drives package balance as the other
+// hosts do, with one instance per scheduler and nothing shared between them; workers, clients, discovery and the network
+// are models. All events stand in one queue, ordered by time and then by when they were scheduled, so that the same
+// plan, seed and policy give the same result to the byte. All times are milliseconds.
 package sim
 
 import (
@@ -22,34 +22,37 @@
 	"shalebeam/lab/tally"
 )
 
-// epoch is the simulated clock's time at the start, so that a start at 0 can mean long ago.
-const epoch = 1e9
+// epochMs is what the clocks of workers and schedulers show at the start of a run. It is far above 0 because a worker
+// whose last start is at 0 counts as started long ago.
+const epochMs = 1e9
 
-// What the rules allow beyond the expiry, and for an answer that nothing is left to wait for.
+// How late a final answer may be without breaking a rule.
 const (
-	answerIn = 50.0
-	givenUp  = 50.0
+	answerGraceMs = 50.0 // after the txn's expiry
+	giveUpGraceMs = 50.0 // after the moment from which nothing was left to do for the txn
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a time.
 type event struct {
 	at  float64
-	seq uint64
-	do  func()
+	seq uint64 // order of scheduling, for events at the same time
+	run func()
 }
 
-// queue is a heap of events, four to a node: events are many and short.
-type queue struct {
+// eventQueue is a priority queue of events: a heap with four children per node, which is faster than a binary one for
+// many small entries.
+type eventQueue struct {
 	heap []event
 	seq  uint64
 }
 
-func (q *queue) less(i, j int) bool {
+func (q *eventQueue) less(i, j int) bool {
 	a, b := &q.heap[i], &q.heap[j]
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 
-func (q *queue) push(at float64, do func()) {
+// push schedules do at a time.
+func (q *eventQueue) push(at float64, do func()) {
 	q.seq++
 	q.heap = append(q.heap, event{at, q.seq, do})
 	for i := len(q.heap) - 1; i > 0; {
@@ -62,7 +65,8 @@
 	}
 }
 
-func (q *queue) pop() event {
+// pop removes and returns the earliest event. The queue must not be empty.
+func (q *eventQueue) pop() event {
 	top := q.heap[0]
 	end := len(q.heap) - 1
 	q.heap[0] = q.heap[end]
@@ -83,188 +87,197 @@
 	}
 }
 
-// world is one run.
-type world struct {
-	p      *plan.Plan
-	seed   uint64
-	policy string
-	now    float64 // from 0; what schedulers and workers are told is epoch later
-	events queue
-	net    network
-	boxes  []*box
-	procs  []*proc
-	disc   discovery
-	stream *load.Stream
-	open   map[int]*call          // the present try of each job that has one, by job
-	whose  map[*machine.Job]*sent // the posting that each worker's job is
-	jobs   int                    // not over
-	more   bool                   // more jobs will come
-	audit  *audit.Auditor
-	got    *tally.Result
-	back   func(done float64)
-	digest *xxhash.Digest      // of all decisions
-	rows   []balance.SchemeRow // all schemes and their twins
-	phase  plan.Phase          // of a retune
-	twins  bool                // clients use the schemes' twins
-	out    map[string]int      // workers that staff took out, how many times
-	err    error
+// simulation is the state of one run.
+type simulation struct {
+	plan       *plan.Plan
+	seed       uint64
+	policy     string
+	now        float64 // since the start of the run; the clocks of workers and schedulers are epochMs ahead
+	events     eventQueue
+	net        network
+	workers    []*worker
+	schedulers []*scheduler
+	discovery  discovery
+	stream     *load.Stream
+	attempts   map[int]*attempt          // attempts under way, by job number
+	postings   map[*machine.Job]*posting // the posting behind each job that a worker has
+	openJobs   int                       // jobs that have arrived and have no outcome yet
+	moreJobs   bool                      // the stream has further jobs
+	auditor    *audit.Auditor
+	result     *tally.Result
+	progress   func(done float64)
+	digest     *xxhash.Digest      // of all decisions
+	rows       []balance.SchemeRow // all schemes, followed by their twins (see plan.Plan.Rows)
+	phase      plan.Phase          // which schemes the schedulers have now
+	useTwins   bool                // clients send to the schemes' twins
+	withdrawn  map[string]int      // by worker: maintenance periods that are on, during which staff took it out
+	err        error               // ends the run
 }
 
-// Options are what a run may be asked for beyond its result.
+// Options select what a run records or reports beside its result.
 type Options struct {
-	Keep     string             // the txn whose history is kept
-	Progress func(done float64) // told now and then what part is played, from 0 to 1
-	Seconds  bool               // a row for each second
+	Keep     string             // reference of a txn whose history goes into the result
+	Progress func(done float64) // called from time to time with the share of the plan's length played so far
+	Seconds  bool               // the result has a row for each second
 }
 
-// Play plays a plan with a seed and a policy. When ctx is done it stops early, and the result says so.
+// Play simulates a plan with a seed under the policy of a name (see policy.New). If ctx is cancelled it stops early, and
+// marks the result as partial.
 func Play(ctx context.Context, p *plan.Plan, seed uint64, name string, opt Options) (*tally.Result, error) {
-	w := &world{p: p, seed: seed, policy: name, open: map[int]*call{}, whose: map[*machine.Job]*sent{}, more: true, back: opt.Progress,
-		digest: xxhash.New(), rows: p.Rows(), out: map[string]int{},
-		got: tally.New(p, name, "simulated", seed), stream: load.NewStream(p, seed)}
-	w.got.Fleet = &tally.Fleet{}
-	terms := audit.Terms{Copies: p.Schedulers.Copies, MaxPosts: p.Schedulers.MaxPosts, AnswerIn: answerIn,
-		Grace: float64(p.Discovery.Grace), MustAsk: mustAsk(p), GivenUp: givenUp, Keep: opt.Keep}
-	terms.Schemes = w.rows
-	w.audit = audit.New(terms)
-	w.net.init(w)
-	w.build()
-	if w.err != nil {
-		return nil, w.err
+	sim := &simulation{plan: p, seed: seed, policy: name, attempts: map[int]*attempt{},
+		postings: map[*machine.Job]*posting{}, moreJobs: true, progress: opt.Progress,
+		digest: xxhash.New(), rows: p.Rows(), withdrawn: map[string]int{},
+		result: tally.New(p, name, "simulated", seed), stream: load.NewStream(p, seed)}
+	sim.result.Fleet = &tally.Fleet{}
+	terms := audit.Terms{Copies: p.Schedulers.Copies, MaxPosts: p.Schedulers.MaxPosts, AnswerIn: answerGraceMs,
+		Grace: float64(p.Discovery.Grace), MustAsk: mustAskMs(p), GivenUp: giveUpGraceMs, Keep: opt.Keep}
+	terms.Schemes = sim.rows
+	sim.auditor = audit.New(terms)
+	sim.net.init(sim)
+	sim.build()
+	if sim.err != nil {
+		return nil, sim.err
 	}
-	w.run(ctx)
-	w.audit.Close(w.now)
-	w.finish()
+	sim.run(ctx)
+	sim.auditor.Close(sim.now)
+	sim.finish()
 	if !opt.Seconds {
-		w.got.Seconds = nil
+		sim.result.Seconds = nil
 	}
-	return w.got, w.err
+	return sim.result, sim.err
 }
 
-// mustAsk is the time for asking, 0 where lists are pushed.
-func mustAsk(p *plan.Plan) float64 {
+// mustAskMs returns after how long a change of the list counts as told to a scheduler that does not ask for the list; 0
+// where discovery pushes it.
+func mustAskMs(p *plan.Plan) float64 {
 	if p.Discovery.Mode == "push" {
 		return 0
 	}
 	return float64(p.Discovery.MustAsk)
 }
 
-// after has something happen later.
-func (w *world) after(wait float64, do func()) { w.events.push(w.now+max(wait, 0), do) }
+// after schedules do after a delay in milliseconds, at once where that is below 0.
+func (sim *simulation) after(wait float64, do func()) { sim.events.push(sim.now+max(wait, 0), do) }
 
-func (w *world) at(at float64, do func()) { w.events.push(max(at, w.now), do) }
+// at schedules do at a time since the start of the run, at once where that has passed.
+func (sim *simulation) at(at float64, do func()) { sim.events.push(max(at, sim.now), do) }
 
-// build makes all parts, their faults to come, and the first job.
-func (w *world) build() {
-	p := w.p
-	marks, saves := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
+// build makes workers, discovery and schedulers, and schedules the faults and the first job.
+func (sim *simulation) build() {
+	p := sim.plan
+	idempotencyKeys, checkpoints := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
 	meanWork := p.MeanWork()
 	for i, b := range p.Boxes() {
-		x := &box{w: w, no: i, Box: b, m: machine.New(p.Spec(b.Group, meanWork)), up: p.Workers[b.Group].Joins == 0,
-			rand: load.Rand(w.seed, "worker"+b.Name)}
-		if saves[b.Cell] == nil {
-			saves[b.Cell] = machine.NewShelf()
+		w := &worker{sim: sim, no: i, Box: b, model: machine.New(p.Spec(b.Group, meanWork)),
+			up: p.Workers[b.Group].Joins == 0, rand: load.Rand(sim.seed, "worker"+b.Name)}
+		if checkpoints[b.Cell] == nil {
+			checkpoints[b.Cell] = machine.NewShelf()
 		}
-		x.m.Saves = saves[b.Cell]
-		x.marks = map[balance.Group]*machine.Shelf{}
-		for g, key := range map[balance.Group]string{balance.GroupAll: "all",
+		w.model.Saves = checkpoints[b.Cell]
+		w.idempotencyKeys = map[balance.Group]*machine.Shelf{}
+		for group, key := range map[balance.Group]string{balance.GroupAll: "all",
 			balance.GroupZone: fmt.Sprint("zone", b.Zone), balance.GroupCell: fmt.Sprint("cell", b.Cell)} {
-			if marks[key] == nil {
-				marks[key] = machine.NewShelf()
+			if idempotencyKeys[key] == nil {
+				idempotencyKeys[key] = machine.NewShelf()
 			}
-			x.marks[g] = marks[key]
+			w.idempotencyKeys[group] = idempotencyKeys[key]
 		}
-		x.m.Change(epoch, func() {})
-		w.boxes = append(w.boxes, x)
+		w.model.Change(epochMs, func() {})
+		sim.workers = append(sim.workers, w)
 	}
-	w.disc.init(w)
+	sim.discovery.init(sim)
 	for i := range p.Schedulers.Count {
-		w.procs = append(w.procs, &proc{w: w, no: i, name: fmt.Sprint("s", i), zone: i % len(p.Schedulers.Zones),
-			known: w.disc.seq})
+		sim.schedulers = append(sim.schedulers, &scheduler{sim: sim, no: i, name: fmt.Sprint("s", i),
+			zone: i % len(p.Schedulers.Zones), listVersion: sim.discovery.version})
 	}
-	for _, s := range w.procs {
-		s.start()
+	for _, s := range sim.schedulers {
+		s.startProcess()
 	}
-	for _, a := range script.Play(p, w.seed) {
-		w.at(a.At, func() { w.act(a) })
+	for _, a := range script.Play(p, sim.seed) {
+		sim.at(a.At, func() { sim.applyFault(a) })
 	}
-	w.nextJob()
-	w.look()
+	sim.scheduleNextJob()
+	sim.sampleEachSecond()
 }
 
-// look notes the state of the whole once a second.
-func (w *world) look() {
+// sampleEachSecond records the number of open jobs and the fleet's capacity, now and once a second from then on.
+func (sim *simulation) sampleEachSecond() {
 	capacity := 0.0
-	for _, b := range w.boxes {
-		if b.up {
-			capacity += b.m.Capacity(epoch+w.now) * b.m.Speed * b.m.Slow
+	for _, w := range sim.workers {
+		if w.up {
+			capacity += w.model.Capacity(epochMs+sim.now) * w.model.Speed * w.model.Slow
 		}
 	}
-	w.got.Look(w.now, w.jobs, capacity)
-	w.after(1000, w.look)
+	sim.result.Look(sim.now, sim.openJobs, capacity)
+	sim.after(1000, sim.sampleEachSecond)
 }
 
-func (w *world) run(ctx context.Context) {
+// run plays events until 1 s after the last job has its outcome.
+func (sim *simulation) run(ctx context.Context) {
 	end := math.Inf(1)
-	for steps := 0; len(w.events.heap) > 0 && w.err == nil; steps++ {
+	for steps := 0; len(sim.events.heap) > 0 && sim.err == nil; steps++ {
 		if steps%1024 == 0 {
 			if ctx.Err() != nil {
-				w.got.Partial = true
+				sim.result.Partial = true
 				break
 			}
-			if w.back != nil {
-				w.back(min(w.now/float64(w.p.Length), 1))
+			if sim.progress != nil {
+				sim.progress(min(sim.now/float64(sim.plan.Length), 1))
 			}
 		}
-		e := w.events.pop()
+		e := sim.events.pop()
 		if e.at > end {
-			w.now = end
+			sim.now = end
 			break
 		}
-		w.now = e.at
-		e.do()
-		w.got.Steps++
-		if !w.more && w.jobs == 0 && math.IsInf(end, 1) {
-			end = w.now + 1000 // what is wrong may still show, such as a second answer
+		sim.now = e.at
+		e.run()
+		sim.result.Steps++
+		if !sim.moreJobs && sim.openJobs == 0 && math.IsInf(end, 1) {
+			end = sim.now + 1000 // some rules may still be broken, as by a second answer
 		}
 	}
 }
 
-func (w *world) finish() {
-	done, could := 0.0, 0.0
-	for _, b := range w.boxes {
-		b.m.Advance(epoch + w.now)
-		done += b.m.Busy() / b.m.Speed
-		could += min(b.m.Cores, float64(b.m.Slots)) * w.now
-		w.got.Wasted += b.wasted / b.m.Speed
+// finish completes the result: shares of busy and wasted time, the digest and the auditor's findings.
+func (sim *simulation) finish() {
+	workDone, capacity := 0.0, 0.0
+	for _, w := range sim.workers {
+		w.model.Advance(epochMs + sim.now)
+		workDone += w.model.Busy() / w.model.Speed
+		capacity += min(w.model.Cores, float64(w.model.Slots)) * sim.now
+		sim.result.Wasted += w.wastedWork / w.model.Speed
 	}
-	if done > 0 {
-		w.got.Wasted = math.Round(w.got.Wasted/done*1e4) / 1e4
+	if workDone > 0 {
+		sim.result.Wasted = math.Round(sim.result.Wasted/workDone*1e4) / 1e4
 	}
-	w.got.Busy = math.Round(done/max(could, 1)*1e4) / 1e4
-	w.got.Decisions = fmt.Sprintf("%016x", w.digest.Sum64())
-	w.got.Close(w.audit, w.now)
+	sim.result.Busy = math.Round(workDone/max(capacity, 1)*1e4) / 1e4
+	sim.result.Decisions = fmt.Sprintf("%016x", sim.digest.Sum64())
+	sim.result.Close(sim.auditor, sim.now)
 }
 
-// network is what each message meets.
+// network models delay, loss and partitions.
 type network struct {
-	w     *world
-	r     *rand.Rand
-	cuts  []*script.Cut
-	more  float64 // a fault's further delay
-	lossy float64
+	sim        *simulation
+	rand       *rand.Rand
+	cuts       []*script.Cut // partitions that are on
+	extraDelay float64       // delay that faults add, in milliseconds
+	extraLoss  float64       // loss that faults add, as a probability
 }
 
-func (n *network) init(w *world) { n.w, n.r = w, load.Rand(w.seed, "network") }
+func (n *network) init(sim *simulation) { n.sim, n.rand = sim, load.Rand(sim.seed, "network") }
 
+// delay draws the one-way delay of a message.
 func (n *network) delay() float64 {
-	p := &n.w.p.Network
-	return float64(p.Delay) + n.more + float64(p.Jitter)*n.r.Float64()
+	p := &n.sim.plan.Network
+	return float64(p.Delay) + n.extraDelay + float64(p.Jitter)*n.rand.Float64()
 }
 
-func (n *network) loss() float64 { return 1 - (1-n.w.p.Network.Loss)*(1-n.lossy) }
+// lossRate returns the probability that a message is lost.
+func (n *network) lossRate() float64 { return 1 - (1-n.sim.plan.Network.Loss)*(1-n.extraLoss) }
 
-func (n *network) cut(a, b script.Part) bool {
+// isCut reports whether a partition separates two parts.
+func (n *network) isCut(a, b script.Part) bool {
 	for _, c := range n.cuts {
 		if c.Between(a, b) {
 			return true
@@ -273,127 +286,131 @@
 	return false
 }
 
-// send brings something from one part to another on a connection: what is lost comes a resend later, and what
-// is cut off comes once the link is whole again, if the connection is still of interest then.
-func (n *network) send(a, b script.Part, lives func() bool, do func()) {
-	wait := n.delay()
-	for n.r.Float64() < n.loss() {
-		wait += float64(n.w.p.Network.Resend)
+// send calls deliver when a message on a connection reaches the other part. Each loss delays it by a resend. While a
+// partition separates the two, it is sent again until the partition ends. It is dropped if wanted returns false when it
+// would arrive, as when its connection has been closed.
+func (n *network) send(from, to script.Part, wanted func() bool, deliver func()) {
+	delay := n.delay()
+	for n.rand.Float64() < n.lossRate() {
+		delay += float64(n.sim.plan.Network.Resend)
 	}
-	n.w.after(wait, func() {
-		if !lives() {
+	n.sim.after(delay, func() {
+		if !wanted() {
 			return
 		}
-		if n.cut(a, b) {
-			n.w.after(float64(n.w.p.Network.Resend), func() { n.send(a, b, lives, do) })
+		if n.isCut(from, to) {
+			n.sim.after(float64(n.sim.plan.Network.Resend), func() { n.send(from, to, wanted, deliver) })
 			return
 		}
-		do()
+		deliver()
 	})
 }
 
+// always is the condition of messages that are delivered in any case.
 func always() bool { return true }
 
-// act carries out a fault.
-func (w *world) act(a script.Act) {
+// applyFault begins or ends a fault.
+func (sim *simulation) applyFault(a script.Act) {
 	switch a.Kind {
 	case "workers":
-		w.boxes[a.Part].act(a)
+		sim.workers[a.Part].applyFault(a)
 	case "schedulers":
-		w.procs[a.Part].act(a)
+		sim.schedulers[a.Part].applyFault(a)
 	case "discovery":
-		w.disc.act(a)
+		sim.discovery.applyFault(a)
 	case "network":
 		switch {
 		case a.Cut != nil && a.Begin:
-			w.net.cuts = append(w.net.cuts, a.Cut)
-			w.disc.cutOff()
+			sim.net.cuts = append(sim.net.cuts, a.Cut)
+			sim.discovery.silenceCutWatches()
 		case a.Cut != nil:
-			for i, c := range w.net.cuts {
+			for i, c := range sim.net.cuts {
 				if c == a.Cut {
-					w.net.cuts = append(w.net.cuts[:i:i], w.net.cuts[i+1:]...)
+					sim.net.cuts = append(sim.net.cuts[:i:i], sim.net.cuts[i+1:]...)
 					break
 				}
 			}
 		case a.Do == "delay":
-			w.net.more += sign(a) * a.Factor
+			sim.net.extraDelay += signOf(a) * a.Factor
 		case a.Do == "lossy":
-			w.net.lossy = max(0, w.net.lossy+sign(a)*a.Factor)
+			sim.net.extraLoss = max(0, sim.net.extraLoss+signOf(a)*a.Factor)
 		}
 	case "settings":
 		if a.Do == "twins" {
-			w.twins = a.Begin
+			sim.useTwins = a.Begin
 		} else {
-			w.enter(plan.Phase(a.Part))
+			sim.enterPhase(plan.Phase(a.Part))
 		}
 	case "clients":
 		if a.Do == "cancel" && a.Begin {
-			w.massCancel(a)
+			sim.massCancel(a)
 		}
 	}
 }
 
-// enter has all schedulers take the settings of a phase.
-func (w *world) enter(phase plan.Phase) {
-	w.phase = phase
-	for _, s := range w.procs {
+// enterPhase applies the settings of a phase to all schedulers.
+func (sim *simulation) enterPhase(phase plan.Phase) {
+	sim.phase = phase
+	for _, s := range sim.schedulers {
 		if s.alive {
-			s.d.Retune(w.p.TermsIn(s.no, s.seed, phase))
-			s.pull()
+			s.decider.Retune(sim.plan.TermsIn(s.no, s.seed, phase))
+			s.runDecisions()
 		}
 	}
 }
 
-// maintain has staff take a worker out everywhere, or put it back; it restarts meanwhile.
-func (w *world) maintain(b *box, a script.Act) {
+// maintain begins or ends maintenance of a worker: staff take it out at all schedulers, it restarts a moment later, and at
+// the end they put it back.
+func (sim *simulation) maintain(w *worker, a script.Act) {
 	if a.Begin {
-		gen := b.gen
-		w.after(100, func() {
-			if b.gen == gen && b.up {
-				b.die(false)
-				b.restart()
+		gen := w.generation
+		sim.after(maintenanceRestartMs, func() {
+			if w.generation == gen && w.up {
+				w.endProcess(false)
+				w.restart()
 			}
 		})
 	}
-	w.out[b.Name] = max(w.out[b.Name]+int(sign(a)), 0)
-	if w.out[b.Name] == 1 && a.Begin || w.out[b.Name] == 0 {
-		for _, s := range w.procs {
-			w.audit.Staffed(w.now, s.name, b.Name, a.Begin)
+	sim.withdrawn[w.Name] = max(sim.withdrawn[w.Name]+int(signOf(a)), 0)
+	if sim.withdrawn[w.Name] == 1 && a.Begin || sim.withdrawn[w.Name] == 0 {
+		for _, s := range sim.schedulers {
+			sim.auditor.Staffed(sim.now, s.name, w.Name, a.Begin)
 			if s.alive {
-				s.staff(b.Name, a.Begin)
-				s.pull()
+				s.applyWithdrawal(w.Name, a.Begin)
+				s.runDecisions()
 			}
 		}
 	}
 }
 
-func sign(a script.Act) float64 {
+// signOf returns 1 at the beginning of a fault and -1 at its end.
+func signOf(a script.Act) float64 {
 	if a.Begin {
 		return 1
 	}
 	return -1
 }
 
-// decider makes what decides for a scheduler's start.
-func (w *world) decider(me int, start int) policy.Decider {
-	seed := load.Rand(w.seed, fmt.Sprint("scheduler", me, "start", start)).Uint64()
-	w.procs[me].seed = seed
-	d, err := policy.New(w.policy, w.p.TermsIn(me, seed, w.phase), w.truth())
+// newDecider makes the decider of a scheduler's process, with a seed of its own for each start.
+func (sim *simulation) newDecider(schedulerNo int, start int) policy.Decider {
+	seed := load.Rand(sim.seed, fmt.Sprint("scheduler", schedulerNo, "start", start)).Uint64()
+	sim.schedulers[schedulerNo].seed = seed
+	d, err := policy.New(sim.policy, sim.plan.TermsIn(schedulerNo, seed, sim.phase), sim.workerLoad())
 	if err != nil {
-		w.err = err
+		sim.err = err
 	}
 	return d
 }
 
-// truth shows workers as they are to the baseline that sees all.
-func (w *world) truth() policy.WorkerLoad {
-	return func(id string) (ahead, pace float64) {
-		b := w.disc.byName[id]
-		if b == nil || !b.up || b.m.Draining {
+// workerLoad gives the baseline sees-all access to the true state of workers.
+func (sim *simulation) workerLoad() policy.WorkerLoad {
+	return func(id string) (work, pace float64) {
+		w := sim.discovery.byName[id]
+		if w == nil || !w.up || w.model.Draining {
 			return 0, 0
 		}
-		b.m.Advance(epoch + w.now)
-		pace = min(b.m.Capacity(epoch+w.now), float64(b.m.Slots)) * b.m.Speed * b.m.Slow
-		return b.m.RemainingWork() + b.coming, pace
+		w.model.Advance(epochMs + sim.now)
+		pace = min(w.model.Capacity(epochMs+sim.now), float64(w.model.Slots)) * w.model.Speed * w.model.Slow
+		return w.model.RemainingWork() + w.approachingWork, pace
 	}
 }
