--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -64,6 +64,15 @@
 	return d, nil
 }
 
+// How the baselines retry and wait. Ticks are the schedulers' tick of the settings.
+const (
+	avoidForMs      = 1000 // no posting goes to a worker for this long after a failed or reset connection
+	watchRetryMs    = 500  // after the end of a watch it is asked for again after this long, and up to as long again
+	postRetryTicks  = 10   // until the next attempt to post a txn, times the postings made where one has ended
+	answerTicks     = 2    // a txn is given up this long before its expiry
+	coldAcceptShare = 0.5  // probability of accepting a cold worker, times its capacity share
+)
+
 // baseline implements the baselines. All post each txn at once, post it again only where that is harmless, and keep the
 // same rules as package balance. They differ in how they pick a worker: random takes any, two the one with fewer own
 // postings of two random ones, least the one with the fewest own postings, and sees-all the one with the shortest true
@@ -150,7 +159,7 @@
 func (b *baseline) Watched(now float64, ok bool) {
 	b.watching = ok
 	if !ok {
-		b.nextAskAt = now + 500 + 500*b.draw()
+		b.nextAskAt = now + watchRetryMs + watchRetryMs*b.draw()
 	}
 }
 
@@ -173,13 +182,13 @@
 	t.outstanding--
 	t.mayHaveRun = t.mayHaveRun || x.mayHaveRun && how != balance.Done
 	if how == balance.NoConnect || how == balance.Reset {
-		x.to.avoidUntil = now + 1000
+		x.to.avoidUntil = now + avoidForMs
 	}
 	t.closed = t.closed || closed || how == balance.Done
 	if t.closed {
 		b.closeTxn(t)
 	} else if t.outstanding == 0 {
-		t.nextPostAt = now + float64(len(t.posts))*10*b.terms.Tick
+		t.nextPostAt = now + float64(len(t.posts))*postRetryTicks*b.terms.Tick
 		b.waiting = append(b.waiting, t)
 	}
 }
@@ -219,7 +228,7 @@
 	for _, t := range b.waiting {
 		row := &t.row
 		stuck := len(t.posts) >= t.maxPosts || t.mayHaveRun && row.Effect == balance.OnceOnly
-		if !stuck && now < t.until-2*b.terms.Tick {
+		if !stuck && now < t.until-answerTicks*b.terms.Tick {
 			continue
 		}
 		t.closed = true
@@ -239,7 +248,7 @@
 		}
 		w := b.pickWorker(now, t)
 		if w == nil {
-			t.nextPostAt = now + 10*b.terms.Tick
+			t.nextPostAt = now + postRetryTicks*b.terms.Tick
 			continue
 		}
 		t.posts = append(t.posts, posting{to: w, at: now})
@@ -252,7 +261,7 @@
 }
 
 // eligible reports whether a txn may be posted to a worker now. It keeps the rules on repeats. For slow start it accepts
-// a cold worker at random, with a probability of half of the capacity share that its age gives.
+// a cold worker at random, with a probability of coldAcceptShare times the capacity share that its age gives.
 func (b *baseline) eligible(now float64, t *openTxn, w *worker) bool {
 	row := &t.row
 	if w.State != balance.Running || b.withdrawn[w.ID] || now < w.avoidUntil || !row.Open(w.Zone, w.Kind) {
@@ -269,7 +278,7 @@
 		}
 	}
 	if age := now - w.Start; w.Start > 0 && age < b.terms.ColdFor {
-		return b.draw() < 0.5*(b.terms.ColdFrom+(1-b.terms.ColdFrom)*max(age, 0)/b.terms.ColdFor)
+		return b.draw() < coldAcceptShare*(b.terms.ColdFrom+(1-b.terms.ColdFrom)*max(age, 0)/b.terms.ColdFor)
 	}
 	return true
 }
@@ -330,7 +339,7 @@
 		at = b.nextAskAt
 	}
 	for _, t := range b.waiting {
-		at = min(at, t.until-2*b.terms.Tick)
+		at = min(at, t.until-answerTicks*b.terms.Tick)
 		if len(t.posts) < t.maxPosts {
 			at = min(at, t.nextPostAt)
 		}
