--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,10 +1,10 @@
 package balance
 
 // A Scheduler makes the decisions of one scheduler process; it has no I/O and no clock. Its caller reports
-// events (Arrived, Started, Ended, Gone, ListChanged, Watched, Relies, Probed, Heard, Stops), which only update
-// state. It then polls for decisions, one per call, until there are none (NextFinal, NextCancel, NextPosting,
-// NextProbe, NextMessage, NextWatch), and polls again at Wake. The types of this interface are in types.go, the
-// code that only updates state is in state.go.
+// events (Arrived, Started, Ended, TxnClosed, ListChanged, WatchAnswered, SetListValidUntil, Probed,
+// MessageReceived, StopAt), which only update state. It then polls for decisions, one per call, until there are
+// none (NextFinal, NextCancel, NextPosting, NextProbe, NextMessage, NextWatch), and polls again at Wake. The types
+// of this interface are in types.go, the code that only updates state is in state.go.
 //
 // The ordinary path is ADUS: rerank sorts the workers by load, band divides txns by cost into bands of equal
 // work, and pickWorker sends a txn to the worker at its band's rank. The worker list is applied as discovery
@@ -178,7 +178,7 @@
 	inFlightChangesSent int             // inFlightChanges when peers were last sent a message
 	lastMessageAt       float64         // when peers were last sent a message
 	peerHeardAt         map[int]float64 // when each peer was last heard
-	listValidUntil      float64         // see Relies
+	listValidUntil      float64         // see SetListValidUntil
 	watchPending        bool            // a list request is in progress
 	nextWatchAt         float64         // when the list is to be requested next
 	watchFailures       int             // failed list requests in a row, at most 4
@@ -208,7 +208,7 @@
 	}
 	for i, row := range terms.Schemes {
 		s.shortestSLAMs = min(s.shortestSLAMs, row.SLA)
-		s.maxGain = max(s.maxGain, row.Gain, row.Gain*terms.OverGain)
+		s.maxGain = max(s.maxGain, row.Gain, row.Gain*terms.OverQuotaGainFactor)
 		for k := range oldLongestLeftMs {
 			if old.Schemes[k].Name == row.Name {
 				s.longestLeftMs[i] = min(oldLongestLeftMs[k], row.Expiry)
@@ -221,8 +221,8 @@
 
 // ---- state ----
 
-// Watched reports that the previous list request was answered, or that it failed.
-func (s *Scheduler) Watched(now float64, ok bool) {
+// WatchAnswered reports that the previous list request was answered, or that it failed.
+func (s *Scheduler) WatchAnswered(now float64, ok bool) {
 	if s.watchPending = ok; ok {
 		s.watchFailures = 0
 		return
@@ -251,17 +251,17 @@
 // have timed out in its queue: when all schedulers called at once after a restart, those at the end of the queue
 // timed out and called again, and most schedulers had no list for as long as that went on.
 func (s *Scheduler) watchSpreadMs() float64 {
-	return min(watchCallGapMs*float64(s.terms.Peers-1), 0.8*s.terms.AskIn)
+	return min(watchCallGapMs*float64(s.terms.Schedulers-1), 0.8*s.terms.ListPollIntervalMs)
 }
 
 // turnFraction returns this scheduler's position in the order of all schedulers, in [0, 1).
 func (s *Scheduler) turnFraction() float64 {
-	return float64(s.terms.Me) / float64(max(s.terms.Peers, 1))
+	return float64(s.terms.Index) / float64(max(s.terms.Schedulers, 1))
 }
 
 // Arrived adds a new txn, which from now on is owed exactly one final answer.
 func (s *Scheduler) Arrived(now float64, x Txn) {
-	t := &txn{Txn: x, terms: s.terms, arrivedAt: now, expiresAt: now + x.Left, keyHash: crc32.ChecksumIEEE([]byte(x.Key))}
+	t := &txn{Txn: x, terms: s.terms, arrivedAt: now, expiresAt: now + x.TimeLeftMs, keyHash: crc32.ChecksumIEEE([]byte(x.Key))}
 	s.workStats.Arrived(x.Hint > 0)
 	if x.Hint > 0 {
 		t.cost = x.Hint * max(x.Slots, 1)
@@ -271,12 +271,12 @@
 	}
 	// A client's retry has already used up part of its SLA time. How much is the difference between the time
 	// left to its expiry and the longest such time that a txn of its scheme came with.
-	s.longestLeftMs[x.Scheme] = max(s.longestLeftMs[x.Scheme], x.Left)
+	s.longestLeftMs[x.Scheme] = max(s.longestLeftMs[x.Scheme], x.TimeLeftMs)
 	row := t.schemeRow()
-	t.slaAt = now + x.Left - s.longestLeftMs[x.Scheme] + row.SLA + row.Stretch*t.expectedRunMs()
+	t.slaAt = now + x.TimeLeftMs - s.longestLeftMs[x.Scheme] + row.SLA + row.Stretch*t.expectedRunMs()
 	t.slaAt, t.expiresAt = min(t.slaAt, s.stopAt), min(t.expiresAt, s.stopAt)
 	if x.Tenant < len(s.tenants) && s.terms.Quota[x.Tenant] > 0 {
-		t.overQuota = s.tenants[x.Tenant].overQuota(now, s.terms.Quota[x.Tenant]/float64(max(s.terms.Peers, 1)), x.Repeat)
+		t.overQuota = s.tenants[x.Tenant].overQuota(now, s.terms.Quota[x.Tenant]/float64(max(s.terms.Schedulers, 1)), x.Repeat)
 	}
 	if x.Key != "" {
 		s.recordKey(t.keyHash)
@@ -396,7 +396,7 @@
 				s.recordSchemeFailure(now, q.worker, t.schemeRow().Name, true, true)
 			}
 		}
-	case Unfit:
+	case InvalidRequest:
 		p.calledInvalid, t.calledInvalid = true, t.calledInvalid+1
 	case NoConnect:
 		s.recordConnectionFailure(now, w, p.postedAt)
@@ -405,10 +405,10 @@
 	case Reset:
 		s.recordConnectionFailure(now, w, now)
 		fallthrough
-	case Erred:
+	case Failed:
 		w.badOutcomes, w.badOutcomeEjectedUntil =
 			w.badOutcomes+1, now+ejectionBaseMs*math.Exp2(float64(min(w.badOutcomes, 4)))
-		s.recordSchemeFailure(now, w, t.schemeRow().Name, true, outcome == Erred)
+		s.recordSchemeFailure(now, w, t.schemeRow().Name, true, outcome == Failed)
 		s.markUnhealthy(w)
 	}
 	p.mayHaveRun = !outcome.NeverRan() && outcome != Done
@@ -467,12 +467,12 @@
 // is at most the txns of that scheme that the whole fleet sends to the worker meanwhile: when each of hundreds
 // of schedulers with little work sent reports, they cost more than the failures.
 func (s *Scheduler) reportPaysOff(now float64) bool {
-	peers, benefit := float64(s.terms.Peers), 0.0
+	peers, benefit := float64(s.terms.Schedulers), 0.0
 	if len(s.recentSettled) > 0 {
 		avoided := float64(len(s.recentSettled)) / max(now-s.recentSettled[0].at, 1) * 4 * ejectionBaseMs * peers
 		benefit = avoided / float64(max(s.runningWorkers, 1)*len(s.terms.Schemes)) / reportBenefitDivisor
 	}
-	return benefit >= s.terms.TellFee*(peers-1)*3/256
+	return benefit >= s.terms.MessageCost*(peers-1)*3/256
 }
 
 // recordConnectionFailure ejects a worker after a failed or reset connection. since is when the posting or probe
@@ -484,7 +484,7 @@
 		w.connectionFailures+1, now+ejectionBaseMs*math.Exp2(float64(min(w.connectionFailures, 4)))
 	s.markUnhealthy(w)
 	for _, p := range w.inFlight {
-		if now-since > s.promptStartMs(w) && p.txn.terms.Copies && p.txn.inFlight == 1 && !p.txn.closed &&
+		if now-since > s.promptStartMs(w) && p.txn.terms.Hedging && p.txn.inFlight == 1 && !p.txn.closed &&
 			p.txn.schemeRow().Effect != OnceOnly {
 			s.enqueue(p.txn)
 		}
@@ -511,7 +511,7 @@
 
 // usesListedLoads reports whether the list's weights tell more about loads than this scheduler's own postings
 // and their answers do.
-func (s *Scheduler) usesListedLoads() bool { return s.terms.LiveWeight && s.manySchedulers() }
+func (s *Scheduler) usesListedLoads() bool { return s.terms.WeightShowsLoad && s.manySchedulers() }
 
 // queueDelayMs returns how long, in ms, a new txn waits at a worker that holds this many txns per core.
 func (s *Scheduler) queueDelayMs(txnsPerCore float64) float64 {
@@ -595,7 +595,7 @@
 
 // relativeSize returns a worker's size relative to others of its kind, as far as the list gives it.
 func (s *Scheduler) relativeSize(w *worker) float64 {
-	if s.terms.LiveWeight {
+	if s.terms.WeightShowsLoad {
 		return 1 // here the weight tells how loaded the worker is, not its size
 	}
 	return max(w.Weight, 1e-3)
@@ -724,7 +724,7 @@
 		if s.belowFairShare(w) && (anyZone || w.Zone == s.terms.Zone) {
 			preference = 1
 			// a connection to a worker that was used lately is still open and costs nothing
-			if !s.usesListedLoads() || s.terms.NewFee == 0 || now-w.lastEndedAt < s.terms.Idle/2 {
+			if !s.usesListedLoads() || s.terms.NewConnectionCost == 0 || now-w.lastEndedAt < s.terms.WorkerIdleTimeoutMs/2 {
 				preference = 2
 			}
 		}
@@ -834,15 +834,15 @@
 
 // manySchedulers reports whether there are so many schedulers that the own postings say next to nothing about a
 // worker's queue. It is then best to try a worker for a slot, and another one if the posting does not start.
-func (s *Scheduler) manySchedulers() bool { return s.terms.Peers >= manySchedulersFrom }
+func (s *Scheduler) manySchedulers() bool { return s.terms.Schedulers >= manySchedulersFrom }
 
 // hedgeAt returns when an unstarted posting is taken to wait in a queue, or on a silent connection, so that its
 // txn may be posted to another worker too. Txns with a key are not hedged: the second worker fetched the key,
 // evicting other keys, and some copies ran although cancelled. With few schedulers it is known where slots are
 // free and waits are mostly short, so the delay is longer.
 func (s *Scheduler) hedgeAt(p *posting) float64 {
-	if !s.terms.TellsStart || !p.txn.terms.Copies || !s.terms.Cancels || p.cancelled || p.txn.Key != "" ||
-		p.txn.schemeRow().Effect == OnceOnly || len(p.txn.postings) >= p.txn.terms.MaxPosts {
+	if !s.terms.ReportsStart || !p.txn.terms.Hedging || !s.terms.Cancels || p.cancelled || p.txn.Key != "" ||
+		p.txn.schemeRow().Effect == OnceOnly || len(p.txn.postings) >= p.txn.terms.MaxPostings {
 		return math.Inf(1)
 	}
 	if !s.manySchedulers() {
@@ -853,7 +853,7 @@
 
 // knowsAllInFlight reports whether the postings of all peers are known.
 func (s *Scheduler) knowsAllInFlight() bool {
-	return s.terms.Peers <= 1 || s.terms.Messages && !s.manySchedulers()
+	return s.terms.Schedulers <= 1 || s.terms.Messages && !s.manySchedulers()
 }
 
 // mayPost reports whether a txn may be posted to a worker now.
@@ -925,7 +925,7 @@
 func (s *Scheduler) belowFairShare(w *worker) bool {
 	share := w.maxRunning
 	if !s.terms.Messages {
-		share /= max(s.terms.Peers, 1)
+		share /= max(s.terms.Schedulers, 1)
 	}
 	return w.knownInFlight() < max(share, 1)
 }
@@ -944,20 +944,21 @@
 	return 16 * s.runTimes.quantile(0.5, 100)
 }
 
-// inSlowStart reports whether a worker started less than ColdFor ago.
+// inSlowStart reports whether a worker started less than SlowStartMs ago.
 func (s *Scheduler) inSlowStart(now float64, w *worker) bool {
-	return w.Start > 0 && now-w.Start < s.terms.ColdFor
+	return w.Start > 0 && now-w.Start < s.terms.SlowStartMs
 }
 
 // slowStartLimits returns what the settings allow for workers in slow start.
 func (s *Scheduler) slowStartLimits() slowstart.Limits {
 	t := s.terms
-	return slowstart.Limits{InitialShare: t.ColdFrom, WarmUp: t.ColdFor, Window: t.Fall, Multiple: t.FallTimes}
+	return slowstart.Limits{InitialShare: t.SlowStartInitialShare, WarmUp: t.SlowStartMs, Window: t.SlowStartWindowMs,
+		Multiple: t.SlowStartMultiple}
 }
 
-// slowStartQuota returns what this scheduler may send to a worker in slow start in any window of length Fall.
+// slowStartQuota returns what this scheduler may send to a worker in slow start in any window of SlowStartWindowMs.
 func (s *Scheduler) slowStartQuota(now float64, w *worker) slowstart.Quota {
-	fleet := slowstart.Fleet{Number: s.terms.Me, Size: s.terms.Peers}
+	fleet := slowstart.Fleet{Number: s.terms.Index, Size: s.terms.Schedulers}
 	return s.slowStartLimits().Quota(fleet, w.idHash, now-w.Start, s.capacityOf(w), s.requestStats())
 }
 
@@ -980,7 +981,7 @@
 				capacity = max(capacity, o.observedCapacity())
 			}
 		}
-		capacity = max(capacity, s.capacity.Of(s.rankedAt, w.Kind, s.relativeSize(w), s.terms.Peers))
+		capacity = max(capacity, s.capacity.Of(s.rankedAt, w.Kind, s.relativeSize(w), s.terms.Schedulers))
 		s.capacityEstimates[size] = capacity
 	}
 	return s.capacityEstimates[size]
@@ -994,7 +995,7 @@
 	if now < s.slowStartFrom {
 		return false
 	}
-	quota, sent := s.slowStartQuota(now, w), w.slowStartLog.Within(now, s.terms.Fall)
+	quota, sent := s.slowStartQuota(now, w), w.slowStartLog.Within(now, s.terms.SlowStartWindowMs)
 	if t.Hint > 0 {
 		return quota.Admits(sent, t.cost)
 	}
@@ -1039,7 +1040,7 @@
 	row := t.schemeRow()
 	gain, slackMs := row.Gain, s.slackMs(now, t)
 	if t.overQuota {
-		gain *= s.terms.OverGain
+		gain *= s.terms.OverQuotaGainFactor
 	}
 	if slackMs < 0 {
 		return gain * row.LateGain / (1 + t.schemeRow().Expiry)
@@ -1074,7 +1075,7 @@
 	bestPriority, overloaded := 0.0, s.overloaded(now)
 	clear(s.unplaceableCosts)
 	for _, t := range s.queue.slots {
-		if t == nil || len(t.postings) >= t.terms.MaxPosts || !s.budgetAllows(now, t) {
+		if t == nil || len(t.postings) >= t.terms.MaxPostings || !s.budgetAllows(now, t) {
 			continue
 		}
 		if priority := s.priority(now, t, overloaded); (bestTxn == nil || priority > bestPriority) && !s.unplaceable(t) {
@@ -1092,7 +1093,7 @@
 		return Post{}, false
 	}
 	if s.inSlowStart(now, bestWorker) {
-		bestWorker.slowStartLog.Add(now, s.terms.Fall, s.slowStartCost(bestTxn))
+		bestWorker.slowStartLog.Add(now, s.terms.SlowStartWindowMs, s.slowStartCost(bestTxn))
 	}
 	p := &posting{txn: bestTxn, worker: bestWorker, number: len(bestTxn.postings), postedAt: now}
 	if bestTxn.postings = append(bestTxn.postings, p); p.number > 0 {
@@ -1102,41 +1103,41 @@
 	s.inFlightChanges++
 	bestWorker.inFlight = append(bestWorker.inFlight, p)
 	s.markDirty(bestWorker)
-	if s.terms.TellsStart { // without start reports, not having started says nothing
+	if s.terms.ReportsStart { // without start reports, not having started says nothing
 		s.unstarted = append(s.unstarted, p)
 		bestWorker.unstarted++
 		bestTxn.unstarted++
 		s.unstartedByArrival.add(bestTxn.arrivedAt, bestTxn)
 	}
 	s.queue.remove(bestTxn)
-	return Post{Ref: bestTxn.Ref, Worker: bestWorker.ID, By: s.dedupWindowEnd(bestTxn)}, true
+	return Post{Ref: bestTxn.Ref, Worker: bestWorker.ID, LatestSendAt: s.dedupWindowEnd(bestTxn)}, true
 }
 
 // budgetAllows enforces the retry budget: extra postings (retries and hedges) in the window that ends now. At
 // the window's far edge an arrival no longer counts and an extra posting still does. A hedge is only a guess and
 // may use half of the budget; a txn with nothing in flight may use all. A process that does not lead leaves
-// BudgetFree to the scheduler's leading process.
+// RetryBudgetMin to the scheduler's leading process.
 func (s *Scheduler) budgetAllows(now float64, t *txn) bool {
 	allowed := s.extraPostingsAllowed(now)
 	if t.inFlight > 0 {
 		allowed /= 2
 	}
-	return s.terms.BudgetFor <= 0 || len(t.postings) == 0 || float64(len(s.extraPostings)+1) <= allowed+1e-9
+	return s.terms.RetryBudgetWindowMs <= 0 || len(t.postings) == 0 || float64(len(s.extraPostings)+1) <= allowed+1e-9
 }
 
 // extraPostingsAllowed returns how many extra postings the retry budget allows in the window that ends now.
 func (s *Scheduler) extraPostingsAllowed(now float64) float64 {
 	terms := s.terms
-	from := now - terms.BudgetFor
+	from := now - terms.RetryBudgetWindowMs
 	for len(s.arrivals) > 0 && s.arrivals[0] <= from {
 		s.arrivals = s.arrivals[1:]
 	}
 	for len(s.extraPostings) > 0 && s.extraPostings[0] < from {
 		s.extraPostings = s.extraPostings[1:]
 	}
-	allowed := terms.BudgetRatio * float64(len(s.arrivals))
-	if !s.yielded && now >= s.leadingSince+terms.BudgetFor {
-		allowed += terms.BudgetFree
+	allowed := terms.RetryBudgetRatio * float64(len(s.arrivals))
+	if !s.yielded && now >= s.leadingSince+terms.RetryBudgetWindowMs {
+		allowed += terms.RetryBudgetMin
 	}
 	return allowed
 }
@@ -1177,7 +1178,7 @@
 			stopAt = math.Inf(1)
 		}
 		if f.Declined && (s.slackMs(now, t) <= 0 || stopAt < math.Inf(1)) {
-			f.Stay = min(s.terms.MaxStay, max(stopAt-now, 0))
+			f.StayAwayMs = min(s.terms.MaxStayAwayMs, max(stopAt-now, 0))
 		}
 		s.closeTxn(t)
 		return f, true
@@ -1199,7 +1200,7 @@
 	if t.inFlight > 0 {
 		return math.Inf(1) // the posting in flight may still settle the txn, and ends by the txn's expiry
 	}
-	if len(t.postings) >= t.terms.MaxPosts || t.mayHaveRun && row.Effect == OnceOnly || t.calledInvalid > 1 {
+	if len(t.postings) >= t.terms.MaxPostings || t.mayHaveRun && row.Effect == OnceOnly || t.calledInvalid > 1 {
 		return 0
 	}
 	lastUsefulAt, neededMs := t.expiresAt-2*s.terms.Tick, t.expectedRunMs()
@@ -1224,7 +1225,7 @@
 // cancelLateAt returns when an unstarted posting is cancelled because its txn can no longer earn enough gain.
 func (s *Scheduler) cancelLateAt(p *posting, overloaded bool) float64 {
 	running := func(q *posting) bool { return q.started && !q.ended }
-	if !s.terms.TellsStart || !s.terms.Cancels || p.cancelled || slices.ContainsFunc(p.txn.postings, running) ||
+	if !s.terms.ReportsStart || !s.terms.Cancels || p.cancelled || slices.ContainsFunc(p.txn.postings, running) ||
 		p.txn.schemeRow().LateGain > 0 && !overloaded {
 		return math.Inf(1)
 	}
@@ -1292,7 +1293,7 @@
 		return w.ejectedUntil
 	}
 	for _, p := range w.inFlight {
-		if s.terms.TellsStart && !p.started {
+		if s.terms.ReportsStart && !p.started {
 			at = min(at, max(p.postedAt, w.probedAt)+s.startTimeoutMs())
 		}
 	}
@@ -1325,7 +1326,7 @@
 // since a message may be lost. Each peer pays for each message, so the more peers there are the rarer messages
 // are.
 func (s *Scheduler) nextMessageAt() float64 {
-	if !s.terms.Messages || s.terms.Peers <= 1 || s.yielded {
+	if !s.terms.Messages || s.terms.Schedulers <= 1 || s.yielded {
 		return math.Inf(1)
 	}
 	// With many schedulers a txn is over before the next message may be sent, and all schedulers would rank by
@@ -1344,21 +1345,23 @@
 }
 
 // messageGapMs returns the interval, in ms, between messages to peers.
-func (s *Scheduler) messageGapMs() float64 { return messageIntervalPerPeerMs * float64(s.terms.Peers) }
+func (s *Scheduler) messageGapMs() float64 {
+	return messageIntervalPerPeerMs * float64(s.terms.Schedulers)
+}
 
 // NextWatch decides whether to ask discovery for changes of the list now.
 func (s *Scheduler) NextWatch(now float64) bool {
-	if !s.terms.MustAsk || s.watchPending || now < s.nextWatchAt {
+	if !s.terms.PollsList || s.watchPending || now < s.nextWatchAt {
 		return false
 	}
-	s.nextWatchAt = now + s.terms.AskIn
+	s.nextWatchAt = now + s.terms.ListPollIntervalMs
 	return true
 }
 
 // Wake returns when to poll again if nothing happens before.
 func (s *Scheduler) Wake(now float64) float64 {
 	at := s.nextMessageAt()
-	if s.terms.MustAsk && !s.watchPending {
+	if s.terms.PollsList && !s.watchPending {
 		at = min(at, s.nextWatchAt)
 	}
 	s.eachProbeCandidate(now, func(w *worker) { at = min(at, s.nextProbeAt(w)) })
@@ -1390,11 +1393,11 @@
 		if i >= 0 && i < len(s.fullEvents) && s.fullEvents[i].isLatest() {
 			consider(s.fullEvents[i].at + fullForMs)
 		}
-		if len(s.extraPostings) > 0 && s.terms.BudgetFor > 0 {
-			consider(s.extraPostings[0] + s.terms.BudgetFor + s.terms.Tick)
+		if len(s.extraPostings) > 0 && s.terms.RetryBudgetWindowMs > 0 {
+			consider(s.extraPostings[0] + s.terms.RetryBudgetWindowMs + s.terms.Tick)
 		}
 		if slices.ContainsFunc(s.slowStartCandidates, func(w *worker) bool { return s.inSlowStart(now, w) }) {
-			consider(now + s.terms.Fall/4)
+			consider(now + s.terms.SlowStartWindowMs/4)
 		}
 	}
 	return max(at, now+s.terms.Tick)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -14,8 +14,8 @@
 
 // Single cases come first, the seeded random runs last.
 
-var testTerms = Terms{Seed: 1, Peers: 1, Tick: 2, MaxPosts: 6, Copies: true, Cancels: true, TellsStart: true,
-	ColdFrom: 0.2, ColdFor: 20000, Fall: 2000, FallTimes: 3,
+var testTerms = Terms{Seed: 1, Schedulers: 1, Tick: 2, MaxPostings: 6, Hedging: true, Cancels: true, ReportsStart: true,
+	SlowStartInitialShare: 0.2, SlowStartMs: 20000, SlowStartWindowMs: 2000, SlowStartMultiple: 3,
 	Schemes: []SchemeRow{{SLA: 1000, Stretch: 2, Expiry: 20000, Gain: 1, LateGain: 0.2},
 		{Effect: OnceOnly, SLA: 1000, Stretch: 2, Expiry: 20000, Gain: 1, LateGain: 0.2},
 		{Effect: Referenced, Group: GroupCell, Window: 5000, SLA: 1000, Stretch: 2, Expiry: 20000, Gain: 1}}}
@@ -33,7 +33,7 @@
 
 // arrive reports the arrival of a txn that takes one slot and has 20 s until its expiry.
 func arrive(s *Scheduler, now float64, ref string, scheme int, hint float64) {
-	s.Arrived(now, Txn{Ref: ref, Scheme: scheme, Hint: hint, Slots: 1, Left: 20000})
+	s.Arrived(now, Txn{Ref: ref, Scheme: scheme, Hint: hint, Slots: 1, TimeLeftMs: 20000})
 }
 
 // mustPost returns the next posting, and fails the test if there is none.
@@ -200,7 +200,7 @@
 		}
 		for i := range 5 {
 			ref := fmt.Sprint("k", i)
-			s.Arrived(now, Txn{Ref: ref, Hint: []float64{100, 10000}[i%2], Slots: 1, Left: 20000, Key: "area"})
+			s.Arrived(now, Txn{Ref: ref, Hint: []float64{100, 10000}[i%2], Slots: 1, TimeLeftMs: 20000, Key: "area"})
 			used[mustPost(t, s, now).Worker] = true
 			s.Started(now, ref, 0)
 		}
@@ -297,13 +297,13 @@
 	mustPost(t, s, 0)
 	s.Started(1, "first", 0)
 	s.Ended(100, "first", 0, Done, true, NoLoad)
-	s.Arrived(10000, Txn{Ref: "late", Hint: 100, Slots: 1, Left: 10000, Repeat: true})
+	s.Arrived(10000, Txn{Ref: "late", Hint: 100, Slots: 1, TimeLeftMs: 10000, Repeat: true})
 	if f, ok := s.NextFinal(10000); ok {
 		t.Fatalf("%+v before the txn was posted", f)
 	}
 	mustPost(t, s, 10000)
 	s.Started(10001, "late", 0)
-	s.Arrived(10001, Txn{Ref: "later", Hint: 100, Slots: 1, Left: 8000, Repeat: true})
+	s.Arrived(10001, Txn{Ref: "later", Hint: 100, Slots: 1, TimeLeftMs: 8000, Repeat: true})
 	s.list[0].lastFullAt, s.list[0].inFlightWhenFull = 10001, 1 // where no slot is free it is declined at once
 	if p, ok := s.NextPosting(10001); ok {
 		t.Fatal("posted although the worker is full:", p)
@@ -321,7 +321,7 @@
 	arrive(s, now, "x", 0, 1000)
 	first := mustPost(t, s, now).Worker
 	for i := range 3 {
-		s.Ended(now, "x", i, Erred, false, NoLoad)
+		s.Ended(now, "x", i, Failed, false, NoLoad)
 		if p := mustPost(t, s, now); i == 0 && p.Worker == first {
 			t.Fatal("posted again to the worker where it failed")
 		}
@@ -390,7 +390,7 @@
 					was := w.slowStartLog
 					x, before := &txn{Txn: Txn{Hint: cost}, cost: cost}, requests
 					for ; s.slowStartAllows(now, x, w); requests++ {
-						w.slowStartLog.Add(now, terms.Fall, cost)
+						w.slowStartLog.Add(now, terms.SlowStartWindowMs, cost)
 						work += cost
 					}
 					if w.slowStartLog = was; requests > before {
@@ -411,9 +411,9 @@
 // slowStartFleet returns this many schedulers that know of one worker in slow start, as of its start.
 func slowStartFleet(peers int, start float64) (all []*Scheduler) {
 	terms := testTerms
-	terms.Peers = peers
+	terms.Schedulers = peers
 	for me := range peers {
-		terms.Me = me
+		terms.Index = me
 		s := newTestScheduler(terms, 20)
 		for i := range minCostsForBands { // so that the mean cost is 100, and a few txns cost much more
 			s.recordCost([]float64{40, 40, 70, 250}[i%4])
@@ -426,7 +426,7 @@
 	return all
 }
 
-// What all schedulers together send to a worker in slow start in any window of length Fall is at most what the
+// What all schedulers together send to a worker in slow start in any window of SlowStartWindowMs is at most what the
 // settings allow: N txns of mean work, plus 2 sqrt(N) + 2 for chance (for N under 30: 3 sqrt(N) + 3), even if
 // each has more to send than it may. (When schedulers sent in turn, and two turns could fall into one window,
 // there was no such bound: 300 schedulers sent 32 txns where 20.9 are allowed.)
@@ -437,29 +437,29 @@
 		terms, mean := all[0].terms, 100.0
 		var sent []timedWork
 		draw := rand.New(rand.NewSource(1))
-		for age := 1.0; age < terms.ColdFor; age += 50 {
+		for age := 1.0; age < terms.SlowStartMs; age += 50 {
 			now, work := start+age, 0.0
 			for _, i := range draw.Perm(peers) {
 				s := all[i]
 				w, cost := s.workersByID["fresh"], []float64{40, 40, 70, 250, 1000}[draw.Intn(5)]
 				for x := (&txn{Txn: Txn{Hint: cost}, cost: cost}); s.slowStartAllows(now, x, w); {
-					w.slowStartLog.Add(now, terms.Fall, cost)
+					w.slowStartLog.Add(now, terms.SlowStartWindowMs, cost)
 					sent = append(sent, timedWork{now, cost})
 				}
 			}
-			sent = slices.DeleteFunc(sent, func(x timedWork) bool { return now-x.at > terms.Fall })
+			sent = slices.DeleteFunc(sent, func(x timedWork) bool { return now-x.at > terms.SlowStartWindowMs })
 			for _, x := range sent {
 				work += x.work
 			}
 			// the capacity is 1, as nothing is known
-			n := terms.FallTimes * all[0].slowStartLimits().Share(age) * terms.Fall / mean
+			n := terms.SlowStartMultiple * all[0].slowStartLimits().Share(age) * terms.SlowStartWindowMs / mean
 			most := n + 2*math.Sqrt(n) + 2
 			if n < 30 {
 				most = n + 3*math.Sqrt(n) + 3
 			}
 			if float64(len(sent)) > most || work > most*mean {
 				t.Errorf("%d schedulers, age %.0f ms: %d txns and %.0f ms of work in %.0f ms, %.1f txns are allowed",
-					peers, age, len(sent), work, terms.Fall, most)
+					peers, age, len(sent), work, terms.SlowStartWindowMs, most)
 				break
 			}
 		}
@@ -469,7 +469,7 @@
 // A once-only txn can't leave a worker's queue: sent into a long one it was cancelled late, and lost.
 func TestOnceOnlyAvoidsLongQueues(t *testing.T) {
 	terms := testTerms
-	terms.Peers, terms.LiveWeight = 8, true
+	terms.Schedulers, terms.WeightShowsLoad = 8, true
 	s := newTestScheduler(terms, 3)
 	rows := []Listed{{ID: "w0", Weight: 0.1}, {ID: "w1", Weight: 0.4}, {ID: "w2", Weight: 0.1}}
 	s.ListChanged(1, false, rows)
@@ -485,7 +485,7 @@
 	terms := testTerms
 	terms.Messages = true
 	for _, peers := range []int{2, manySchedulersFrom} {
-		terms.Peers = peers
+		terms.Schedulers = peers
 		s := newTestScheduler(terms, 3)
 		arrive(s, 1000, "a", 0, 100)
 		mustPost(t, s, 1000)
@@ -499,22 +499,22 @@
 // other 48, which had timed out in its queue, kept it busy, and these schedulers had no list for 20 s.
 func TestDiscoveryCalledInTurnAfterMassRestart(t *testing.T) {
 	terms := testTerms
-	terms.MustAsk, terms.AskIn, terms.Peers = true, 10000, 80
+	terms.PollsList, terms.ListPollIntervalMs, terms.Schedulers = true, 10000, 80
 	mostCallsInASecond := func(ok bool) (most int) {
 		bySecond := map[int]int{}
-		for me := range terms.Peers {
-			terms.Me, terms.Seed = me, uint64(me+1)
+		for me := range terms.Schedulers {
+			terms.Index, terms.Seed = me, uint64(me+1)
 			s, last := newTestScheduler(terms, 3), 0.0
 			for now := 0.0; now < 40000; now = max(s.Wake(now), now+terms.Tick) {
 				if !s.NextWatch(now) {
 					continue
 				}
-				if now-last > terms.AskIn {
+				if now-last > terms.ListPollIntervalMs {
 					t.Errorf("scheduler %d did not ask for more than %.0f ms", me, now-last)
 				}
 				last = now
 				bySecond[int(now/1000)]++
-				s.Watched(now+2000, ok)
+				s.WatchAnswered(now+2000, ok)
 			}
 		}
 		for _, n := range bySecond {
@@ -523,9 +523,9 @@
 		return most
 	}
 	for _, ok := range []bool{true, false} {
-		if most, even := mostCallsInASecond(ok), terms.Peers/8; most > 2*even {
+		if most, even := mostCallsInASecond(ok), terms.Schedulers/8; most > 2*even {
 			t.Errorf("answered %v: %d calls in one second; spread evenly, the %d schedulers make %d",
-				ok, most, terms.Peers, even)
+				ok, most, terms.Schedulers, even)
 		}
 	}
 }
@@ -548,14 +548,14 @@
 func TestDiscoveryCalledInTurnAndInTimeAfterSilence(t *testing.T) {
 	const till, slots = 6000.0, 10
 	terms := testTerms
-	terms.MustAsk, terms.AskIn, terms.Peers = true, 10000, 350
+	terms.PollsList, terms.ListPollIntervalMs, terms.Schedulers = true, 10000, 350
 	calls := [slots]int{}
-	for me := range terms.Peers {
-		terms.Me, terms.Seed = me, uint64(me+1)
+	for me := range terms.Schedulers {
+		terms.Index, terms.Seed = me, uint64(me+1)
 		s := newTestScheduler(terms, 3)
-		s.Watched(0, true)
-		s.Relies(till)
-		s.Watched(2000, false)
+		s.WatchAnswered(0, true)
+		s.SetListValidUntil(till)
+		s.WatchAnswered(2000, false)
 		now := s.nextWatchAt
 		if now > till-watchAnswerTimeoutMs || !s.NextWatch(now) {
 			t.Fatalf("scheduler %d calls at %.0f ms", me, now)
@@ -565,11 +565,11 @@
 		if p, ok := s.NextPosting(till); ok {
 			t.Fatal("posted by an invalid list:", p)
 		}
-		s.Relies(till + 1)
+		s.SetListValidUntil(till + 1)
 		mustPost(t, s, till)
 	}
 	for _, n := range calls {
-		if n != terms.Peers/slots {
+		if n != terms.Schedulers/slots {
 			t.Fatal("calls in each tenth of the time:", calls)
 		}
 	}
@@ -578,12 +578,12 @@
 // A client told to stay away for long came back late, although its txn had only met three full workers.
 func TestNoStayAwayAfterLastPostingWasFull(t *testing.T) {
 	terms := testTerms
-	terms.MaxPosts, terms.MaxStay = 1, 2000
+	terms.MaxPostings, terms.MaxStayAwayMs = 1, 2000
 	s := newTestScheduler(terms, 1)
 	arrive(s, 0, "a", 0, 100)
 	mustPost(t, s, 0)
 	s.Ended(1, "a", 0, Full, false, NoLoad)
-	if f, ok := s.NextFinal(1); !ok || !f.Declined || f.Stay != 0 {
+	if f, ok := s.NextFinal(1); !ok || !f.Declined || f.StayAwayMs != 0 {
 		t.Error("want a decline without stay-away, got", f, ok)
 	}
 }
@@ -591,7 +591,7 @@
 // With many schedulers, a txn posted into a queue that no scheduler can see would wait there until it is done.
 func TestUnstartedPostingIsHedgedWithManySchedulers(t *testing.T) {
 	terms := testTerms
-	terms.Peers = 8
+	terms.Schedulers = 8
 	s := newTestScheduler(terms, 8)
 	arrive(s, 0, "a", 0, 100)
 	arrive(s, 0, "once", 1, 100)
@@ -610,7 +610,7 @@
 		t.Fatal("a once-only txn was posted again:", p)
 	}
 	keyed := newTestScheduler(terms, 8)
-	keyed.Arrived(0, Txn{Ref: "k", Key: "k", Hint: 100, Slots: 1, Left: 20000})
+	keyed.Arrived(0, Txn{Ref: "k", Key: "k", Hint: 100, Slots: 1, TimeLeftMs: 20000})
 	mustPost(t, keyed, 0)
 	if p, ok := keyed.NextPosting(500); ok {
 		t.Fatal("a txn that needs a key was posted again:", p)
@@ -624,7 +624,7 @@
 // Once-only txns that queues held past their SLA time still ran, and made those behind them late.
 func TestLateUnstartedPostingIsCancelled(t *testing.T) {
 	terms := testTerms
-	terms.Peers = 8
+	terms.Schedulers = 8
 	s := newTestScheduler(terms, 8)
 	arrive(s, 0, "once", 1, 100)
 	mustPost(t, s, 0)
@@ -644,19 +644,19 @@
 // lost.
 func TestStoppingSchedulerAnswersBeforeStopTime(t *testing.T) {
 	terms := testTerms
-	terms.MaxStay = 2000
+	terms.MaxStayAwayMs = 2000
 	s := newTestScheduler(terms, 1)
 	arrive(s, 0, "out", 1, 15000)
 	mustPost(t, s, 0)
 	arrive(s, 0, "held", 0, 100)
-	s.Stops(3000)
+	s.StopAt(3000)
 	arrive(s, 10, "late", 0, 500)
 	s.longestLeftMs[0] = 20000
 	// Where hints are rough a run may take twice as long, and a once-only txn that is interrupted is reversed.
 	// On kept-alive connections the client's retry came to this scheduler again, and was declined again.
 	for scheme, hint := range []float64{4000, 2000} {
 		arrive(s, 10, "too long", scheme, hint)
-		if f, ok := s.NextFinal(10); !ok || f.Ref != "too long" || !f.Declined || f.Stay != 2000 {
+		if f, ok := s.NextFinal(10); !ok || f.Ref != "too long" || !f.Declined || f.StayAwayMs != 2000 {
 			t.Errorf("a txn that can hardly end before the stop: %v %v, want a decline and 2000 ms of stay-away", f, ok)
 		}
 	}
@@ -664,15 +664,15 @@
 	if f, ok := s.NextFinal(10); ok {
 		t.Errorf("given up though it may end before the stop: %v", f)
 	}
-	s.Gone(10, "may do")
+	s.TxnClosed(10, "may do")
 	if f, ok := s.NextFinal(1000); ok {
 		t.Errorf("answered too early: %v", f)
 	}
-	s.Gone(1000, "late")
+	s.TxnClosed(1000, "late")
 	if at := s.Wake(1000); at > 3000 {
 		t.Errorf("wakes at %.0f ms, after the stop", at)
 	}
-	if f, ok := s.NextFinal(2999); !ok || f.Ref != "held" || !f.Declined || f.Stay > 1 {
+	if f, ok := s.NextFinal(2999); !ok || f.Ref != "held" || !f.Declined || f.StayAwayMs > 1 {
 		t.Errorf("just before the stop: %v %v, want a decline of held", f, ok)
 	}
 	s.Ended(3000, "out", 0, TimedOut, false, NoLoad)
@@ -689,12 +689,12 @@
 func TestRepeatIsLimitedToDedupWindow(t *testing.T) {
 	s := newTestScheduler(testTerms, 2)
 	arrive(s, 0, "a", 2, 100)
-	if p := mustPost(t, s, 10); p.By < 10+5000 {
-		t.Errorf("the first posting is limited to %v ms", p.By)
+	if p := mustPost(t, s, 10); p.LatestSendAt < 10+5000 {
+		t.Errorf("the first posting is limited to %v ms", p.LatestSendAt)
 	}
 	s.Ended(1000, "a", 0, TimedOut, false, NoLoad)
-	if p := mustPost(t, s, 1000); p.By != 10+5000 {
-		t.Errorf("the repeat may be sent until %v ms, want 5010", p.By)
+	if p := mustPost(t, s, 1000); p.LatestSendAt != 10+5000 {
+		t.Errorf("the repeat may be sent until %v ms, want 5010", p.LatestSendAt)
 	}
 }
 
@@ -725,10 +725,10 @@
 // they used idle.
 func TestSilentPeersAreForgotten(t *testing.T) {
 	terms := testTerms
-	terms.Peers, terms.Messages = 2, true
+	terms.Schedulers, terms.Messages = 2, true
 	s := newTestScheduler(terms, 1)
 	w := s.list[0]
-	s.Heard(0, 1, append(binary.BigEndian.AppendUint16(nil, uint16(w.idHash)), 4))
+	s.MessageReceived(0, 1, append(binary.BigEndian.AppendUint16(nil, uint16(w.idHash)), 4))
 	if w.knownInFlight() != 4 {
 		t.Fatalf("%d postings known, want 4", w.knownInFlight())
 	}
@@ -742,7 +742,7 @@
 // those that are no longer busy too. (Workers at the end of the list were never included.)
 func TestMessagesCoverAnyNumberOfWorkers(t *testing.T) {
 	terms := testTerms
-	terms.Peers, terms.Messages = 4, true
+	terms.Schedulers, terms.Messages = 4, true
 	a, b := newTestScheduler(terms, 1024), newTestScheduler(terms, 1024)
 	now := 0.0
 	for i := range 1000 {
@@ -756,7 +756,7 @@
 			if !ok || len(body) > 255 {
 				t.Fatal(len(body), ok)
 			}
-			b.Heard(now, 1, body)
+			b.MessageReceived(now, 1, body)
 		}
 		for i, w := range b.list {
 			if w.peerInFlightSum != len(a.list[i].inFlight) {
@@ -826,7 +826,7 @@
 // restart replaces a scheduler by a new one, which knows nothing of the former one's txns.
 func (w *randomRun) restart(i int) {
 	terms := w.terms
-	terms.Me, terms.Seed = i, w.rand.Uint64()
+	terms.Index, terms.Seed = i, w.rand.Uint64()
 	w.schedulers[i], w.txns[i], w.listSeen[i] = New(terms), map[string]*expectedTxn{}, map[string]Listed{}
 	w.stopAt[i] = math.Inf(1)
 	w.sendList(i)
@@ -843,11 +843,11 @@
 	w := &randomRun{rand: r, terms: testTerms, schedulers: make([]*Scheduler, n), listSeen: make([]map[string]Listed, n),
 		txns: make([]map[string]*expectedTxn, n), stopAt: make([]float64, n), sent: map[string][]timedWork{},
 		now: 1000, capacity: 1}
-	w.terms.Peers, w.terms.TellsStart, w.terms.Messages = n, r.Intn(3) > 0, r.Intn(2) > 0
-	w.terms.Copies, w.terms.Probes = r.Intn(2) > 0, r.Intn(2) > 0
-	w.terms.Cancels, w.terms.LiveWeight = r.Intn(3) > 0, r.Intn(2) > 0
+	w.terms.Schedulers, w.terms.ReportsStart, w.terms.Messages = n, r.Intn(3) > 0, r.Intn(2) > 0
+	w.terms.Hedging, w.terms.Probes = r.Intn(2) > 0, r.Intn(2) > 0
+	w.terms.Cancels, w.terms.WeightShowsLoad = r.Intn(3) > 0, r.Intn(2) > 0
 	w.terms.Schemes = slices.Clone(w.terms.Schemes)
-	w.terms.Schemes[2].Group = Group(r.Intn(3))
+	w.terms.Schemes[2].Group = DedupGroup(r.Intn(3))
 	for i := range r.Intn(7) {
 		row := Listed{ID: fmt.Sprint("w", i), Cell: i / 2, Zone: i % 2, Weight: 1}
 		if r.Intn(3) == 0 {
@@ -877,8 +877,8 @@
 		}
 		w.txnCount++
 		x := Txn{Ref: fmt.Sprint("t", w.txnCount), Scheme: w.rand.Intn(3), Key: key, Hint: hint, Slots: 1,
-			Left: 500 + w.rand.Float64()*6000}
-		w.txns[i][x.Ref] = &expectedTxn{Txn: x, expiresAt: min(w.now+x.Left, w.stopAt[i])}
+			TimeLeftMs: 500 + w.rand.Float64()*6000}
+		w.txns[i][x.Ref] = &expectedTxn{Txn: x, expiresAt: min(w.now+x.TimeLeftMs, w.stopAt[i])}
 		s.Arrived(w.now, x)
 	case k < 53 && len(w.list) > 0: // a worker restarts, drains, is removed or returns
 		row := &w.list[w.rand.Intn(len(w.list))]
@@ -891,12 +891,12 @@
 	case k < 61:
 		w.restart(i)
 	case k < 63:
-		s.Heard(w.now, w.rand.Intn(3), []byte{1, 2, 3, 4})
+		s.MessageReceived(w.now, w.rand.Intn(3), []byte{1, 2, 3, 4})
 	case k < 64:
-		s.Watched(w.now, w.rand.Intn(2) > 0)
+		s.WatchAnswered(w.now, w.rand.Intn(2) > 0)
 	case k < 65 && math.IsInf(w.stopAt[i], 1):
 		w.stopAt[i] = w.now + w.rand.Float64()*3000
-		s.Stops(w.stopAt[i])
+		s.StopAt(w.stopAt[i])
 		for _, t := range w.txns[i] {
 			t.expiresAt = min(t.expiresAt, w.stopAt[i])
 		}
@@ -947,7 +947,7 @@
 		}
 		if !t.answered && w.rand.Intn(3000) == 0 {
 			t.answered = true
-			w.schedulers[i].Gone(w.now, ref)
+			w.schedulers[i].TxnClosed(w.now, ref)
 		}
 	}
 }
@@ -1017,7 +1017,7 @@
 	}
 	scheme := w.terms.Schemes[t.Scheme]
 	for _, q := range t.postings {
-		if q.inFlight && !w.terms.Copies {
+		if q.inFlight && !w.terms.Hedging {
 			w.fail("rule 2: two postings of %s in flight", p.Ref)
 		}
 		if !q.inFlight && !q.mayHaveRun || scheme.Effect == Repeatable {
@@ -1038,7 +1038,7 @@
 // sqrt(N) + 3). A worker's capacity is the highest that any scheduler has estimated.
 func (w *randomRun) checkSlowStartBudget(i int, p Post, t *expectedTxn, row Listed) {
 	age := w.now - row.Start
-	if row.Start <= 0 || age >= w.terms.ColdFor {
+	if row.Start <= 0 || age >= w.terms.SlowStartMs {
 		return
 	}
 	key, s := fmt.Sprint(p.Worker, row.Start), w.schedulers[i]
@@ -1046,13 +1046,13 @@
 	w.sent[key] = append(w.sent[key], timedWork{w.now, s.txns[p.Ref].cost})
 	requests, work := 0.0, 0.0
 	for _, x := range w.sent[key] {
-		if w.now-x.at <= w.terms.Fall {
+		if w.now-x.at <= w.terms.SlowStartWindowMs {
 			requests++
 			work += x.work
 		}
 	}
-	share := w.terms.ColdFrom + (1-w.terms.ColdFrom)*max(age-w.terms.Fall, 0)/w.terms.ColdFor
-	n := w.capacity * w.terms.FallTimes * w.terms.Fall * share / runMeanCost
+	share := w.terms.SlowStartInitialShare + (1-w.terms.SlowStartInitialShare)*max(age-w.terms.SlowStartWindowMs, 0)/w.terms.SlowStartMs
+	n := w.capacity * w.terms.SlowStartMultiple * w.terms.SlowStartWindowMs * share / runMeanCost
 	most := n + 2*math.Sqrt(n) + 2
 	if n < 30 {
 		most = n + 3*math.Sqrt(n) + 3
@@ -1085,7 +1085,7 @@
 func TestOwnZoneFirstWhereCrossingIsSlow(t *testing.T) {
 	for far, own := range map[float64]bool{1: false, 40: true} {
 		terms := testTerms
-		terms.Peers = 40
+		terms.Schedulers = 40
 		s := New(terms)
 		var rows []Listed
 		for i := range 12 {
@@ -1104,7 +1104,7 @@
 					took = far
 				}
 				s.Ended(now+took, ref, 0, Full, false, NoLoad)
-				s.Gone(now+took, ref)
+				s.TxnClosed(now+took, ref)
 				continue
 			}
 			s.Started(now+1, ref, 0)
@@ -1124,7 +1124,7 @@
 func TestWorkerWithOpenConnectionFirst(t *testing.T) {
 	for fee, kept := range map[float64]bool{0: false, 0.08: true} {
 		terms := testTerms
-		terms.Peers, terms.LiveWeight, terms.Idle, terms.NewFee = 40, true, 10000, fee
+		terms.Schedulers, terms.WeightShowsLoad, terms.WorkerIdleTimeoutMs, terms.NewConnectionCost = 40, true, 10000, fee
 		s := New(terms)
 		var rows []Listed
 		for i := range 12 {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -33,7 +33,7 @@
 	c.now += c.arrivalGapMs
 	c.txnCount++
 	c.scheduler.Arrived(c.now, Txn{Ref: fmt.Sprint(c.txnCount), Hint: 100 + float64(c.txnCount*7919%200),
-		Slots: 1, Left: 20000})
+		Slots: 1, TimeLeftMs: 20000})
 }
 
 // poll takes all decisions, and has each posting start at once.
@@ -75,8 +75,8 @@
 	}
 }
 
-var benchTerms = Terms{Seed: 1, Peers: 1, Tick: 2, MaxPosts: 6, Copies: true, Cancels: true, Probes: true,
-	TellsStart: true, ColdFrom: 0.2, ColdFor: 20000, Fall: 2000, FallTimes: 3,
+var benchTerms = Terms{Seed: 1, Schedulers: 1, Tick: 2, MaxPostings: 6, Hedging: true, Cancels: true, Probes: true,
+	ReportsStart: true, SlowStartInitialShare: 0.2, SlowStartMs: 20000, SlowStartWindowMs: 2000, SlowStartMultiple: 3,
 	Schemes: []SchemeRow{{SLA: 1000, Stretch: 2, Expiry: 20000, Gain: 1, LateGain: 0.2}}}
 
 // BenchmarkByRunningTxns varies the number of running txns on 7,000 workers with 4 slots.
@@ -106,7 +106,7 @@
 			for c.scheduler.queue.count < n {
 				c.txnCount++
 				c.scheduler.Arrived(c.now, Txn{Ref: fmt.Sprint(c.txnCount), Hint: 100 + float64(c.txnCount*7919%200),
-					Slots: 1, Left: 1e9})
+					Slots: 1, TimeLeftMs: 1e9})
 			}
 			c.now += 1100
 			b.ReportAllocs()
@@ -115,7 +115,7 @@
 					w.concurrencyLimit = 4
 				}
 				c.txnCount++
-				c.scheduler.Arrived(c.now, Txn{Ref: fmt.Sprint(c.txnCount), Hint: 100, Slots: 1, Left: 1e9})
+				c.scheduler.Arrived(c.now, Txn{Ref: fmt.Sprint(c.txnCount), Hint: 100, Slots: 1, TimeLeftMs: 1e9})
 				c.poll(b)
 				p := c.running[0]
 				c.running = c.running[1:]
--- a/balance/handover.go
+++ b/balance/handover.go
@@ -11,47 +11,53 @@
 // exports all that the rules need to know of the txn, and the new one goes on with it. No decisions are made
 // here.
 
-// Carried is the state of an open txn that is handed over. encoding/json writes it under its Go field names.
-type Carried struct {
-	Txn      Txn
-	Row      SchemeRow // the scheme's row that it arrived under
-	MaxPosts int       // Terms.MaxPosts that it arrived under
-	Copies   bool      // Terms.Copies that it arrived under
-	// when it arrived, end of its SLA time, and expiry, on the clock that both processes share
-	Came, Due, Until float64
-	Surplus          bool // beyond its tenant's quota
-	Posts            []CarriedPost
+// TxnState is the state of an open txn that is handed over. Processes of other builds read its JSON form, so the
+// names in its tags must not change. Times are ms on the clock that both processes share.
+type TxnState struct {
+	Txn         Txn            `json:"Txn"`
+	Scheme      SchemeRow      `json:"Row"`      // the settings of its scheme that it arrived under
+	MaxPostings int            `json:"MaxPosts"` // Terms.MaxPostings that it arrived under
+	Hedging     bool           `json:"Copies"`   // Terms.Hedging that it arrived under
+	ArrivedAt   float64        `json:"Came"`     // when it arrived
+	SLAAt       float64        `json:"Due"`      // end of its SLA time
+	ExpiresAt   float64        `json:"Until"`    // its expiry
+	OverQuota   bool           `json:"Surplus"`  // beyond its tenant's quota
+	Postings    []PostingState `json:"Posts"`
 }
 
-// CarriedPost is one posting of a handed-over txn.
-type CarriedPost struct {
-	Worker                string
-	At, Start             float64 // when it was posted, and when it started
-	Begun, Done, Off, Ran bool    // it started; it ended; it was cancelled; it ended and may have run
+// PostingState is one posting of a handed-over txn.
+type PostingState struct {
+	Worker     string  `json:"Worker"`
+	PostedAt   float64 `json:"At"`    // when it was posted
+	StartedAt  float64 `json:"Start"` // when it started
+	Started    bool    `json:"Begun"` // it started
+	Ended      bool    `json:"Done"`  // it ended
+	Cancelled  bool    `json:"Off"`   // it was cancelled
+	MayHaveRun bool    `json:"Ran"`   // it ended and may have run
 }
 
-// Open returns the state of an open txn for the handover; ok is false where the txn is not open.
-func (s *Scheduler) Open(ref string) (c Carried, ok bool) {
+// ExportTxn returns the state of an open txn for the handover; ok is false where the txn is not open.
+func (s *Scheduler) ExportTxn(ref string) (c TxnState, ok bool) {
 	t := s.txns[ref]
 	if t == nil || t.closed {
 		return c, false
 	}
-	c = Carried{t.Txn, *t.schemeRow(), t.terms.MaxPosts, t.terms.Copies,
+	c = TxnState{t.Txn, *t.schemeRow(), t.terms.MaxPostings, t.terms.Hedging,
 		t.arrivedAt, t.slaAt, t.expiresAt, t.overQuota, nil}
 	for _, p := range t.postings {
-		c.Posts = append(c.Posts, CarriedPost{p.worker.ID, p.postedAt, p.startedAt,
+		c.Postings = append(c.Postings, PostingState{p.worker.ID, p.postedAt, p.startedAt,
 			p.started, p.ended, p.cancelled, p.mayHaveRun})
 	}
 	return c, true
 }
 
-// Carry takes over an open txn from another process. The txn keeps the terms it arrived under.
-func (s *Scheduler) Carry(c Carried) {
+// ImportTxn takes over an open txn from another process. The txn keeps the terms it arrived under.
+func (s *Scheduler) ImportTxn(c TxnState) {
 	terms := *s.terms
-	terms.Schemes, terms.MaxPosts, terms.Copies = []SchemeRow{c.Row}, c.MaxPosts, c.Copies
-	t := &txn{Txn: c.Txn, terms: &terms, arrivedAt: c.Came,
-		slaAt: min(c.Due, s.stopAt), expiresAt: min(c.Until, s.stopAt),
-		overQuota: c.Surplus, keyHash: crc32.ChecksumIEEE([]byte(c.Txn.Key))}
+	terms.Schemes, terms.MaxPostings, terms.Hedging = []SchemeRow{c.Scheme}, c.MaxPostings, c.Hedging
+	t := &txn{Txn: c.Txn, terms: &terms, arrivedAt: c.ArrivedAt,
+		slaAt: min(c.SLAAt, s.stopAt), expiresAt: min(c.ExpiresAt, s.stopAt),
+		overQuota: c.OverQuota, keyHash: crc32.ChecksumIEEE([]byte(c.Txn.Key))}
 	t.Scheme = 0
 	if t.cost = t.Hint * max(t.Slots, 1); t.Hint > 0 {
 		s.recordCost(t.cost)
@@ -59,15 +65,15 @@
 		t.cost = s.medianCost()
 	}
 	s.txns[t.Ref] = t
-	for i, x := range c.Posts {
+	for i, x := range c.Postings {
 		w := s.workersByID[x.Worker]
 		if w == nil { // no longer in the list
 			w = &worker{Listed: Listed{ID: x.Worker, State: Removed}, reportedFree: -1,
 				lastFullAt: math.Inf(-1), concurrencyLimit: math.MaxInt}
 			s.workersByID[x.Worker] = w
 		}
-		p := &posting{txn: t, worker: w, number: i, postedAt: x.At, startedAt: x.Start,
-			started: x.Begun, ended: x.Done, cancelled: x.Off, mayHaveRun: x.Ran}
+		p := &posting{txn: t, worker: w, number: i, postedAt: x.PostedAt, startedAt: x.StartedAt,
+			started: x.Started, ended: x.Ended, cancelled: x.Cancelled, mayHaveRun: x.MayHaveRun}
 		t.postings = append(t.postings, p)
 		t.mayHaveRun = t.mayHaveRun || p.mayHaveRun
 		if p.ended {
--- a/balance/handover_test.go
+++ b/balance/handover_test.go
@@ -4,26 +4,26 @@
 
 // A txn handed over to another process keeps the terms it arrived under, and its postings so far still count.
 func TestTxnHandover(t *testing.T) {
-	handOver := func(scheme int, outcome Outcome, end bool) (*Scheduler, Carried) {
+	handOver := func(scheme int, outcome Outcome, end bool) (*Scheduler, TxnState) {
 		a := newTestScheduler(testTerms, 6)
 		arrive(a, 100, "x", scheme, 100)
 		mustPost(t, a, 100)
 		if a.Started(110, "x", 0); end {
 			a.Ended(120, "x", 0, outcome, false, NoLoad)
 		}
-		c, ok := a.Open("x")
+		c, ok := a.ExportTxn("x")
 		if !ok {
 			t.Fatal("the txn is not open")
 		}
-		terms := testTerms // the other process has another effect and a lower MaxPosts
-		terms.Schemes, terms.MaxPosts = []SchemeRow{{SLA: 1, Expiry: 1}}, 1
+		terms := testTerms // the other process has another effect and a lower MaxPostings
+		terms.Schemes, terms.MaxPostings = []SchemeRow{{SLA: 1, Expiry: 1}}, 1
 		b := newTestScheduler(terms, 6)
-		b.Carry(c)
+		b.ImportTxn(c)
 		return b, c
 	}
 	// In flight and started: its worker is taken to run it, and its end settles the txn.
 	b, c := handOver(1, 0, false)
-	if w := b.workersByID[c.Posts[0].Worker]; len(w.inFlight) != 1 || w.unstarted != 0 || b.txns["x"].inFlight != 1 {
+	if w := b.workersByID[c.Postings[0].Worker]; len(w.inFlight) != 1 || w.unstarted != 0 || b.txns["x"].inFlight != 1 {
 		t.Error("its posting is not known to be running")
 	}
 	b.Ended(200, "x", 0, Done, true, NoLoad)
@@ -37,19 +37,19 @@
 		t.Errorf("a once-only txn that may have run: %+v %v, want a reversal", f, ok)
 	}
 	// Queued after a posting that may have run: it is repeated only within its group and window.
-	b, c = handOver(2, Erred, true)
+	b, c = handOver(2, Failed, true)
 	again := mustPost(t, b, 200)
-	if b.workersByID[again.Worker].Cell != b.workersByID[c.Posts[0].Worker].Cell || again.By != 100+5000 {
-		t.Errorf("posted again as %+v after %s", again, c.Posts[0].Worker)
+	if b.workersByID[again.Worker].Cell != b.workersByID[c.Postings[0].Worker].Cell || again.LatestSendAt != 100+5000 {
+		t.Errorf("posted again as %+v after %s", again, c.Postings[0].Worker)
 	}
 	// In flight but not started: it is known to be unstarted.
 	a := newTestScheduler(testTerms, 2)
 	arrive(a, 100, "y", 0, 100)
 	mustPost(t, a, 100)
-	c, _ = a.Open("y")
+	c, _ = a.ExportTxn("y")
 	b = newTestScheduler(testTerms, 0) // the other process's list doesn't have the worker either
-	b.Carry(c)
-	if len(b.unstarted) != 1 || b.workersByID[c.Posts[0].Worker].unstarted != 1 {
+	b.ImportTxn(c)
+	if len(b.unstarted) != 1 || b.workersByID[c.Postings[0].Worker].unstarted != 1 {
 		t.Error("its posting is not known to be unstarted")
 	}
 	b.Started(130, "y", 0)
@@ -57,7 +57,7 @@
 	if len(b.unstarted) != 0 || len(b.txns) != 0 || len(b.workersByID) != 0 {
 		t.Error("something of the txn is left")
 	}
-	if _, ok := a.Open("none"); ok {
+	if _, ok := a.ExportTxn("none"); ok {
 		t.Error("the state of an unknown txn was returned")
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -32,7 +32,7 @@
 			postedTo[fmt.Sprint(scheme, p.Worker)] = true
 			tries++
 		}
-		s.Gone(now, ref)
+		s.TxnClosed(now, ref)
 	}
 	if len(postedTo) != 4 {
 		t.Errorf("posted to scheme and worker: %v, want 4 pairs", postedTo)
@@ -53,7 +53,7 @@
 // a hedge half.
 func TestRetryBudget(t *testing.T) {
 	terms := testTerms
-	terms.BudgetFor, terms.BudgetFree, terms.BudgetRatio = 2000, 1, 0.05
+	terms.RetryBudgetWindowMs, terms.RetryBudgetMin, terms.RetryBudgetRatio = 2000, 1, 0.05
 	s := newTestScheduler(terms, 10)
 	var arrivals, extraPostings []float64
 	for i := range 3000 {
@@ -99,17 +99,17 @@
 	if len(s.extraPostings) != before {
 		t.Error("a posting that was never sent counts")
 	}
-	// While another process of this scheduler leads, BudgetFree is left to that process.
+	// While another process of this scheduler leads, RetryBudgetMin is left to that process.
 	s.arrivals, s.extraPostings = nil, nil
 	queued := &txn{Txn: Txn{Ref: "y"}, terms: s.terms, postings: []*posting{{ended: true}}}
 	if !s.budgetAllows(30000, queued) {
 		t.Error("BudgetFree can't be used")
 	}
-	s.Yields()
+	s.YieldLead()
 	if s.budgetAllows(30000, queued) {
 		t.Error("two processes of one scheduler would both use BudgetFree")
 	}
-	if s.Leads(30000); s.budgetAllows(31000, queued) || !s.budgetAllows(32001, queued) {
+	if s.TakeLead(30000); s.budgetAllows(31000, queued) || !s.budgetAllows(32001, queued) {
 		t.Error("a process that just took the lead does not wait for exactly one window")
 	}
 }
@@ -119,11 +119,11 @@
 // waits.
 func TestRetryBudgetSpent(t *testing.T) {
 	terms := testTerms
-	terms.BudgetFor, terms.BudgetFree, terms.MaxStay = 2000, 1, 2000
+	terms.RetryBudgetWindowMs, terms.RetryBudgetMin, terms.MaxStayAwayMs = 2000, 1, 2000
 	terms.Schemes = append([]SchemeRow{}, testTerms.Schemes...)
 	terms.Schemes[2].Window = 1e6
 	s := newTestScheduler(terms, 10)
-	s.Arrived(0, Txn{Ref: "spends", Hint: 100, Slots: 1, Left: 20000})
+	s.Arrived(0, Txn{Ref: "spends", Hint: 100, Slots: 1, TimeLeftMs: 20000})
 	mustPost(t, s, 0)
 	s.Ended(1, "spends", 0, TimedOut, false, NoLoad)
 	mustPost(t, s, 1)
@@ -132,11 +132,11 @@
 		mustPost(t, s, 2)
 		outcome := Full
 		if ref == "ran" {
-			outcome = Erred
+			outcome = Failed
 		}
 		s.Ended(3, ref, 0, outcome, false, NoLoad)
 	}
-	if f, ok := s.NextFinal(3); !ok || f.Ref != "full" || !f.Declined || f.Stay != 0 {
+	if f, ok := s.NextFinal(3); !ok || f.Ref != "full" || !f.Declined || f.StayAwayMs != 0 {
 		t.Errorf("got %+v %v, want full declined without stay-away", f, ok)
 	}
 	if f, ok := s.NextFinal(3); ok {
@@ -151,7 +151,7 @@
 // alone; a settled txn there ends the ejection. Reports that can't be sent are not kept.
 func TestSchemeFailureReports(t *testing.T) {
 	terms := testTerms
-	terms.Peers, terms.Messages = 40, true
+	terms.Schedulers, terms.Messages = 40, true
 	terms.Schemes = append([]SchemeRow{}, testTerms.Schemes...)
 	for i := range terms.Schemes {
 		terms.Schemes[i].Name = fmt.Sprint("s", i)
@@ -161,7 +161,7 @@
 		arrive(s, now, ref, 1, 100)
 		p := mustPost(t, s, now)
 		s.Started(now+1, ref, 0)
-		s.Ended(now+2, ref, 0, Erred, false, NoLoad)
+		s.Ended(now+2, ref, 0, Failed, false, NoLoad)
 		s.NextFinal(now + 2)
 		return p.Worker
 	}
@@ -180,14 +180,14 @@
 		return b.mayPost(now, tx, b.workersByID[failedWorker])
 	}
 	b.rerank(2000)
-	if b.Heard(2001, 3, body); !mayPost(1, 2002) {
+	if b.MessageReceived(2001, 3, body); !mayPost(1, 2002) {
 		t.Error("one reported failure ejects the worker")
 	}
-	if b.Heard(2003, 4, body); mayPost(1, 2004) || !mayPost(0, 2004) {
+	if b.MessageReceived(2003, 4, body); mayPost(1, 2004) || !mayPost(0, 2004) {
 		t.Error("two reported failures should eject the worker for that scheme alone")
 	}
 	body[2] |= settledFlag
-	if b.Heard(2005, 4, body); !mayPost(1, 2006) {
+	if b.MessageReceived(2005, 4, body); !mayPost(1, 2006) {
 		t.Error("still ejected after a reported recovery")
 	}
 	few := testTerms
@@ -201,15 +201,15 @@
 	}
 }
 
-// Whatever capacity a worker was observed to have, and at whatever load it fails (FallTimes), the quotas of all
+// Whatever capacity a worker was observed to have, and at whatever load it fails (SlowStartMultiple), the quotas of all
 // schedulers together stay within its budget. (When each scheduler in turn could send one txn, the shares added
 // up to twice the budget, so that a lower capacity than the observed one had to be assumed.)
 func TestSumOfQuotasIsBoundedForAnyFallTimes(t *testing.T) {
 	for _, times := range []float64{1.5, 4} {
 		terms := testTerms
-		terms.Peers, terms.FallTimes = 30, times
+		terms.Schedulers, terms.SlowStartMultiple = 30, times
 		requests, budget := 0, 0.0
-		for terms.Me = range terms.Peers {
+		for terms.Index = range terms.Schedulers {
 			s := newTestScheduler(terms, 21)
 			for _, w := range s.list {
 				w.maxRunning = 8
@@ -223,7 +223,7 @@
 				t.Fatalf("FallTimes %g: estimated capacity %g, observed 8", times, got)
 			}
 			budget = slowstart.Budget(s.slowStartLimits().Allowed(0, 8, s.meanWork()))
-			fleet := slowstart.Fleet{Number: terms.Me, Size: terms.Peers}
+			fleet := slowstart.Fleet{Number: terms.Index, Size: terms.Schedulers}
 			requests += s.slowStartLimits().Quota(fleet, w.idHash, 0, 8, s.requestStats()).Requests
 		}
 		if n := float64(requests); n > budget || n < budget/2 {
@@ -237,7 +237,7 @@
 // reports of it cost 0.04 of the total gain G.
 func TestInvalidRequestIsNotWorkersFault(t *testing.T) {
 	terms := testTerms
-	terms.Peers, terms.Messages = 40, true
+	terms.Schedulers, terms.Messages = 40, true
 	s := newTestScheduler(terms, 6)
 	posted := func(now float64, ref string, number int, outcome Outcome) *worker {
 		w := s.workersByID[mustPost(t, s, now).Worker]
@@ -246,8 +246,8 @@
 		return w
 	}
 	arrive(s, 1000, "bad", 0, 100)
-	a := posted(1000, "bad", 0, Unfit)
-	b := posted(1002, "bad", 1, Unfit)
+	a := posted(1000, "bad", 0, InvalidRequest)
+	b := posted(1002, "bad", 1, InvalidRequest)
 	if f, ok := s.NextFinal(1004); a == b || !ok || f.Ref != "bad" {
 		t.Errorf("posted to %s and %s, final answer %v", a.ID, b.ID, ok)
 	}
@@ -255,13 +255,13 @@
 		t.Error("workers are blamed for a client's invalid request")
 	}
 	arrive(s, 2000, "good", 0, 100)
-	a = posted(2000, "good", 0, Unfit)
+	a = posted(2000, "good", 0, InvalidRequest)
 	if b = posted(2002, "good", 1, Done); a == b || len(a.failuresByScheme) != 1 ||
 		len(b.failuresByScheme) != 0 || len(s.pendingReports) != 1 {
 		t.Errorf("failures: %v %v, reports: %d", a.failuresByScheme, b.failuresByScheme, len(s.pendingReports))
 	}
 	arrive(s, 3000, "once", 1, 100)
-	posted(3000, "once", 0, Unfit)
+	posted(3000, "once", 0, InvalidRequest)
 	if f, ok := s.NextFinal(3002); !ok || f.Declined {
 		t.Errorf("a once-only txn that may have run: %v %v, want a reversal", f, ok)
 	}
@@ -272,7 +272,7 @@
 func TestReportRateIsBoundedInAnyFleet(t *testing.T) {
 	messagesPerSecond := func(peers int, fee float64) float64 {
 		terms := testTerms
-		terms.Peers, terms.Messages, terms.TellFee = peers, true, fee
+		terms.Schedulers, terms.Messages, terms.MessageCost = peers, true, fee
 		s := newTestScheduler(terms, 50)
 		sent := 0
 		for i := range 4000 {
@@ -280,9 +280,9 @@
 			arrive(s, now, ref, 0, 10)
 			if p, ok := s.NextPosting(now); ok {
 				s.Started(now, p.Ref, 0)
-				s.Ended(now+5, p.Ref, 0, []Outcome{Done, Erred, Erred}[i%3], i%3 == 0, NoLoad)
+				s.Ended(now+5, p.Ref, 0, []Outcome{Done, Failed, Failed}[i%3], i%3 == 0, NoLoad)
 			}
-			s.Gone(now+6, ref)
+			s.TxnClosed(now+6, ref)
 			if _, ok := s.NextMessage(now + 6); ok {
 				sent++
 			}
--- a/balance/state.go
+++ b/balance/state.go
@@ -147,7 +147,7 @@
 				ranked: w.ranked, groupIndexes: w.groupIndexes, rankLoad: w.rankLoad,
 				rankZone: w.rankZone, rankKind: w.rankKind, dirty: w.dirty, unhealthy: w.unhealthy}
 		}
-		if s.terms.LiveWeight && effective.Weight > s.maxWeights[effective.Kind] {
+		if s.terms.WeightShowsLoad && effective.Weight > s.maxWeights[effective.Kind] {
 			s.maxWeights[effective.Kind], markAll = effective.Weight, true
 		}
 		s.markDirty(w)
@@ -186,7 +186,7 @@
 		s.firstListAt = now
 		// What this scheduler sent before its own restart is unknown to it, and still counts in the slow-start
 		// window.
-		s.slowStartFrom = max(s.slowStartFrom, now+s.terms.Fall)
+		s.slowStartFrom = max(s.slowStartFrom, now+s.terms.SlowStartWindowMs)
 		if s.listValidUntil > now {
 			// There is a valid list to begin with, so the watch can wait for this scheduler's turn.
 			s.nextWatchAt = now + s.watchSpreadMs()*s.turnFraction()
@@ -194,10 +194,10 @@
 	}
 }
 
-// Relies sets until when the list may be relied on. After that a worker that the list shows as running may be
-// draining, so nothing is posted until Relies sets a later time. A caller that never calls it guarantees that
-// its list is always valid.
-func (s *Scheduler) Relies(till float64) { s.listValidUntil = till }
+// SetListValidUntil sets until when, in ms, the list may be relied on. After that a worker that the list shows as
+// running may be draining, so nothing is posted until a later time is set. A caller that never calls it guarantees
+// that its list is always valid.
+func (s *Scheduler) SetListValidUntil(until float64) { s.listValidUntil = until }
 
 // Withdrawn reports that operators withdrew a worker: it counts as draining, whatever the list says, until
 // Returned.
@@ -271,10 +271,10 @@
 	}
 }
 
-// Heard takes a peer's message. It is a sequence of 3-byte entries, each of the low 16 bits of the worker's hash
+// MessageReceived takes a peer's message. It is a sequence of 3-byte entries, each of the low 16 bits of the worker's hash
 // and one byte: the peer's postings in flight there or, with many schedulers, the index of a scheme that failed
 // there, with settledFlag set if it has settled there again.
-func (s *Scheduler) Heard(now float64, from int, body []byte) {
+func (s *Scheduler) MessageReceived(now float64, from int, body []byte) {
 	if s.manySchedulers() {
 		for ; len(body) >= 3; body = body[3:] {
 			schemeIndex := int(body[2] &^ settledFlag)
@@ -383,18 +383,18 @@
 	return min(w.ownConcurrency.quantile(0.5, 1), float64(w.maxRunning))
 }
 
-// Gone reports that a client has left, or that its txn is closed.
-func (s *Scheduler) Gone(now float64, ref string) {
+// TxnClosed reports that a client has disconnected, or that its txn is closed.
+func (s *Scheduler) TxnClosed(now float64, ref string) {
 	if t := s.txns[ref]; t != nil {
 		s.closeTxn(t)
 	}
 }
 
-// Stops sets when this scheduler ends: a txn that waited for a later expiry would be lost with it.
-func (s *Scheduler) Stops(by float64) {
-	s.stopAt = by
+// StopAt sets when, in ms, this scheduler ends: a txn that waited for a later expiry would be lost with it.
+func (s *Scheduler) StopAt(at float64) {
+	s.stopAt = at
 	for _, t := range s.txns {
-		t.slaAt, t.expiresAt = min(t.slaAt, by), min(t.expiresAt, by)
+		t.slaAt, t.expiresAt = min(t.slaAt, at), min(t.expiresAt, at)
 	}
 	for _, t := range s.queue.slots {
 		if t != nil {
@@ -403,14 +403,14 @@
 	}
 }
 
-// Yields reports that another process of this scheduler now leads: only that process sends to workers in slow
+// YieldLead reports that another process of this scheduler now leads: only that process sends to workers in slow
 // start and messages peers, so that both together use one scheduler's quota.
-func (s *Scheduler) Yields() { s.slowStartFrom, s.yielded = math.Inf(1), true }
+func (s *Scheduler) YieldLead() { s.slowStartFrom, s.yielded = math.Inf(1), true }
 
-// Leads reports that this process leads from now on. It waits for one slow-start window first, as postings of
+// TakeLead reports that this process leads from now on. It waits for one slow-start window first, as postings of
 // the former leader still count.
-func (s *Scheduler) Leads(now float64) {
-	s.slowStartFrom, s.leadingSince, s.yielded = now+s.terms.Fall, now, false
+func (s *Scheduler) TakeLead(now float64) {
+	s.slowStartFrom, s.leadingSince, s.yielded = now+s.terms.SlowStartWindowMs, now, false
 }
 
 // closeTxn closes a txn. Its postings in flight are to be cancelled.
--- a/balance/types.go
+++ b/balance/types.go
@@ -9,38 +9,38 @@
 	"shalebeam/balance/slowstart"
 )
 
-// Effect says what running a txn again does.
-type Effect int
+// RepeatEffect says what running a txn again does.
+type RepeatEffect int
 
 const (
-	Repeatable Effect = iota // may run again
-	Referenced               // carries a mark (an idempotency key) by which the workers of its group drop a repeat
-	OnceOnly                 // must never run twice
+	Repeatable RepeatEffect = iota // may run again
+	Referenced                     // carries a mark (an idempotency key) by which the workers of its group drop a repeat
+	OnceOnly                       // must never run twice
 )
 
-// Group says which workers drop repeats of a referenced txn.
-type Group int
+// DedupGroup says which workers drop repeats of a referenced txn.
+type DedupGroup int
 
 const (
-	GroupAll  Group = iota // all workers
-	GroupZone              // those in the same zone
-	GroupCell              // those in the same cell
+	GroupAll  DedupGroup = iota // all workers
+	GroupZone                   // those in the same zone
+	GroupCell                   // those in the same cell
 )
 
-// SchemeRow is one scheme's row of the settings, as far as this package needs it. It is part of Carried and so
-// written as JSON under its field names.
+// SchemeRow is one scheme's row of the settings, as far as this package needs it. It is part of TxnState, the
+// JSON form of which other builds read: the names in its tags must not change.
 type SchemeRow struct {
-	Name     string  // identifies the scheme in other Terms
-	Effect   Effect  // what running a txn of it again does
-	Group    Group   // workers that drop repeats; for referenced schemes
-	Window   float64 // how long the group remembers a mark, ms
-	SLA      float64 // SLA time, ms, before Stretch
-	Stretch  float64 // the SLA time is longer by this many times the txn's expected run time
-	Expiry   float64 // longest time a txn may stay open, ms
-	Gain     float64 // gain of an answer within the SLA time
-	LateGain float64 // part of the gain that an answer after the SLA time still earns
-	Zones    uint64  // bits of the zones that it may run in, by their place in the settings; 0: all
-	Kinds    uint64  // the same of kinds
+	Name     string       `json:"Name"`     // identifies the scheme in other Terms
+	Effect   RepeatEffect `json:"Effect"`   // what running a txn of it again does
+	Group    DedupGroup   `json:"Group"`    // workers that drop repeats; for referenced schemes
+	Window   float64      `json:"Window"`   // how long the group remembers a mark, ms
+	SLA      float64      `json:"SLA"`      // SLA time, ms, before Stretch
+	Stretch  float64      `json:"Stretch"`  // the SLA time is longer by this many times the txn's expected run time
+	Expiry   float64      `json:"Expiry"`   // longest time a txn may stay open, ms
+	Gain     float64      `json:"Gain"`     // gain of an answer within the SLA time
+	LateGain float64      `json:"LateGain"` // part of the gain that an answer after the SLA time still earns
+	Zones    uint64       `json:"Zones"`    // bits of the zones that it may run in, by their place in the settings; 0: all
+	Kinds    uint64       `json:"Kinds"`    // the same of kinds
 }
 
 // Open reports whether a worker of this zone and kind may run txns of the scheme.
@@ -53,45 +53,46 @@
 
 // Terms are a scheduler's settings: what it is told at its start or by Retune.
 type Terms struct {
-	Seed       uint64      // of the random numbers
-	Me, Peers  int         // this scheduler's number, from 0, and the number of schedulers including it
-	Zone       int         // this scheduler's own zone
-	Tick       float64     // shortest delay, ms, after which the caller can poll again
-	Schemes    []SchemeRow // the schemes, in the order in which Txn.Scheme numbers them
-	Quota      []float64   // txns per second within each tenant's quota, by tenant; 0: no quota
-	OverGain   float64     // part of the gain that a txn beyond its tenant's quota counts for
-	MaxPosts   int         // postings that one txn may have in all
-	Copies     bool        // a txn may have two postings in flight
-	Cancels    bool        // unstarted and superfluous postings can be cancelled
-	Probes     bool        // workers answer probes
-	Messages   bool        // schedulers can send messages to their peers
-	MustAsk    bool        // discovery sends the list only when asked
-	AskIn      float64     // discovery is to be asked for the list at least this often, ms
-	TellsStart bool        // workers report when a posting starts to run
-	LiveWeight bool        // a worker's listed weight is its size divided by (1 + txns held per core)
-	MaxStay    float64     // longest time, ms, for which a client can be told to stay away; 0 where it can't
-	ColdFrom   float64     // part of its capacity that a worker has at its start, see slowstart.Limits
-	ColdFor    float64     // length of slow start after a worker's start, ms
-	Fall       float64     // window of the slow-start budget, ms
-	FallTimes  float64     // how many times its capacity a worker in slow start may be sent in a window
-	NewFee     float64     // cost of a new connection for each txn; only whether it is 0 matters here
-	TellFee    float64     // cost of a message of 256 bytes for each txn, as a part of the gain of all txns
-	Idle       float64     // workers close connections that have been idle this long, ms
-	// The retry budget: in any window of BudgetFor ms, the postings beyond each txn's first are at most
-	// BudgetFree, plus BudgetRatio for each txn that arrived.
-	BudgetFor, BudgetFree, BudgetRatio float64 // BudgetFor 0: no budget
+	Seed                  uint64      // of the random numbers
+	Index, Schedulers     int         // this scheduler's number, from 0, and the number of schedulers including it
+	Zone                  int         // this scheduler's own zone
+	Tick                  float64     // shortest delay, ms, after which the caller can poll again
+	Schemes               []SchemeRow // the schemes, in the order in which Txn.Scheme numbers them
+	Quota                 []float64   // txns per second within each tenant's quota, by tenant; 0: no quota
+	OverQuotaGainFactor   float64     // part of the gain that a txn beyond its tenant's quota counts for
+	MaxPostings           int         // postings that one txn may have in all
+	Hedging               bool        // a txn may have two postings in flight
+	Cancels               bool        // unstarted and superfluous postings can be cancelled
+	Probes                bool        // workers answer probes
+	Messages              bool        // schedulers can send messages to their peers
+	PollsList             bool        // discovery sends the list only when asked
+	ListPollIntervalMs    float64     // discovery is to be asked for the list at least this often, ms
+	ReportsStart          bool        // workers report when a posting starts to run
+	WeightShowsLoad       bool        // a worker's listed weight is its size divided by (1 + txns held per core)
+	MaxStayAwayMs         float64     // longest time, ms, for which a client can be told to stay away; 0 where it can't
+	SlowStartInitialShare float64     // part of its capacity that a worker has at its start, see slowstart.Limits
+	SlowStartMs           float64     // length of slow start after a worker's start, ms
+	SlowStartWindowMs     float64     // window of the slow-start budget, ms
+	SlowStartMultiple     float64     // how many times its capacity a worker in slow start may be sent in a window
+	NewConnectionCost     float64     // cost of a new connection for each txn; only whether it is 0 matters here
+	MessageCost           float64     // cost of a message of 256 bytes for each txn, as a part of the gain of all txns
+	WorkerIdleTimeoutMs   float64     // workers close connections that have been idle this long, ms
+	// The retry budget: in any window of RetryBudgetWindowMs, the postings beyond each txn's first are at
+	// most RetryBudgetMin, plus RetryBudgetRatio for each txn that arrived.
+	RetryBudgetWindowMs, RetryBudgetMin, RetryBudgetRatio float64 // RetryBudgetWindowMs 0: no budget
 }
 
-// Txn is a request as it arrived. It is part of Carried and so written as JSON under its field names.
+// Txn is a request as it arrived. It is part of TxnState, the JSON form of which other builds read: the names
+// in its tags must not change.
 type Txn struct {
-	Ref    string  // unique name
-	Scheme int     // index in Terms.Schemes
-	Tenant int     // index in Terms.Quota
-	Key    string  // names data that workers fetch and cache; empty where none is needed
-	Hint   float64 // expected run time, ms; below 0 where there is none
-	Slots  float64 // worker slots that it takes
-	Left   float64 // time until the client gives up, ms
-	Repeat bool    // the client marked it as a repeat
+	Ref        string  `json:"Ref"`    // unique name
+	Scheme     int     `json:"Scheme"` // index in Terms.Schemes
+	Tenant     int     `json:"Tenant"` // index in Terms.Quota
+	Key        string  `json:"Key"`    // names data that workers fetch and cache; empty where none is needed
+	Hint       float64 `json:"Hint"`   // expected run time, ms; below 0 where there is none
+	Slots      float64 `json:"Slots"`  // worker slots that it takes
+	TimeLeftMs float64 `json:"Left"`   // time until the client gives up, ms
+	Repeat     bool    `json:"Repeat"` // the client marked it as a repeat
 }
 
 // State is a worker's state in the list.
@@ -111,22 +112,22 @@
 	Kind   int
 	State  State
 	Start  float64 // when it last started; 0 for long ago
-	Weight float64 // size or, with Terms.LiveWeight, size lowered by load
+	Weight float64 // size or, with Terms.WeightShowsLoad, size lowered by load
 }
 
 // Outcome says how a posting or a probe ended.
 type Outcome int
 
 const (
-	Done      Outcome = iota
-	Erred             // an error; may have run
-	Full              // turned away for lack of a slot; never ran
-	TimedOut          // no answer in time; may have run
-	NoConnect         // no connection to the worker; never ran
-	Reset             // connection reset; may have run
-	Cancelled         // cancelled by this scheduler; may have run
-	NeverSent         // the caller did not send it; never ran
-	Unfit             // may have run; the worker says that the request itself is invalid
+	Done           Outcome = iota
+	Failed                 // an error; may have run
+	Full                   // turned away for lack of a slot; never ran
+	TimedOut               // no answer in time; may have run
+	NoConnect              // no connection to the worker; never ran
+	Reset                  // connection reset; may have run
+	Cancelled              // cancelled by this scheduler; may have run
+	NeverSent              // the caller did not send it; never ran
+	InvalidRequest         // may have run; the worker says that the request itself is invalid
 )
 
 // NeverRan reports whether the outcome proves that the posting had no effect.
@@ -140,16 +141,16 @@
 
 // Final is a txn's final answer where it is not that of a settled posting.
 type Final struct {
-	Ref      string
-	Declined bool    // declined if true, else reversed
-	Stay     float64 // how long the client is to stay away, ms
+	Ref        string
+	Declined   bool    // declined if true, else reversed
+	StayAwayMs float64 // how long the client is to stay away, ms
 }
 
 // Post is one posting to make.
 type Post struct {
-	Ref, Worker string
-	Timeout     float64 // ms; 0 means until the client gives up
-	By          float64 // latest time at which it may be sent; +Inf means any time
+	Ref, Worker  string
+	Timeout      float64 // ms; 0 means until the client gives up
+	LatestSendAt float64 // latest time at which it may be sent; +Inf means any time
 }
 
 // Cancel names one posting to cancel.
--- a/balance/withdrawal_test.go
+++ b/balance/withdrawal_test.go
@@ -66,7 +66,7 @@
 	arrive(s, 1, "old", 0, 100)
 	p := mustPost(t, s, 1)
 	fresh := terms
-	fresh.MaxPosts = 1
+	fresh.MaxPostings = 1
 	b, a := terms.Schemes[1], terms.Schemes[0]
 	a.Effect, a.Expiry = OnceOnly, 500
 	fresh.Schemes = []SchemeRow{b, a}
@@ -74,14 +74,14 @@
 	if s.longestLeftMs[1] != 500 || s.longestLeftMs[0] != 0 {
 		t.Errorf("longest times left: %v, want 0 and 500", s.longestLeftMs)
 	}
-	s.Ended(2, p.Ref, 0, Erred, false, NoLoad)
+	s.Ended(2, p.Ref, 0, Failed, false, NoLoad)
 	if again := mustPost(t, s, 600); again.Ref != "old" {
 		t.Error("an open repeatable txn is not posted again")
 	}
 	s.Ended(601, "old", 1, Done, true, NoLoad)
-	s.Arrived(700, Txn{Ref: "new", Scheme: 1, Hint: 100, Slots: 1, Left: 500})
+	s.Arrived(700, Txn{Ref: "new", Scheme: 1, Hint: 100, Slots: 1, TimeLeftMs: 500})
 	mustPost(t, s, 700)
-	s.Ended(701, "new", 0, Erred, false, NoLoad)
+	s.Ended(701, "new", 0, Failed, false, NoLoad)
 	if f, ok := s.NextFinal(702); !ok || f.Ref != "new" || f.Declined {
 		t.Errorf("a once-only txn that may have run: %+v %v, want a reversal", f, ok)
 	}
@@ -89,6 +89,6 @@
 	a.Kinds = 1
 	fresh.Schemes = []SchemeRow{b, a}
 	s.Retune(fresh)
-	s.Arrived(800, Txn{Ref: "kind", Scheme: 1, Hint: 100, Slots: 1, Left: 500})
+	s.Arrived(800, Txn{Ref: "kind", Scheme: 1, Hint: 100, Slots: 1, TimeLeftMs: 500})
 	mustPost(t, s, 800)
 }
--- a/benchwire/benchwire.go
+++ b/benchwire/benchwire.go
@@ -78,7 +78,7 @@
 	"Deleted": balance.Removed}
 
 // outcomes lists the outcomes of postings and probes by their codes on the wire.
-var outcomes = []balance.Outcome{balance.Done, balance.Erred, balance.Full, balance.TimedOut,
+var outcomes = []balance.Outcome{balance.Done, balance.Failed, balance.Full, balance.TimedOut,
 	balance.NoConnect, balance.Reset, balance.Cancelled, balance.NeverSent}
 
 // maxTimerUS is the longest delay of a timer, 70 minutes in microseconds. It is below 2^32.
@@ -188,7 +188,7 @@
 // outcome returns the outcome of a posting or a probe.
 func (m *message) outcome() balance.Outcome {
 	if m.Outcome < 0 || m.Outcome >= len(outcomes) {
-		return balance.Erred // may have run: an unknown code proves nothing
+		return balance.Failed // may have run: an unknown code proves nothing
 	}
 	return outcomes[m.Outcome]
 }
@@ -203,20 +203,20 @@
 			hint = usToMS(m.WorkHintUS)
 		}
 		scheduler.Arrived(now, balance.Txn{Ref: m.refText(), Scheme: m.Scheme, Tenant: m.Tenant, Key: m.Key, Hint: hint,
-			Slots: m.Cores, Left: usToMS(m.RemainingUS), Repeat: m.Options&optRepeat != 0})
+			Slots: m.Cores, TimeLeftMs: usToMS(m.RemainingUS), Repeat: m.Options&optRepeat != 0})
 	case "dropped":
-		scheduler.Gone(now, m.refText())
+		scheduler.TxnClosed(now, m.refText())
 	case "answer":
 		scheduler.Ended(now, m.refText(), m.Attempt, m.outcome(), m.Closed, in.settings.Load(m.LoadReport))
 	case "update_of":
 		scheduler.Started(now, m.refText(), m.Attempt)
 	case "datagram":
-		scheduler.Heard(now, m.Sender, m.Payload)
+		scheduler.MessageReceived(now, m.Sender, m.Payload)
 	case "ping_result":
 		scheduler.Probed(now, m.Worker, m.outcome(), in.settings.Load(m.LoadReport))
 	case "sync":
 		if m.Scope == "Error" {
-			scheduler.Watched(now, false)
+			scheduler.WatchAnswered(now, false)
 			return
 		}
 		rows := make([]balance.Listed, 0, len(m.Elements))
@@ -230,7 +230,7 @@
 		}
 		scheduler.ListChanged(now, m.Scope != "Partial", rows)
 		if m.Scope != "Persisted" {
-			scheduler.Watched(now, true)
+			scheduler.WatchAnswered(now, true)
 		}
 	case "timer":
 		if now >= in.timerAt {
@@ -249,8 +249,8 @@
 			more = true
 			if f.Declined {
 				s.beginAction("refuse", in.id)
-				if f.Stay > 0 {
-					s.writeInt("stay_away", msToUS(f.Stay))
+				if f.StayAwayMs > 0 {
+					s.writeInt("stay_away", msToUS(f.StayAwayMs))
 				}
 			} else {
 				s.beginAction("end_failed", in.id)
--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -426,14 +426,14 @@
 	for i, box := range p.Boxes() {
 		wk := &worker{exp: exp, number: i, Box: box, model: machine.New(p.Spec(box.Group, meanWork)), running: p.Workers[box.Group].Joins == 0,
 			random: load.Rand(exp.seed, "worker"+box.Name), postings: map[*machine.Job]*posting{}, conns: map[*workerConn]bool{},
-			idempotencyKeys: map[balance.Group]*machine.Shelf{}}
+			idempotencyKeys: map[balance.DedupGroup]*machine.Shelf{}}
 		wk.model.Change(exp.wallClockMs(), func() {})
 		wk.freeSlotReadings = [2]float64{float64(wk.model.Slots), float64(wk.model.Slots)}
 		if checkpointShelves[box.Cell] == nil {
 			checkpointShelves[box.Cell] = machine.NewShelf()
 		}
 		wk.model.Saves = checkpointShelves[box.Cell]
-		for g, key := range map[balance.Group]string{balance.GroupAll: "all",
+		for g, key := range map[balance.DedupGroup]string{balance.GroupAll: "all",
 			balance.GroupZone: fmt.Sprint("zone", box.Zone), balance.GroupCell: fmt.Sprint("cell", box.Cell)} {
 			if keyShelves[key] == nil {
 				keyShelves[key] = machine.NewShelf()
--- a/lab/live/schedulers.go
+++ b/lab/live/schedulers.go
@@ -29,7 +29,7 @@
 	micros := func(s plan.Span) int64 { return int64(float64(s) * 1000) }
 	var schemes, orgs []map[string]any
 	var kinds []int
-	effects := map[balance.Effect]string{balance.Repeatable: "retryable", balance.Referenced: "dedup",
+	effects := map[balance.RepeatEffect]string{balance.Repeatable: "retryable", balance.Referenced: "dedup",
 		balance.OnceOnly: "fragile"}
 	rows := p.Rows()
 	for _, i := range p.In(phase) {
--- a/lab/live/workers.go
+++ b/lab/live/workers.go
@@ -28,9 +28,9 @@
 	addrs            []string // by scheduler
 	mu               sync.Mutex
 	model            *machine.Machine
-	running          bool                             // its process runs
-	vanished         bool                             // its machine sends nothing, and its connections stay open
-	idempotencyKeys  map[balance.Group]*machine.Shelf // keys that were carried out, shared with the other workers of each group
+	running          bool                                  // its process runs
+	vanished         bool                                  // its machine sends nothing, and its connections stay open
+	idempotencyKeys  map[balance.DedupGroup]*machine.Shelf // keys that were carried out, shared with the other workers of each group
 	random           *rand.Rand
 	timer            *time.Timer // for the model's next step
 	postings         map[*machine.Job]*posting
@@ -266,7 +266,7 @@
 	fields["result"] = result
 	switch {
 	case failed:
-		send("failed", nil, balance.Erred)
+		send("failed", nil, balance.Failed)
 	case wrongID:
 		fields["id"] = "t0-999"
 		send("done", fields, balance.Reset)
--- a/lab/plan/layout.go
+++ b/lab/plan/layout.go
@@ -49,11 +49,11 @@
 }
 
 // effects maps the values of Scheme.Effect.
-var effects = map[string]balance.Effect{"repeatable": balance.Repeatable, "referenced": balance.Referenced,
+var effects = map[string]balance.RepeatEffect{"repeatable": balance.Repeatable, "referenced": balance.Referenced,
 	"once-only": balance.OnceOnly}
 
 // groups maps the values of Scheme.Group.
-var groups = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone,
+var groups = map[string]balance.DedupGroup{"all": balance.GroupAll, "zone": balance.GroupZone,
 	"cell": balance.GroupCell}
 
 // Row returns the settings of scheme i in the form that package balance takes.
@@ -70,11 +70,11 @@
 // Terms returns the settings of scheduler number me for a start with this seed.
 func (p *Plan) Terms(me int, seed uint64) balance.Terms {
 	s, d, c := &p.Schedulers, &p.Discovery, &p.Cold
-	t := balance.Terms{Seed: seed, Me: me, Peers: s.Count, Zone: me % len(s.Zones), Tick: float64(s.Tick),
-		OverGain: s.OverShare, MaxPosts: s.MaxPosts, Copies: s.Copies, Cancels: s.Cancels, Probes: s.Probes,
-		Messages: s.Peers, TellFee: s.PeerPrice, MustAsk: d.Mode == "watch", AskIn: float64(d.MustAsk), TellsStart: true,
-		LiveWeight: d.Weights == "live", MaxStay: float64(s.Advice), ColdFrom: c.From, ColdFor: float64(c.For),
-		Fall: float64(c.Fall), FallTimes: c.Times}
+	t := balance.Terms{Seed: seed, Index: me, Schedulers: s.Count, Zone: me % len(s.Zones), Tick: float64(s.Tick),
+		OverQuotaGainFactor: s.OverShare, MaxPostings: s.MaxPosts, Hedging: s.Copies, Cancels: s.Cancels, Probes: s.Probes,
+		Messages: s.Peers, MessageCost: s.PeerPrice, PollsList: d.Mode == "watch", ListPollIntervalMs: float64(d.MustAsk),
+		ReportsStart: true, WeightShowsLoad: d.Weights == "live", MaxStayAwayMs: float64(s.Advice),
+		SlowStartInitialShare: c.From, SlowStartMs: float64(c.For), SlowStartWindowMs: float64(c.Fall), SlowStartMultiple: c.Times}
 	for i := range p.Schemes {
 		t.Schemes = append(t.Schemes, p.Row(i))
 	}
--- a/lab/plan/retune.go
+++ b/lab/plan/retune.go
@@ -63,7 +63,7 @@
 	for _, i := range p.In(phase) {
 		t.Schemes = append(t.Schemes, rows[i])
 	}
-	t.MaxPosts = p.PostsIn(phase)
+	t.MaxPostings = p.PostsIn(phase)
 	return t
 }
 
--- a/lab/policy/bugs.go
+++ b/lab/policy/bugs.go
@@ -104,7 +104,7 @@
 // reportsNeverRan tells the decider that postings of schemes with one effect never ran, though they may have.
 type reportsNeverRan struct {
 	base
-	effect balance.Effect
+	effect balance.RepeatEffect
 	refs   map[string]bool
 }
 
@@ -227,9 +227,9 @@
 		return
 	}
 	for _, ref := range slices.Sorted(maps.Keys(b.schemes)) {
-		if c, ok := scheduler.Open(ref); ok && b.schemes[ref] < len(terms.Schemes) {
-			c.Row = terms.Schemes[b.schemes[ref]]
-			scheduler.Carry(c)
+		if c, ok := scheduler.ExportTxn(ref); ok && b.schemes[ref] < len(terms.Schemes) {
+			c.Scheme = terms.Schemes[b.schemes[ref]]
+			scheduler.ImportTxn(c)
 		}
 	}
 }
@@ -237,7 +237,7 @@
 // reliesTooLong relies on its list 2 s longer than it may.
 type reliesTooLong struct{ base }
 
-func (b *reliesTooLong) Relies(till float64) { b.Decider.Relies(till + 2000) }
+func (b *reliesTooLong) SetListValidUntil(until float64) { b.Decider.SetListValidUntil(until + 2000) }
 
 // asksLate waits before it asks for a new watch, for up to the time that a round of calls by all schedulers may take, and
 // relies on its list meanwhile.
@@ -246,11 +246,11 @@
 	nextAskAt float64
 }
 
-func (*asksLate) Relies(float64) {}
+func (*asksLate) SetListValidUntil(float64) {}
 
-func (b *asksLate) Watched(now float64, ok bool) {
-	if b.Decider.Watched(now, ok); !ok {
-		b.nextAskAt = now + 0.8*b.terms.AskIn
+func (b *asksLate) WatchAnswered(now float64, ok bool) {
+	if b.Decider.WatchAnswered(now, ok); !ok {
+		b.nextAskAt = now + 0.8*b.terms.ListPollIntervalMs
 	}
 }
 
--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -17,15 +17,15 @@
 // Decider makes the decisions of one scheduler. *balance.Scheduler implements it; package balance documents each call.
 type Decider interface {
 	ListChanged(now float64, whole bool, rows []balance.Listed)
-	Watched(now float64, ok bool)
-	Relies(till float64)
+	WatchAnswered(now float64, ok bool)
+	SetListValidUntil(until float64)
 	Arrived(now float64, x balance.Txn)
 	Started(now float64, ref string, no int)
 	Ended(now float64, ref string, no int, how balance.Outcome, closed bool, load balance.Load)
 	Probed(now float64, id string, how balance.Outcome, load balance.Load)
-	Heard(now float64, from int, body []byte)
-	Gone(now float64, ref string)
-	Stops(by float64)
+	MessageReceived(now float64, from int, body []byte)
+	TxnClosed(now float64, ref string)
+	StopAt(at float64)
 	Withdrawn(now float64, id string)
 	Returned(now float64, id string)
 	Retune(terms balance.Terms)
@@ -88,7 +88,7 @@
 	waiting        []*openTxn      // open txns without a posting out
 	watching       bool            // a watch on the list of workers is on
 	nextAskAt      float64         // when to ask for a watch next
-	listValidUntil float64         // nothing is posted from then on, see balance.Scheduler.Relies
+	listValidUntil float64         // nothing is posted from then on, see balance.Scheduler.SetListValidUntil
 	stopAt         float64         // when this scheduler stops; +Inf: no stop is planned
 	withdrawn      map[string]bool // workers that staff took out
 }
@@ -154,9 +154,9 @@
 	b.listed = slices.DeleteFunc(b.listed, func(w *worker) bool { return !w.inList })
 }
 
-func (b *baseline) Relies(till float64) { b.listValidUntil = till }
+func (b *baseline) SetListValidUntil(until float64) { b.listValidUntil = until }
 
-func (b *baseline) Watched(now float64, ok bool) {
+func (b *baseline) WatchAnswered(now float64, ok bool) {
 	b.watching = ok
 	if !ok {
 		b.nextAskAt = now + watchRetryMs + watchRetryMs*b.draw()
@@ -164,7 +164,7 @@
 }
 
 func (b *baseline) Arrived(now float64, x balance.Txn) {
-	t := &openTxn{Txn: x, row: b.terms.Schemes[x.Scheme], maxPosts: b.terms.MaxPosts, until: min(now+x.Left, b.stopAt)}
+	t := &openTxn{Txn: x, row: b.terms.Schemes[x.Scheme], maxPosts: b.terms.MaxPostings, until: min(now+x.TimeLeftMs, b.stopAt)}
 	b.open[x.Ref] = t
 	b.waiting = append(b.waiting, t)
 }
@@ -202,19 +202,19 @@
 }
 
 func (b *baseline) Probed(float64, string, balance.Outcome, balance.Load) {}
-func (b *baseline) Heard(float64, int, []byte)                            {}
+func (b *baseline) MessageReceived(float64, int, []byte)                  {}
 
-func (b *baseline) Gone(_ float64, ref string) {
+func (b *baseline) TxnClosed(_ float64, ref string) {
 	if t := b.open[ref]; t != nil {
 		t.closed = true
 		b.closeTxn(t)
 	}
 }
 
-func (b *baseline) Stops(by float64) {
-	b.stopAt = by
+func (b *baseline) StopAt(at float64) {
+	b.stopAt = at
 	for _, t := range b.open {
-		t.until = min(t.until, by)
+		t.until = min(t.until, at)
 	}
 }
 
@@ -255,7 +255,7 @@
 		t.outstanding++
 		w.outstanding++
 		b.waiting = slices.DeleteFunc(b.waiting, func(o *openTxn) bool { return o == t })
-		return balance.Post{Ref: t.Ref, Worker: w.ID, By: math.Inf(1)}, true
+		return balance.Post{Ref: t.Ref, Worker: w.ID, LatestSendAt: math.Inf(1)}, true
 	}
 	return balance.Post{}, false
 }
@@ -277,8 +277,8 @@
 			return false
 		}
 	}
-	if age := now - w.Start; w.Start > 0 && age < b.terms.ColdFor {
-		return b.draw() < coldAcceptShare*(b.terms.ColdFrom+(1-b.terms.ColdFrom)*max(age, 0)/b.terms.ColdFor)
+	if age := now - w.Start; w.Start > 0 && age < b.terms.SlowStartMs {
+		return b.draw() < coldAcceptShare*(b.terms.SlowStartInitialShare+(1-b.terms.SlowStartInitialShare)*max(age, 0)/b.terms.SlowStartMs)
 	}
 	return true
 }
@@ -326,16 +326,16 @@
 func (b *baseline) NextMessage(float64) ([]byte, bool) { return nil, false }
 
 func (b *baseline) NextWatch(now float64) bool {
-	if !b.terms.MustAsk || b.watching || now < b.nextAskAt {
+	if !b.terms.PollsList || b.watching || now < b.nextAskAt {
 		return false
 	}
-	b.nextAskAt = now + b.terms.AskIn
+	b.nextAskAt = now + b.terms.ListPollIntervalMs
 	return true
 }
 
 func (b *baseline) Wake(now float64) float64 {
 	at := math.Inf(1)
-	if b.terms.MustAsk && !b.watching {
+	if b.terms.PollsList && !b.watching {
 		at = b.nextAskAt
 	}
 	for _, t := range b.waiting {
--- a/lab/sim/schedulers.go
+++ b/lab/sim/schedulers.go
@@ -169,7 +169,7 @@
 	s.txns[txn.ref] = txn
 	s.sim.auditor.Took(s.sim.now, s.name, txn.ref, txn.scheme, txn.until)
 	s.decider.Arrived(s.clock(), balance.Txn{Ref: txn.ref, Scheme: schemePlace, Tenant: attempt.job.Tenant,
-		Key: attempt.job.Key, Hint: attempt.job.Hint, Slots: float64(attempt.job.Slots), Left: expiry - s.sim.now,
+		Key: attempt.job.Key, Hint: attempt.job.Hint, Slots: float64(attempt.job.Slots), TimeLeftMs: expiry - s.sim.now,
 		Repeat: attempt.job.Tries > 0})
 	s.scheduleExpiry(txn)
 	s.runDecisions()
@@ -199,7 +199,7 @@
 	}
 	txn.closed = true
 	s.sim.auditor.Left(s.sim.now, ref)
-	s.decider.Gone(s.clock(), ref)
+	s.decider.TxnClosed(s.clock(), ref)
 	s.forgetIfDone(txn)
 	s.runDecisions()
 }
@@ -253,7 +253,7 @@
 		p.worker.wastedWork += p.work()
 	}
 	p.txn.outstanding--
-	if outcome == balance.Done || outcome == balance.Full || outcome == balance.Erred {
+	if outcome == balance.Done || outcome == balance.Full || outcome == balance.Failed {
 		s.idleConns[p.worker.no] = idleConn{p.workerGen, s.sim.now}
 	}
 	s.sim.auditor.Ended(s.sim.now, p.txn.ref, p.no, outcome)
@@ -309,9 +309,9 @@
 	if call, ok := s.watch.NextCall(); ok {
 		s.sim.discovery.makeCall(s, call)
 	}
-	s.decider.Relies(s.watch.Till())
+	s.decider.SetListValidUntil(s.watch.Till())
 	for watching, ok := s.watch.NextTold(); ok; watching, ok = s.watch.NextTold() {
-		s.decider.Watched(s.clock(), watching)
+		s.decider.WatchAnswered(s.clock(), watching)
 	}
 	if at := s.watch.Wake(); at < s.watchWakeAt {
 		s.watchWakeAt = at
@@ -368,7 +368,7 @@
 // runOneDecision pulls one decision and carries it out. It returns false if there is none.
 func (s *scheduler) runOneDecision(now float64) bool {
 	if final, ok := s.decider.NextFinal(now); ok {
-		s.digestDecision(now, "final", final.Ref, final.Stay)
+		s.digestDecision(now, "final", final.Ref, final.StayAwayMs)
 		answer := load.Reversed
 		if final.Declined {
 			answer = load.Declined
@@ -379,7 +379,7 @@
 			return true
 		}
 		txn.closed = true
-		s.answerClient(txn, answer, "", final.Stay)
+		s.answerClient(txn, answer, "", final.StayAwayMs)
 		s.forgetIfDone(txn)
 		return true
 	}
@@ -391,7 +391,7 @@
 		return true
 	}
 	if p, ok := s.decider.NextPosting(now); ok {
-		s.digestDecision(now, p.Worker, p.Ref, p.By)
+		s.digestDecision(now, p.Worker, p.Ref, p.LatestSendAt)
 		s.post(p)
 		return true
 	}
@@ -410,7 +410,7 @@
 					if peer.generation == gen && peer.alive {
 						s.sim.result.Fleet.Heard++
 						s.sim.result.Fleet.Bytes += len(body)
-						peer.decider.Heard(peer.clock(), s.no, body)
+						peer.decider.MessageReceived(peer.clock(), s.no, body)
 						peer.runDecisions()
 					}
 				})
@@ -452,8 +452,8 @@
 	s.dial(w, p.awaited, func(workerGen int) {
 		unusable := s.states[w.no] != balance.Running || s.clock() >= s.watch.Till() || s.sim.withdrawn[w.Name] > 0
 		if _, skipCheck := s.decider.(interface{ SkipsLastCheck() }); unusable && !skipCheck || txn.closed ||
-			s.clock() > decision.By {
-			s.postingEnded(p, balance.NeverSent, balance.NoLoad) // too late, see balance.Post.By
+			s.clock() > decision.LatestSendAt {
+			s.postingEnded(p, balance.NeverSent, balance.NoLoad) // too late, see balance.Post.LatestSendAt
 			return
 		}
 		p.workerGen = workerGen
@@ -542,7 +542,7 @@
 		txn.until = min(txn.until, s.stopBy)
 		s.scheduleExpiry(txn)
 	}
-	s.decider.Stops(s.clock() + s.stopBy - s.sim.now)
+	s.decider.StopAt(s.clock() + s.stopBy - s.sim.now)
 	gen := s.generation
 	s.sim.after(frontNoticeMs+frontNoticeMs*load.Rand(s.sim.seed, s.name+"front").Float64(), func() {
 		s.inService = s.inService && s.generation != gen
--- a/lab/sim/simulation.go
+++ b/lab/sim/simulation.go
@@ -174,8 +174,8 @@
 			checkpoints[b.Cell] = machine.NewShelf()
 		}
 		w.model.Saves = checkpoints[b.Cell]
-		w.idempotencyKeys = map[balance.Group]*machine.Shelf{}
-		for group, key := range map[balance.Group]string{balance.GroupAll: "all",
+		w.idempotencyKeys = map[balance.DedupGroup]*machine.Shelf{}
+		for group, key := range map[balance.DedupGroup]string{balance.GroupAll: "all",
 			balance.GroupZone: fmt.Sprint("zone", b.Zone), balance.GroupCell: fmt.Sprint("cell", b.Cell)} {
 			if idempotencyKeys[key] == nil {
 				idempotencyKeys[key] = machine.NewShelf()
--- a/lab/sim/workers.go
+++ b/lab/sim/workers.go
@@ -19,7 +19,7 @@
 	up              bool // its process runs
 	unresponsive    bool // its host sends nothing at all, not even a reset of connections to a dead process
 	generation      int  // counts starts and ends of its process; connections to an earlier process are broken
-	idempotencyKeys map[balance.Group]*machine.Shelf
+	idempotencyKeys map[balance.DedupGroup]*machine.Shelf
 	rand            *rand.Rand
 	wakeAt          float64 // time of the scheduled call of Advance; -1: none
 	// Shares of its answers that faults make fail, repeat, come late, or name another txn.
@@ -136,7 +136,7 @@
 				w.sim.auditor.Made(w.sim.now, p.txn.ref, p.no, w.Name, "", note.Drop)
 			}
 			w.addWasted(note.Job)
-			reportEnd(balance.Erred)
+			reportEnd(balance.Failed)
 			return
 		}
 		result := p.txn.ref + " by " + w.Name
--- a/scheduler/clients.go
+++ b/scheduler/clients.go
@@ -361,7 +361,7 @@
 		c.answer(503, "declined\n", -1)
 		return
 	}
-	request.txn.Left = max(request.txn.Left-c.unreadWaitMs(), minTimeLeftMs)
+	request.txn.TimeLeftMs = max(request.txn.TimeLeftMs-c.unreadWaitMs(), minTimeLeftMs)
 	c.txn = c.s.driver.addTxn(c, request)
 }
 
--- a/scheduler/clients_test.go
+++ b/scheduler/clients_test.go
@@ -50,16 +50,16 @@
 	}
 	const bare = "Request-Id: r1\r\n"
 	for head, want := range map[string]balance.Txn{
-		bare: {Ref: "r1", Hint: -1, Left: 20000, Tenant: 2},
+		bare: {Ref: "r1", Hint: -1, TimeLeftMs: 20000, Tenant: 2},
 		bare + "Tenant: b\r\nCookie: a=1; sid=7f; sid2=x\r\nClient-Retry: 1\r\n": {Ref: "r1", Tenant: 1, Key: "7f",
-			Hint: -1, Left: 20000, Repeat: true},
+			Hint: -1, TimeLeftMs: 20000, Repeat: true},
 		bare + "Request-Timeout: 480m\r\nWork-Hint: 1500\r\nRequest-Info: memory=3,slots=2\r\n": {Ref: "r1",
-			Hint: 1.5, Slots: 2, Left: 480, Tenant: 2},
-		bare + "Request-Timeout: 1500u\r\nTenant: nobody\r\n": {Ref: "r1", Hint: -1, Left: 1.5, Tenant: 2},
+			Hint: 1.5, Slots: 2, TimeLeftMs: 480, Tenant: 2},
+		bare + "Request-Timeout: 1500u\r\nTenant: nobody\r\n": {Ref: "r1", Hint: -1, TimeLeftMs: 1.5, Tenant: 2},
 		// A timeout is capped at the scheme's expiry: one client's absurd timeout would make the module take all later txns of the
 		// scheme for late ones.
 		bare + "Request-Timeout: 1e300m\r\nRequest-Info: slots=x,,=\r\n": {Ref: "r1", Hint: -1,
-			Left: 20000, Tenant: 2},
+			TimeLeftMs: 20000, Tenant: 2},
 	} {
 		if req, problem := read(head); problem != "" || req.txn != want {
 			t.Errorf("%q: %s %+v, want %+v", head, problem, req.txn, want)
--- a/scheduler/driver.go
+++ b/scheduler/driver.go
@@ -55,7 +55,7 @@
 // addTxn begins a txn for a request that has arrived whole.
 func (d *driver) addTxn(client *client, req clientRequest) *txn {
 	now := d.s.now()
-	t := &txn{ref: req.txn.Ref, request: req, client: client, deadline: min(now+req.txn.Left, d.stopAt)}
+	t := &txn{ref: req.txn.Ref, request: req, client: client, deadline: min(now+req.txn.TimeLeftMs, d.stopAt)}
 	d.txns[t.ref] = t
 	d.module.Arrived(now, req.txn)
 	return t
@@ -66,7 +66,7 @@
 	t.client = nil
 	if !t.closed {
 		t.closed = true
-		d.module.Gone(d.s.now(), t.ref)
+		d.module.TxnClosed(d.s.now(), t.ref)
 		d.dropUnsent(t)
 		d.deleteIfFinished(t)
 	}
@@ -124,7 +124,7 @@
 		d.deadlines[i].deadline = p.deadline
 	}
 	heap.Init(&d.deadlines)
-	d.module.Stops(stopAt)
+	d.module.StopAt(stopAt)
 }
 
 // executeDecisions carries out the module's decisions until there are none left. Events that this causes, such as a
@@ -161,7 +161,7 @@
 			t.closed = true
 			if f.Declined {
 				d.txnCounts.Declined++
-				t.client.answer(503, "declined\n", f.Stay)
+				t.client.answer(503, "declined\n", f.StayAwayMs)
 			} else {
 				d.txnCounts.Reversed++
 				t.client.answer(502, "reversed\n", -1)
@@ -200,7 +200,7 @@
 
 // post begins a posting, and sends it to its worker.
 func (d *driver) post(now float64, t *txn, p balance.Post) {
-	attempt := &posting{txn: t, number: len(t.postings), deadline: t.deadline, sendBy: p.By}
+	attempt := &posting{txn: t, number: len(t.postings), deadline: t.deadline, sendBy: p.LatestSendAt}
 	if p.Timeout > 0 {
 		attempt.deadline = min(attempt.deadline, now+p.Timeout)
 	}
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -118,7 +118,7 @@
 	if zone != "" {
 		status.Workers = map[string]string{}
 		zones := o.s.node.decoded.Zones
-		o.s.driver.module.Shown(o.s.now(), func(id string, zoneIndex int, cold bool, ownPostings int) {
+		o.s.driver.module.EachRunningWorker(o.s.now(), func(id string, zoneIndex int, cold bool, ownPostings int) {
 			switch {
 			case zoneIndex < 0 || zoneIndex >= len(zones) || zones[zoneIndex] != zone:
 			case o.workerRecords[id].isOut() && ownPostings > 0:
--- a/scheduler/handover.go
+++ b/scheduler/handover.go
@@ -119,7 +119,7 @@
 		h.listenForTransfers()
 	}
 	if !h.mayUseCold {
-		h.s.driver.module.Yields()
+		h.s.driver.module.YieldLead()
 	}
 	h.readRecords()
 }
@@ -224,7 +224,7 @@
 		if hasSuccessor := h.countOthers(servingLocks) > 0; hasSuccessor && !h.hasSuccessor {
 			h.s.log.Printf("msg=handover state=passed")
 			h.hasSuccessor = true
-			h.s.driver.module.Yields()
+			h.s.driver.module.YieldLead()
 			h.mayUseCold = false
 			h.unlockByte(lockColdWorkers)
 			h.steerToNext()
@@ -236,7 +236,7 @@
 		h.s.applyDrainDeadline()
 	} else if !h.mayUseCold && h.lockByte(lockColdWorkers) {
 		h.mayUseCold = true
-		h.s.driver.module.Leads(now)
+		h.s.driver.module.TakeLead(now)
 	}
 }
 
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -21,9 +21,9 @@
 )
 
 // outcomeNames are the values of the label outcome of shalebeam_attempts_total.
-var outcomeNames = map[balance.Outcome]string{balance.Done: "done", balance.Erred: "error", balance.Full: "turned_away",
+var outcomeNames = map[balance.Outcome]string{balance.Done: "done", balance.Failed: "error", balance.Full: "turned_away",
 	balance.NoConnect: "no_connection", balance.Reset: "reset", balance.TimedOut: "timeout", balance.Cancelled: "cancelled",
-	balance.NeverSent: "never_sent", balance.Unfit: "unfit"}
+	balance.NeverSent: "never_sent", balance.InvalidRequest: "unfit"}
 
 // metrics counts the outcomes of requests and attempts, and follows the system calls that fail.
 type metrics struct {
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -136,9 +136,9 @@
 	if n.decoded, err = startup.Decode(n.Settings, seed); err != nil {
 		return err
 	}
-	if t := &n.decoded.Terms; t.Messages && n.PeerListen != "" && (len(n.Peers) != t.Peers || t.Me >= t.Peers) {
+	if t := &n.decoded.Terms; t.Messages && n.PeerListen != "" && (len(n.Peers) != t.Schedulers || t.Index >= t.Schedulers) {
 		return fmt.Errorf("peers: there are %d addresses, but the settings have my_number %d and peers_total %d",
-			len(n.Peers), t.Me, t.Peers)
+			len(n.Peers), t.Index, t.Schedulers)
 	}
 	seen := map[string]bool{}
 	for i, name := range n.decoded.Schemes {
@@ -154,9 +154,9 @@
 		n.decoded.Idle = defaultIdleMs
 	}
 	// This program gets discovery's list only by asking for it; nothing pushes it.
-	n.decoded.Terms.MustAsk = true
-	if n.decoded.Terms.AskIn <= 0 {
-		n.decoded.Terms.AskIn = defaultAskMs
+	n.decoded.Terms.PollsList = true
+	if n.decoded.Terms.ListPollIntervalMs <= 0 {
+		n.decoded.Terms.ListPollIntervalMs = defaultAskMs
 	}
 	if n.PeerListen == "" || n.PeersAll == "" {
 		n.decoded.Terms.Messages = false
--- a/scheduler/peers.go
+++ b/scheduler/peers.go
@@ -45,7 +45,7 @@
 		}
 		return
 	}
-	if from != p.s.node.decoded.Terms.Me {
-		p.s.driver.module.Heard(p.s.now(), from, body)
+	if from != p.s.node.decoded.Terms.Index {
+		p.s.driver.module.MessageReceived(p.s.now(), from, body)
 	}
 }
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -475,9 +475,9 @@
 	case wc.probing && s == 503, (s == 503 || s == 504) && notStarted == "1":
 		return balance.Full
 	case s == 400:
-		return balance.Unfit // not the worker's fault: one client's bad requests must not make the module avoid it
+		return balance.InvalidRequest // not the worker's fault: one client's bad requests must not make the module avoid it
 	}
-	return balance.Erred
+	return balance.Failed
 }
 
 // traffic is called when bytes have come from the worker.
@@ -600,7 +600,7 @@
 		case "done":
 			wc.handleFinalLine(balance.Done, line)
 		case "failed":
-			wc.handleFinalLine(balance.Erred, line)
+			wc.handleFinalLine(balance.Failed, line)
 		case "returned":
 			wc.handleFinalLine(balance.Full, line)
 		case "lost":
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -69,7 +69,7 @@
 	s.pool.updateWorker("w1", "127.0.0.1:3", true)
 	s.driver.module.ListChanged(s.now(), true, []balance.Listed{{ID: "w1", Weight: 1}})
 	tx := s.driver.addTxn(nil, clientRequest{scheme: &n.decoded.Terms.Schemes[0],
-		txn: balance.Txn{Ref: "r1", Hint: 100, Left: 20000}})
+		txn: balance.Txn{Ref: "r1", Hint: 100, TimeLeftMs: 20000}})
 	if _, ok := s.driver.module.NextPosting(s.now()); !ok {
 		t.Fatal("the module decided on no posting for the txn")
 	}
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -29,7 +29,7 @@
 	req = clientRequest{scheme: settings, method: c.req.Method, path: c.req.Target, host: get("host"),
 		idempotencyKey: get("idempotency-key"), contentType: get("content-type"), body: c.req.Body()}
 	req.txn = balance.Txn{Ref: get("request-id"), Scheme: scheme, Key: cookieValue(get("cookie"), "sid"), Hint: -1,
-		Left: settings.Expiry, Repeat: get("client-retry") == "1", Tenant: indexOf(c.s.node.decoded.Tenants, get("tenant"))}
+		TimeLeftMs: settings.Expiry, Repeat: get("client-retry") == "1", Tenant: indexOf(c.s.node.decoded.Tenants, get("tenant"))}
 	if req.txn.Tenant < 0 {
 		req.txn.Tenant = len(c.s.node.decoded.Tenants) // an unknown tenant uses none of the known tenants' shares
 	}
@@ -57,7 +57,7 @@
 			return req, "bad Request-Timeout"
 		}
 		// No client waits longer than its scheme's expiry, and the module compares the time left with the expiry.
-		req.txn.Left = min(leftMs, settings.Expiry)
+		req.txn.TimeLeftMs = min(leftMs, settings.Expiry)
 	}
 	if v, ok := f.Get("work-hint"); ok {
 		hintUs, ok := parseDecimal(v)
--- a/scheduler/roster.go
+++ b/scheduler/roster.go
@@ -89,7 +89,7 @@
 
 // begin starts the watch with the list from the configuration, where there is one.
 func (r *roster) begin() {
-	r.watch = watch.New(r.s.now(), r.s.node.decoded.Terms.AskIn, watch.EachCall*float64(r.s.node.decoded.Terms.Peers))
+	r.watch = watch.New(r.s.now(), r.s.node.decoded.Terms.ListPollIntervalMs, watch.EachCall*float64(r.s.node.decoded.Terms.Schedulers))
 	r.applyWatch()
 	if len(r.s.node.Known) == 0 {
 		return
@@ -109,7 +109,7 @@
 
 // retune takes new settings, and goes over to discovery's new address if that has changed.
 func (r *roster) retune(addr string) {
-	r.watch.Retune(r.s.node.decoded.Terms.AskIn)
+	r.watch.Retune(r.s.node.decoded.Terms.ListPollIntervalMs)
 	if addr != r.addr {
 		r.addr = addr
 		r.watch.Went(r.s.now())
@@ -135,9 +135,9 @@
 	if c, ok := r.watch.NextCall(); ok {
 		r.sendCall(c)
 	}
-	r.s.driver.module.Relies(r.watch.Till())
+	r.s.driver.module.SetListValidUntil(r.watch.Till())
 	for working, ok := r.watch.NextTold(); ok; working, ok = r.watch.NextTold() {
-		r.s.driver.module.Watched(r.s.now(), working)
+		r.s.driver.module.WatchAnswered(r.s.now(), working)
 	}
 }
 
--- a/scheduler/transfer.go
+++ b/scheduler/transfer.go
@@ -44,7 +44,7 @@
 // transferredTxn is the txn that the client's connection waits for: the module's state of it, the fields of the request that go
 // on to workers, and the postings that have a connection.
 type transferredTxn struct {
-	State              balance.Carried `json:"Known"`
+	State              balance.TxnState `json:"Known"`
 	Method, Path, Host string
 	IdempotencyKey     string `json:"Mark"`
 	ContentType        string `json:"Kind"`
@@ -114,7 +114,7 @@
 	message := transferMessage{Now: h.s.now(), BootOffsetMs: h.s.clock.bootOffsetMs, Answered: c.answeredTxn}
 	fds := []int{c.conn.Fd()}
 	if t := c.txn; t != nil {
-		state, isOpen := h.s.driver.module.Open(t.ref)
+		state, isOpen := h.s.driver.module.ExportTxn(t.ref)
 		if !isOpen {
 			return true
 		}
@@ -161,7 +161,7 @@
 	d := &c.s.driver
 	if t := c.txn; t != nil {
 		c.txn, t.client, t.closed = nil, nil, true
-		d.module.Gone(d.s.now(), t.ref)
+		d.module.TxnClosed(d.s.now(), t.ref)
 		for _, p := range t.postings {
 			if conn := p.conn; conn != nil {
 				conn.posting, p.conn = nil, nil
@@ -370,16 +370,16 @@
 		shiftMs = transitMs
 	}
 	state := &sent.State
-	state.Came, state.Due, state.Until = state.Came+shiftMs, state.Due+shiftMs, state.Until+shiftMs
-	for i := range state.Posts {
-		state.Posts[i].At += shiftMs
-		state.Posts[i].Start += shiftMs
+	state.ArrivedAt, state.SLAAt, state.ExpiresAt = state.ArrivedAt+shiftMs, state.SLAAt+shiftMs, state.ExpiresAt+shiftMs
+	for i := range state.Postings {
+		state.Postings[i].PostedAt += shiftMs
+		state.Postings[i].StartedAt += shiftMs
 	}
 	t := &txn{ref: state.Txn.Ref, client: c, deadline: min(sent.Until+shiftMs, d.stopAt)}
-	t.request = clientRequest{txn: state.Txn, scheme: &state.Row, method: sent.Method, path: sent.Path, host: sent.Host,
+	t.request = clientRequest{txn: state.Txn, scheme: &state.Scheme, method: sent.Method, path: sent.Path, host: sent.Host,
 		idempotencyKey: sent.IdempotencyKey, contentType: sent.ContentType, body: sent.Body}
 	c.setBodyBytes(len(sent.Body))
-	t.postings = make([]*posting, len(state.Posts))
+	t.postings = make([]*posting, len(state.Postings))
 	for i := range t.postings {
 		t.postings[i] = &posting{txn: t, number: i}
 	}
@@ -406,7 +406,7 @@
 		heap.Push(&d.deadlines, postingDeadline{p.deadline, p})
 	}
 	d.txns[t.ref], c.txn = t, t
-	d.module.Carry(*state)
+	d.module.ImportTxn(*state)
 	d.s.handover.txnsReceived++
 	return conns
 }
--- a/scheduler/transfer_test.go
+++ b/scheduler/transfer_test.go
@@ -99,8 +99,11 @@
 			continue
 		}
 		state := got.Txn.State
-		got.Txn.State = balance.Carried{}
-		if state.Txn.Ref != "r1" || len(state.Posts) != 1 || !reflect.DeepEqual(*got.Txn, transferredTxn{Method: "POST",
+		got.Txn.State = balance.TxnState{}
+		wantState := balance.TxnState{Txn: balance.Txn{Ref: "r1", Tenant: 1, Key: "7f", Hint: 1.5, TimeLeftMs: 480},
+			MaxPostings: 3, Hedging: true, ArrivedAt: 900, SLAAt: 1500, ExpiresAt: 2000,
+			Postings: []balance.PostingState{{Worker: "w1", PostedAt: 910, StartedAt: 920, Started: true}}}
+		if !reflect.DeepEqual(state, wantState) || !reflect.DeepEqual(*got.Txn, transferredTxn{Method: "POST",
 			Path: "/look", Host: "h", IdempotencyKey: "k1", ContentType: "text/plain", Body: []byte("body"), Until: 2000.75,
 			Posts: []transferredPosting{{Number: 2, Worker: "w1", Addr: "127.0.0.1:3", Until: 1800, SendBy: -1,
 				Response: []byte("HTTP")}}}) {
--- a/startup/startup.go
+++ b/startup/startup.go
@@ -131,11 +131,12 @@
 	for _, fixed := range []struct {
 		key  string
 		same bool
-	}{{"my_number", old.Me == updated.Me}, {"peers_total", old.Peers == updated.Peers}, {"zone", old.Zone == updated.Zone},
+	}{{"my_number", old.Index == updated.Index}, {"peers_total", old.Schedulers == updated.Schedulers},
+		{"zone", old.Zone == updated.Zone},
 		{"zones", slices.Equal(t.Zones, fresh.Zones)}, {"kinds", slices.Equal(t.Kinds, fresh.Kinds)},
-		{"weights", old.LiveWeight == updated.LiveWeight},
-		{"domain", old.TellsStart == updated.TellsStart && t.FreeSlots == fresh.FreeSlots},
-		{"membership_mode", old.MustAsk == updated.MustAsk}, {"report", t.Reports == fresh.Reports},
+		{"weights", old.WeightShowsLoad == updated.WeightShowsLoad},
+		{"domain", old.ReportsStart == updated.ReportsStart && t.FreeSlots == fresh.FreeSlots},
+		{"membership_mode", old.PollsList == updated.PollsList}, {"report", t.Reports == fresh.Reports},
 		{"policy_limits.peers", old.Messages == updated.Messages}} {
 		if !fixed.same {
 			kept = append(kept, fixed.key)
@@ -151,9 +152,9 @@
 	}
 	out = fresh
 	terms := &out.Terms
-	terms.Seed, terms.Me, terms.Peers, terms.Zone = old.Seed, old.Me, old.Peers, old.Zone
-	terms.LiveWeight, terms.TellsStart = old.LiveWeight, old.TellsStart
-	terms.MustAsk, terms.Messages = old.MustAsk, old.Messages
+	terms.Seed, terms.Index, terms.Schedulers, terms.Zone = old.Seed, old.Index, old.Schedulers, old.Zone
+	terms.WeightShowsLoad, terms.ReportsStart = old.WeightShowsLoad, old.ReportsStart
+	terms.PollsList, terms.Messages = old.PollsList, old.Messages
 	out.Zones, out.Kinds, out.Reports, out.FreeSlots = t.Zones, t.Kinds, t.Reports, t.FreeSlots
 	return out, kept, nil
 }
@@ -225,20 +226,21 @@
 
 // terms converts the settings to the terms of package balance.
 func (in *settings) terms(seed uint64) (balance.Terms, error) {
-	t := balance.Terms{Seed: seed, Me: in.SchedulerNumber, Peers: in.SchedulerCount, Zone: in.Zone,
-		Tick: usToMS(in.TickUS), OverGain: in.SurplusGain,
-		MaxPosts: math.MaxInt, Copies: in.Limits.ParallelTries, Cancels: in.Limits.Cancel, Messages: in.Limits.Peers,
-		Probes: in.Limits.Probes, Idle: usToMS(in.Limits.ConnIdleUS), NewFee: in.Fees.Handshake, TellFee: in.Fees.Peer,
-		LiveWeight: in.Weights == "live",
-		MustAsk:    in.MembershipMode == "subscribe", AskIn: usToMS(in.Guarantees.MustAskInUS),
-		TellsStart: in.Domain.TellsStart,
-		ColdFrom:   in.Guarantees.ColdFrom, ColdFor: usToMS(in.Guarantees.ColdUS),
-		Fall: usToMS(in.Guarantees.FallUS), FallTimes: in.Guarantees.FallMultiple}
+	t := balance.Terms{Seed: seed, Index: in.SchedulerNumber, Schedulers: in.SchedulerCount, Zone: in.Zone,
+		Tick: usToMS(in.TickUS), OverQuotaGainFactor: in.SurplusGain,
+		MaxPostings: math.MaxInt, Hedging: in.Limits.ParallelTries, Cancels: in.Limits.Cancel, Messages: in.Limits.Peers,
+		Probes: in.Limits.Probes, WorkerIdleTimeoutMs: usToMS(in.Limits.ConnIdleUS),
+		NewConnectionCost: in.Fees.Handshake, MessageCost: in.Fees.Peer,
+		WeightShowsLoad: in.Weights == "live",
+		PollsList:       in.MembershipMode == "subscribe", ListPollIntervalMs: usToMS(in.Guarantees.MustAskInUS),
+		ReportsStart:          in.Domain.TellsStart,
+		SlowStartInitialShare: in.Guarantees.ColdFrom, SlowStartMs: usToMS(in.Guarantees.ColdUS),
+		SlowStartWindowMs: usToMS(in.Guarantees.FallUS), SlowStartMultiple: in.Guarantees.FallMultiple}
 	if in.Limits.MaxPostings != nil {
-		t.MaxPosts = *in.Limits.MaxPostings
+		t.MaxPostings = *in.Limits.MaxPostings
 	}
 	if in.Limits.RetryAfter {
-		t.MaxStay = usToMS(in.Limits.MaxRetryAfterUS)
+		t.MaxStayAwayMs = usToMS(in.Limits.MaxRetryAfterUS)
 	}
 	for i, scheme := range in.Schemes {
 		row := balance.SchemeRow{Name: scheme.Name, Window: usToMS(scheme.WindowUS), SLA: usToMS(scheme.SLATimeUS),
@@ -292,12 +294,12 @@
 	case rules.ResendRatio != nil && *rules.ResendRatio < 0:
 		return t, fmt.Errorf("guarantees.resend_ratio: %v, want 0 or more", *rules.ResendRatio)
 	}
-	t.BudgetFor = usToMS(*rules.LookBackUS)
+	t.RetryBudgetWindowMs = usToMS(*rules.LookBackUS)
 	if rules.BudgetFree != nil {
-		t.BudgetFree = *rules.BudgetFree
+		t.RetryBudgetMin = *rules.BudgetFree
 	}
 	if rules.ResendRatio != nil {
-		t.BudgetRatio = *rules.ResendRatio
+		t.RetryBudgetRatio = *rules.ResendRatio
 	}
 	return t, nil
 }
--- a/startup/startup_test.go
+++ b/startup/startup_test.go
@@ -20,8 +20,8 @@
 		t.Fatal(err)
 	}
 	terms := told.Terms
-	if terms.Seed != 7 || terms.Me != 2 || terms.Peers != 3 || terms.Tick != 2 || !terms.MustAsk || !terms.LiveWeight ||
-		terms.MaxStay != 2000 || terms.MaxPosts < 1000 || len(terms.Quota) != 1 || terms.Quota[0] != 4 {
+	if terms.Seed != 7 || terms.Index != 2 || terms.Schedulers != 3 || terms.Tick != 2 || !terms.PollsList || !terms.WeightShowsLoad ||
+		terms.MaxStayAwayMs != 2000 || terms.MaxPostings < 1000 || len(terms.Quota) != 1 || terms.Quota[0] != 4 {
 		t.Errorf("terms: %+v", terms)
 	}
 	first := balance.SchemeRow{Name: "s", Effect: balance.Referenced, Group: balance.GroupZone, Window: 40000, SLA: 500,
@@ -85,7 +85,7 @@
 	if len(kept) != 2 || kept[0] != "my_number" || kept[1] != "zones" {
 		t.Errorf("kept %v, want my_number and zones", kept)
 	}
-	if got.Terms.Me != 1 || got.Zones[0] != "a" || got.Terms.Tick != 3 || got.Terms.MaxPosts != 2 ||
+	if got.Terms.Index != 1 || got.Zones[0] != "a" || got.Terms.Tick != 3 || got.Terms.MaxPostings != 2 ||
 		len(got.Terms.Schemes) != 2 || got.Schemes[1] != "t" || got.Terms.Schemes[0].Expiry != 2 {
 		t.Errorf("got: %+v", got)
 	}
@@ -105,8 +105,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if terms := told.Terms; terms.Schemes[0].Zones != 3 || terms.Schemes[0].Kinds != 2 || terms.BudgetFor != 2000 ||
-		terms.BudgetFree != 1 || terms.BudgetRatio != 0.05 {
+	if terms := told.Terms; terms.Schemes[0].Zones != 3 || terms.Schemes[0].Kinds != 2 || terms.RetryBudgetWindowMs != 2000 ||
+		terms.RetryBudgetMin != 1 || terms.RetryBudgetRatio != 0.05 {
 		t.Errorf("got %+v", terms)
 	}
 	for raw, key := range map[string]string{
@@ -126,7 +126,7 @@
 	}
 	// A budget of 0 is kept as such: it allows no posting beyond a txn's first.
 	told, err = Decode([]byte(head+`"gain":1}],"guarantees":{"budget_free":0,"resend_ratio":0,"look_back":5}}`), 1)
-	if err != nil || told.Terms.BudgetFor != 0.005 || told.Terms.BudgetFree != 0 {
+	if err != nil || told.Terms.RetryBudgetWindowMs != 0.005 || told.Terms.RetryBudgetMin != 0 {
 		t.Errorf("got %+v %v", told.Terms, err)
 	}
 }
