--- a/balance/balance.go
+++ b/balance/balance.go
@@ -135,7 +135,7 @@
 	binCounts   [numBins]int // recent costs in each bin
 	costSum     float64      // sum of the recent costs
 	// mean cost and share of hinted and unhinted txns
-	workStats   slowstart.Work
+	workStats   slowstart.WorkEstimator
 	recentKeys  []uint32       // hashes of the keys of the last keyed txns
 	keyCounts   map[uint32]int // how often each hash is in recentKeys
 	completions int            // txns settled since the last ranking
@@ -153,8 +153,8 @@
 	quotaWorkers []*worker
 	// number of workers that the list shows as running
 	runningWorkers    int
-	capacityEstimates map[workerSize]float64 // see capacityOf; cleared at each ranking
-	capacity          slowstart.Capacity     // what warm workers settle, by kind
+	capacityEstimates map[workerSize]float64      // see capacityOf; cleared at each ranking
+	capacity          slowstart.CapacityEstimator // what warm workers settle, by kind
 	// summed sizes of all warm workers, by kind, at the last ranking
 	warmSizes map[int]float64
 	// by ranking, the least cost that no worker accepts in the current decision
@@ -262,7 +262,7 @@
 // Arrived adds a new txn, which from now on is owed exactly one final answer.
 func (s *Scheduler) Arrived(now float64, x Txn) {
 	t := &txn{Txn: x, terms: s.terms, arrivedAt: now, expiresAt: now + x.TimeLeftMs, keyHash: crc32.ChecksumIEEE([]byte(x.Key))}
-	s.workStats.Arrived(x.Hint > 0)
+	s.workStats.AddArrival(x.Hint > 0)
 	if x.Hint > 0 {
 		t.cost = x.Hint * max(x.Slots, 1)
 		s.recordCost(t.cost)
@@ -364,13 +364,13 @@
 		work := t.cost
 		if t.Hint <= 0 && p.started {
 			work = (now - p.startedAt) * max(t.Slots, 1)
-			s.workStats.Settled(work)
+			s.workStats.AddSettledUnhinted(work)
 		}
 		if s.recentSettled = append(s.recentSettled, timedWork{now, work}); len(s.recentSettled) > recentSettledCount {
 			s.recentSettled = s.recentSettled[1:]
 		}
 		if !s.inSlowStart(now, w) {
-			s.capacity.Settled(now, w.Kind, work)
+			s.capacity.AddSettled(now, w.Kind, work)
 		}
 		byWork := func(a, b timedWork) int { return cmp.Compare(a.work, b.work) }
 		s.heaviestSettled = slices.MaxFunc(s.recentSettled, byWork).work
@@ -543,7 +543,7 @@
 	s.slowStartCandidates = slices.DeleteFunc(s.slowStartCandidates, func(w *worker) bool {
 		// A worker in slow start is ranked only where this scheduler has a quota for it.
 		stillStarting := s.inSlowStart(now, w) && w.inList
-		if w.hasQuota = stillStarting && w.State == Running && s.slowStartQuota(now, w).Any(); w.hasQuota {
+		if w.hasQuota = stillStarting && w.State == Running && s.slowStartQuota(now, w).AdmitsAny(); w.hasQuota {
 			s.quotaWorkers = append(s.quotaWorkers, w)
 		}
 		s.markDirty(w)
@@ -589,7 +589,7 @@
 		}
 	}
 	for kind, size := range s.warmSizes {
-		s.capacity.Warm(now, kind, size)
+		s.capacity.SetWarmSize(now, kind, size)
 	}
 }
 
@@ -688,7 +688,7 @@
 	// With many schedulers, few of this scheduler's txns fit its quota for a worker in slow start, and by rank
 	// alone most of the quota would go unused.
 	for _, w := range s.quotaWorkers {
-		inTime := t.expectedRunMs() < s.slowStartLimits().Share(earlyWarmFactor*(now-w.Start))*(t.slaAt-now)
+		inTime := t.expectedRunMs() < s.slowStartLimits().CapacityShare(earlyWarmFactor*(now-w.Start))*(t.slaAt-now)
 		if s.manySchedulers() && inTime && eligible(w) && s.mayPost(now, t, w) {
 			return w
 		}
@@ -952,8 +952,8 @@
 // slowStartLimits returns what the settings allow for workers in slow start.
 func (s *Scheduler) slowStartLimits() slowstart.Limits {
 	t := s.terms
-	return slowstart.Limits{InitialShare: t.SlowStartInitialShare, WarmUp: t.SlowStartMs, Window: t.SlowStartWindowMs,
-		Multiple: t.SlowStartMultiple}
+	return slowstart.Limits{InitialShare: t.SlowStartInitialShare, WarmUpMs: t.SlowStartMs, WindowMs: t.SlowStartWindowMs,
+		CapacityMultiple: t.SlowStartMultiple}
 }
 
 // slowStartQuota returns what this scheduler may send to a worker in slow start in any window of SlowStartWindowMs.
@@ -963,8 +963,8 @@
 }
 
 // requestStats returns what is known about incoming requests.
-func (s *Scheduler) requestStats() slowstart.Requests {
-	return slowstart.Requests{MeanWork: s.meanWork(), Heaviest: s.heaviestSettled, Unhinted: s.workStats.Unhinted()}
+func (s *Scheduler) requestStats() slowstart.RequestStats {
+	return slowstart.RequestStats{MeanWorkMs: s.meanWork(), HeaviestMs: s.heaviestSettled, MostlyUnhinted: s.workStats.MostlyUnhinted()}
 }
 
 // capacityOf estimates a lower bound of what a warm worker of the same size runs at once, in txns at the pace of
@@ -981,7 +981,7 @@
 				capacity = max(capacity, o.observedCapacity())
 			}
 		}
-		capacity = max(capacity, s.capacity.Of(s.rankedAt, w.Kind, s.relativeSize(w), s.terms.Schedulers))
+		capacity = max(capacity, s.capacity.Estimate(s.rankedAt, w.Kind, s.relativeSize(w), s.terms.Schedulers))
 		s.capacityEstimates[size] = capacity
 	}
 	return s.capacityEstimates[size]
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -382,7 +382,7 @@
 		all := slowStartFleet(peers, start)
 		terms := all[0].terms
 		for _, age := range []float64{1, 9000, 19000} {
-			budget := slowstart.Budget(all[0].slowStartLimits().Allowed(age, 1, 100))
+			budget := slowstart.RequestBudget(all[0].slowStartLimits().AllowedRequests(age, 1, 100))
 			for _, cost := range []float64{10, 60, 180} {
 				now, senders, requests, work := start+age, 0, 0, 0.0
 				for _, s := range all {
@@ -452,7 +452,7 @@
 				work += x.work
 			}
 			// the capacity is 1, as nothing is known
-			n := terms.SlowStartMultiple * all[0].slowStartLimits().Share(age) * terms.SlowStartWindowMs / mean
+			n := terms.SlowStartMultiple * all[0].slowStartLimits().CapacityShare(age) * terms.SlowStartWindowMs / mean
 			most := n + 2*math.Sqrt(n) + 2
 			if n < 30 {
 				most = n + 3*math.Sqrt(n) + 3
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -222,9 +222,9 @@
 			if got := s.capacityOf(w); got != 8 {
 				t.Fatalf("FallTimes %g: estimated capacity %g, observed 8", times, got)
 			}
-			budget = slowstart.Budget(s.slowStartLimits().Allowed(0, 8, s.meanWork()))
+			budget = slowstart.RequestBudget(s.slowStartLimits().AllowedRequests(0, 8, s.meanWork()))
 			fleet := slowstart.Fleet{Number: terms.Index, Size: terms.Schedulers}
-			requests += s.slowStartLimits().Quota(fleet, w.idHash, 0, 8, s.requestStats()).Requests
+			requests += s.slowStartLimits().Quota(fleet, w.idHash, 0, 8, s.requestStats()).MaxRequests
 		}
 		if n := float64(requests); n > budget || n < budget/2 {
 			t.Errorf("FallTimes %g: the quotas are %.0f requests, %.1f are allowed", times, n, budget)
--- a/balance/slowstart/slowstart.go
+++ b/balance/slowstart/slowstart.go
@@ -1,10 +1,10 @@
 // Package slowstart limits how much one scheduler may send to a worker in slow start, so that what all schedulers
 // together send to it stays within the worker's budget, whatever the number of schedulers and the load of each.
 //
-// The package has no I/O and no clock, and its only state is what callers keep in Work, Log and Capacity. Times are in
-// milliseconds and come from the caller. The work of a request is in milliseconds too: how long it runs at the pace
-// that work hints assume. A worker's capacity is the number of requests that it runs at once at that pace. The proof
-// that the sum stays within the budget is in docs/design/cold.md.
+// The package has no I/O and no clock, and its only state is what callers keep in WorkEstimator, SendLog and
+// CapacityEstimator. Times are in milliseconds and come from the caller. The work of a request is in milliseconds too:
+// how long it runs at the pace that work hints assume. A worker's capacity is the number of requests that it runs at
+// once at that pace. The proof that the sum stays within the budget is in docs/design/cold.md.
 package slowstart
 
 import "math"
@@ -27,33 +27,33 @@
 	// arrived.
 	minHintedShare      = 0.1
 	unhintedMinRequests = 10
-	// smallAllowance is the number of allowed requests below which Budget adds a larger margin for chance.
+	// smallAllowance is the number of allowed requests below which RequestBudget adds a larger margin for chance.
 	smallAllowance = 30
 )
 
 // Limits holds the settings for workers in slow start.
 type Limits struct {
-	InitialShare float64 // fraction of its capacity that a worker has when it starts
-	WarmUp       float64 // time from a worker's start until it has its full capacity, in milliseconds
-	Window       float64 // length of the sliding window that the budget applies to, in milliseconds
-	Multiple     float64 // how many times its capacity a worker may be sent in a window
+	InitialShare     float64 // fraction of its capacity that a worker has when it starts
+	WarmUpMs         float64 // time from a worker's start until it has its full capacity, in milliseconds
+	WindowMs         float64 // length of the sliding window that the budget applies to, in milliseconds
+	CapacityMultiple float64 // how many times its capacity a worker may be sent in a window
 }
 
-// Share returns the least fraction of its capacity that a worker has at an age in milliseconds.
-func (l Limits) Share(age float64) float64 {
-	return min(l.InitialShare+(1-l.InitialShare)*max(age, 0)/l.WarmUp, 1)
+// CapacityShare returns the least fraction of its capacity that a worker has at an age in milliseconds.
+func (l Limits) CapacityShare(age float64) float64 {
+	return min(l.InitialShare+(1-l.InitialShare)*max(age, 0)/l.WarmUpMs, 1)
 }
 
-// Allowed returns how many requests of mean work a worker may be sent in a window that ends at this age. The age and
+// AllowedRequests returns how many requests of mean work a worker may be sent in a window that ends at this age. The age and
 // the mean work are in milliseconds, the capacity in requests that run at once at the pace of their hints. The worker's
 // share of its capacity is taken at the beginning of the window.
-func (l Limits) Allowed(age, capacity, meanWork float64) float64 {
-	return l.Multiple * l.Share(age-l.Window) * l.Window * capacity / max(meanWork, 1e-3)
+func (l Limits) AllowedRequests(age, capacity, meanWork float64) float64 {
+	return l.CapacityMultiple * l.CapacityShare(age-l.WindowMs) * l.WindowMs * capacity / max(meanWork, 1e-3)
 }
 
-// Budget returns how many requests of mean work all schedulers together may send in a window, given how many are
+// RequestBudget returns how many requests of mean work all schedulers together may send in a window, given how many are
 // allowed. What it adds to those is a margin for chance.
-func Budget(allowed float64) float64 {
+func RequestBudget(allowed float64) float64 {
 	if allowed < smallAllowance {
 		return allowed + 3*math.Sqrt(allowed) + 3
 	}
@@ -62,7 +62,7 @@
 
 // plannedUnits returns the part of the budget that is divided among the schedulers, in units.
 func plannedUnits(allowed float64) float64 {
-	return plannedShare * Budget(allowed)
+	return plannedShare * RequestBudget(allowed)
 }
 
 // Fleet tells which one of all schedulers this one is: its number, from 0, and how many there are. A size of 0 counts
@@ -77,12 +77,12 @@
 	return ((f.Number-int(workerHash%uint32(size)))%size + size) % size
 }
 
-// Work estimates the mean work of requests from those that this scheduler has seen. It counts the arrived requests with
+// WorkEstimator estimates the mean work of requests from those that this scheduler has seen. It counts the arrived requests with
 // and without a hint, and the settled requests without a hint and their total work in milliseconds.
-type Work struct{ hinted, unhinted, settledUnhinted, settledUnhintedMS float64 }
+type WorkEstimator struct{ hinted, unhinted, settledUnhinted, settledUnhintedMs float64 }
 
-// Arrived records the arrival of a request, with or without a work hint.
-func (w *Work) Arrived(hinted bool) {
+// AddArrival records the arrival of a request, with or without a work hint.
+func (w *WorkEstimator) AddArrival(hinted bool) {
 	if hinted {
 		w.hinted++
 	} else {
@@ -90,14 +90,14 @@
 	}
 }
 
-// Settled records the work, in milliseconds, of a settled request that had no hint.
-func (w *Work) Settled(work float64) {
+// AddSettledUnhinted records the work, in milliseconds, of a settled request that had no hint.
+func (w *WorkEstimator) AddSettledUnhinted(work float64) {
 	w.settledUnhinted++
-	w.settledUnhintedMS += work
+	w.settledUnhintedMs += work
 }
 
-// Unhinted reports whether hardly any requests carry hints.
-func (w *Work) Unhinted() bool {
+// MostlyUnhinted reports whether hardly any requests carry hints.
+func (w *WorkEstimator) MostlyUnhinted() bool {
 	arrived := w.hinted + w.unhinted
 	return arrived >= unhintedMinRequests && w.hinted < minHintedShare*arrived
 }
@@ -105,28 +105,28 @@
 // Mean returns the mean work of a request in milliseconds, given the mean of those with hints, or 0 if nothing is
 // known. Requests without hints are weighted by their share of the arrivals: while workers are in slow start, their
 // share of the settled requests is smaller.
-func (w *Work) Mean(hintedMean float64) float64 {
+func (w *WorkEstimator) Mean(hintedMean float64) float64 {
 	switch {
 	case w.settledUnhinted == 0:
 		return hintedMean
 	case w.hinted == 0 || hintedMean == 0:
-		return w.settledUnhintedMS / w.settledUnhinted
+		return w.settledUnhintedMs / w.settledUnhinted
 	}
-	return (w.hinted*hintedMean + w.unhinted*w.settledUnhintedMS/w.settledUnhinted) / (w.hinted + w.unhinted)
+	return (w.hinted*hintedMean + w.unhinted*w.settledUnhintedMs/w.settledUnhinted) / (w.hinted + w.unhinted)
 }
 
-// Requests is what a scheduler knows of the arriving requests.
-type Requests struct {
-	MeanWork float64 // mean work of a request, in milliseconds
-	Heaviest float64 // the largest work among the requests that settled last, in milliseconds
-	Unhinted bool    // hardly any carry a work hint
+// RequestStats is what a scheduler knows of the arriving requests.
+type RequestStats struct {
+	MeanWorkMs     float64 // mean work of a request, in milliseconds
+	HeaviestMs     float64 // the largest work among the requests that settled last, in milliseconds
+	MostlyUnhinted bool    // hardly any carry a work hint
 }
 
 // Quota limits what one scheduler may send to one worker in any window.
 type Quota struct {
-	Requests         int     // maximum number of requests
-	WorkMS           float64 // maximum of their total work, in milliseconds
-	MaxRequestWorkMS float64 // maximum work of a single request, in milliseconds
+	MaxRequests      int     // maximum number of requests
+	MaxWorkMs        float64 // maximum of their total work, in milliseconds
+	MaxRequestWorkMs float64 // maximum work of a single request, in milliseconds
 	AllowsUnhinted   bool    // requests without a hint may be sent, within AdmitsUnhinted
 }
 
@@ -136,14 +136,14 @@
 // A single request without a hint may be too heavy. Where other requests carry hints, only those are sent. Where hardly
 // any do, the first scheduler in the allocation order may send one request without a hint, and so may each further one
 // for which the planned units still cover a request as heavy as the heaviest of those that settled last.
-func (l Limits) Quota(f Fleet, workerHash uint32, age, capacity float64, r Requests) Quota {
+func (l Limits) Quota(f Fleet, workerHash uint32, age, capacity float64, r RequestStats) Quota {
 	rank := f.allocationRank(workerHash)
-	units := plannedUnits(l.Allowed(age, capacity, r.MeanWork))
+	units := plannedUnits(l.AllowedRequests(age, capacity, r.MeanWorkMs))
 	ownUnits := unitsForRank(units, rank, max(f.Size, 1))
-	heaviestFits := rank == 0 || float64(rank+1)*r.Heaviest <= units*r.MeanWork
-	return Quota{Requests: int(ownUnits), WorkMS: ownUnits * r.MeanWork,
-		MaxRequestWorkMS: min(maxRequestShare*units, maxRequestUnits) * r.MeanWork,
-		AllowsUnhinted:   r.Unhinted && heaviestFits}
+	heaviestFits := rank == 0 || float64(rank+1)*r.HeaviestMs <= units*r.MeanWorkMs
+	return Quota{MaxRequests: int(ownUnits), MaxWorkMs: ownUnits * r.MeanWorkMs,
+		MaxRequestWorkMs: min(maxRequestShare*units, maxRequestUnits) * r.MeanWorkMs,
+		AllowsUnhinted:   r.MostlyUnhinted && heaviestFits}
 }
 
 // unitsForRank returns how many of the planned units the scheduler of this rank gets. In order of rank, each scheduler
@@ -154,13 +154,13 @@
 	return first + rest/float64(size)
 }
 
-// Any reports whether the quota admits any request.
-func (q Quota) Any() bool { return q.Requests > 0 || q.AllowsUnhinted }
+// AdmitsAny reports whether the quota admits any request.
+func (q Quota) AdmitsAny() bool { return q.MaxRequests > 0 || q.AllowsUnhinted }
 
 // Admits reports whether a request of this work, in milliseconds, may be sent in addition to what was sent in the
 // window that ends now.
 func (q Quota) Admits(sent Sent, work float64) bool {
-	return sent.Requests < q.Requests && sent.WorkMS+work <= q.WorkMS && work <= q.MaxRequestWorkMS
+	return sent.Requests < q.MaxRequests && sent.WorkMs+work <= q.MaxWorkMs && work <= q.MaxRequestWorkMs
 }
 
 // AdmitsUnhinted reports whether a request of unknown work may be sent: where AllowsUnhinted is set, one if nothing
@@ -173,18 +173,18 @@
 // Sent sums up what was sent to a worker in a window.
 type Sent struct {
 	Requests int
-	WorkMS   float64 // total work of the requests, in milliseconds
+	WorkMs   float64 // total work of the requests, in milliseconds
 }
 
-// Log lists the requests that this scheduler sent to one worker within the last window.
-type Log struct{ entries []entry }
+// SendLog lists the requests that this scheduler sent to one worker within the last window.
+type SendLog struct{ entries []entry }
 
 // entry is a sent request: when it was sent, and its work, both in milliseconds.
 type entry struct{ at, work float64 }
 
 // Add records a request of this work, sent now, and drops the entries that are older than a window. All are in
 // milliseconds.
-func (l *Log) Add(now, window, work float64) {
+func (l *SendLog) Add(now, window, work float64) {
 	expired := 0
 	for expired < len(l.entries) && now-l.entries[expired].at > window {
 		expired++
@@ -193,11 +193,11 @@
 }
 
 // Within sums up what was sent in the window that ends now. Both times are in milliseconds.
-func (l *Log) Within(now, window float64) (sent Sent) {
+func (l *SendLog) Within(now, window float64) (sent Sent) {
 	for _, e := range l.entries {
 		if now-e.at <= window {
 			sent.Requests++
-			sent.WorkMS += e.work
+			sent.WorkMs += e.work
 		}
 	}
 	return sent
--- a/balance/slowstart/slowstart_test.go
+++ b/balance/slowstart/slowstart_test.go
@@ -62,33 +62,33 @@
 	for seed, size := range fleetSizes {
 		draw := rand.New(rand.NewPCG(uint64(seed), 2))
 		for _, capacity := range []float64{0.5, 3, 40} {
-			limits := Limits{InitialShare: 0.1 + 0.3*draw.Float64(), WarmUp: 6000, Window: 500 + 1500*draw.Float64(),
-				Multiple: 1.5 + 3*draw.Float64()}
-			logs, waitUntil := make([]Log, size), make([]float64, size)
+			limits := Limits{InitialShare: 0.1 + 0.3*draw.Float64(), WarmUpMs: 6000, WindowMs: 500 + 1500*draw.Float64(),
+				CapacityMultiple: 1.5 + 3*draw.Float64()}
+			logs, waitUntil := make([]SendLog, size), make([]float64, size)
 			var sent []send
-			for age := 1.0; age < limits.WarmUp; age += 20 + 200*draw.Float64() {
+			for age := 1.0; age < limits.WarmUpMs; age += 20 + 200*draw.Float64() {
 				for _, number := range draw.Perm(size) {
 					if draw.IntN(200) == 0 {
-						logs[number], waitUntil[number] = Log{}, age+limits.Window // restart
+						logs[number], waitUntil[number] = SendLog{}, age+limits.WindowMs // restart
 					}
 					if age <= waitUntil[number] {
 						continue
 					}
-					arriving := Requests{MeanWork: meanWork, Heaviest: 10 * meanWork, Unhinted: true}
+					arriving := RequestStats{MeanWorkMs: meanWork, HeaviestMs: 10 * meanWork, MostlyUnhinted: true}
 					quota := limits.Quota(Fleet{number, size}, 12345, age, capacity*(0.5+0.5*draw.Float64()), arriving)
-					for work := meanWork * draw.ExpFloat64(); quota.Admits(logs[number].Within(age, limits.Window), work); {
-						logs[number].Add(age, limits.Window, work)
+					for work := meanWork * draw.ExpFloat64(); quota.Admits(logs[number].Within(age, limits.WindowMs), work); {
+						logs[number].Add(age, limits.WindowMs, work)
 						sent = append(sent, send{age, work})
 					}
 				}
 				requests, work := 0.0, 0.0
 				for _, x := range sent {
-					if age-x.at <= limits.Window {
+					if age-x.at <= limits.WindowMs {
 						requests++
 						work += x.work
 					}
 				}
-				allowed := limits.Multiple * limits.Share(age) * limits.Window * capacity / meanWork
+				allowed := limits.CapacityMultiple * limits.CapacityShare(age) * limits.WindowMs * capacity / meanWork
 				budget := allowed + 2*math.Sqrt(allowed) + 2
 				if allowed < 30 {
 					budget = allowed + 3*math.Sqrt(allowed) + 3
@@ -105,29 +105,29 @@
 // A request without a hint is sent alone, and only where hardly any requests carry hints: by the first scheduler in the
 // allocation order always, by others as far as the planned units cover the heaviest request that settled lately.
 func TestUnhintedRequestIsSentAlone(t *testing.T) {
-	limits := Limits{InitialShare: 0.2, WarmUp: 20000, Window: 2000, Multiple: 3}
-	admitting := func(r Requests) (n int) {
+	limits := Limits{InitialShare: 0.2, WarmUpMs: 20000, WindowMs: 2000, CapacityMultiple: 3}
+	admitting := func(r RequestStats) (n int) {
 		for number := range 100 {
-			if limits.Quota(Fleet{number, 100}, 0, 0, 1, r).AdmitsUnhinted(Sent{}, r.Heaviest) {
+			if limits.Quota(Fleet{number, 100}, 0, 0, 1, r).AdmitsUnhinted(Sent{}, r.HeaviestMs) {
 				n++
 			}
 		}
 		return n
 	}
-	plannedMS := plannedUnits(limits.Allowed(0, 1, 100)) * 100
+	plannedMs := plannedUnits(limits.AllowedRequests(0, 1, 100)) * 100
 	for _, test := range []struct {
-		requests Requests
+		requests RequestStats
 		want     int
 	}{
-		{Requests{MeanWork: 100, Heaviest: 100}, 0},
-		{Requests{MeanWork: 100, Heaviest: plannedMS / 4.5, Unhinted: true}, 4},
-		{Requests{MeanWork: 100, Heaviest: 10 * plannedMS, Unhinted: true}, 1},
+		{RequestStats{MeanWorkMs: 100, HeaviestMs: 100}, 0},
+		{RequestStats{MeanWorkMs: 100, HeaviestMs: plannedMs / 4.5, MostlyUnhinted: true}, 4},
+		{RequestStats{MeanWorkMs: 100, HeaviestMs: 10 * plannedMs, MostlyUnhinted: true}, 1},
 	} {
 		if got := admitting(test.requests); got != test.want {
 			t.Errorf("%+v: %d schedulers may send one, want %d", test.requests, got, test.want)
 		}
 	}
-	quota := Quota{Requests: 5, WorkMS: 500, MaxRequestWorkMS: 500, AllowsUnhinted: true}
+	quota := Quota{MaxRequests: 5, MaxWorkMs: 500, MaxRequestWorkMs: 500, AllowsUnhinted: true}
 	if quota.AdmitsUnhinted(Sent{1, 100}, 450) || !quota.AdmitsUnhinted(Sent{1, 100}, 350) {
 		t.Error("after another request, one without a hint is not admitted by the work of the heaviest")
 	}
@@ -135,7 +135,7 @@
 
 // Only requests sent in the window count, and older entries are dropped.
 func TestLogDropsOldEntries(t *testing.T) {
-	var l Log
+	var l SendLog
 	for i := range 1000 {
 		l.Add(float64(i), 10, 2)
 	}
@@ -152,32 +152,32 @@
 	draw := rand.New(rand.NewPCG(3, 3))
 	sum := 0.0
 	for range schedulers {
-		var c Capacity
-		c.Warm(0, kind, workers)
+		var c CapacityEstimator
+		c.SetWarmSize(0, kind, workers)
 		// Together they settle what 2 cores of each worker do, in requests of 100 ms on average.
 		for at := 0.0; at < 60000; at += draw.ExpFloat64() * 100 * schedulers / (2 * workers) {
-			c.Settled(at, kind, 100*draw.ExpFloat64())
+			c.AddSettled(at, kind, 100*draw.ExpFloat64())
 		}
-		got := c.Of(60000, kind, 1, schedulers)
+		got := c.Estimate(60000, kind, 1, schedulers)
 		if sum += got; got > 2.5 {
 			t.Errorf("capacity of a worker that runs 2 at once is estimated as %.2f", got)
 		}
-		if half := c.Of(60000, kind, 0.5, schedulers); math.Abs(half-got/2) > 1e-9 {
+		if half := c.Estimate(60000, kind, 0.5, schedulers); math.Abs(half-got/2) > 1e-9 {
 			t.Errorf("capacity of a worker of half the size is estimated as %.2f", half)
 		}
-		if c.Of(60000, kind+1, 1, schedulers) != 0 {
+		if c.Estimate(60000, kind+1, 1, schedulers) != 0 {
 			t.Error("the capacity of a kind that settled nothing is not 0")
 		}
 	}
 	if mean := sum / schedulers; mean < 1.5 || mean > 2 {
 		t.Errorf("mean estimate for workers that run 2 at once is %.2f", mean)
 	}
-	var few Capacity
-	few.Warm(0, kind, 1)
+	var few CapacityEstimator
+	few.SetWarmSize(0, kind, 1)
 	for range 4 {
-		few.Settled(10, kind, 1e6)
+		few.AddSettled(10, kind, 1e6)
 	}
-	if got := few.Of(20, kind, 1, schedulers); got != 0 {
+	if got := few.Estimate(20, kind, 1, schedulers); got != 0 {
 		t.Errorf("capacity after four requests is %.2f, want 0", got)
 	}
 }
@@ -186,28 +186,28 @@
 // requests, where five in seven arrive without a hint and these are the heavier ones, workers that ran few of those
 // were sent one and a half times as many requests as allowed.
 func TestMeanWorkIsWeightedByArrivals(t *testing.T) {
-	var w Work
+	var w WorkEstimator
 	if w.Mean(0) != 0 || w.Mean(95) != 95 {
 		t.Error("the mean is not that of hinted requests though nothing arrived")
 	}
 	for i := range 70 {
-		if w.Arrived(i%7 < 2); w.Unhinted() {
+		if w.AddArrival(i%7 < 2); w.MostlyUnhinted() {
 			t.Error("counted as unhinted, though two in seven carry hints")
 		}
 	}
-	w.Settled(160)
-	w.Settled(200)
+	w.AddSettledUnhinted(160)
+	w.AddSettledUnhinted(200)
 	if got := w.Mean(95); math.Abs(got-(2*95+5*180)/7.0) > 1e-9 {
 		t.Errorf("the mean is %g ms", got)
 	}
-	var unhinted Work
+	var unhinted WorkEstimator
 	for range 9 {
-		unhinted.Arrived(false)
+		unhinted.AddArrival(false)
 	}
-	if unhinted.Unhinted() {
+	if unhinted.MostlyUnhinted() {
 		t.Error("counted as unhinted after nine requests")
 	}
-	if unhinted.Arrived(false); !unhinted.Unhinted() {
+	if unhinted.AddArrival(false); !unhinted.MostlyUnhinted() {
 		t.Error("not counted as unhinted after ten requests without a hint")
 	}
 }
--- a/balance/types.go
+++ b/balance/types.go
@@ -213,7 +213,7 @@
 	lastStartedPostedAt    float64                   // latest posting time of the postings that have started here
 	lastEndedAt            float64                   // when a posting last ended here
 	lastHeardAt            float64                   // when it last started or settled a posting, or answered a probe
-	slowStartLog           slowstart.Log             // what it was sent while in slow start
+	slowStartLog           slowstart.SendLog         // what it was sent while in slow start
 	rankLoad               float64                   // its load at the last ranking
 	rankZone               int                       // its zone and kind at the last ranking
 	rankKind               int
--- a/startup/startup.go
+++ b/startup/startup.go
@@ -81,9 +81,9 @@
 	} `json:"fees"`
 	Guarantees struct {
 		ColdFrom     float64  `json:"cold_from"`     // slow start: see slowstart.Limits.InitialShare
-		ColdUS       int64    `json:"cold"`          // see slowstart.Limits.WarmUp
-		FallUS       int64    `json:"fall"`          // see slowstart.Limits.Window
-		FallMultiple float64  `json:"fall_multiple"` // see slowstart.Limits.Multiple
+		ColdUS       int64    `json:"cold"`          // see slowstart.Limits.WarmUpMs
+		FallUS       int64    `json:"fall"`          // see slowstart.Limits.WindowMs
+		FallMultiple float64  `json:"fall_multiple"` // see slowstart.Limits.CapacityMultiple
 		MustAskInUS  int64    `json:"must_ask_in"`   // discovery has to be asked again within this time
 		BudgetFree   *float64 `json:"budget_free"`   // retry budget: postings beyond the first of each txn in LookBackUS
 		ResendRatio  *float64 `json:"resend_ratio"`  // the same, for each txn taken
