--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -110,9 +110,9 @@
 	a.pauses[sched] = append(a.pauses[sched], [2]float64{from, to})
 }
 
-// excusedMS returns for how long between two times a scheduler was paused, plus by how much the lab may have seen the
+// excusedMs returns for how long between two times a scheduler was paused, plus by how much the lab may have seen the
 // end of that interval late.
-func (a *Auditor) excusedMS(sched string, from, to float64) (ms float64) {
+func (a *Auditor) excusedMs(sched string, from, to float64) (ms float64) {
 	for _, s := range a.pauses[sched] {
 		ms += max(0, min(to, s[1])-max(from, s[0]))
 	}
@@ -368,7 +368,7 @@
 			}
 		}
 	}
-	if kind != Settled && at > t.stuckAt+a.terms.GivenUp && at > t.stuckAt+a.terms.GivenUp+a.excusedMS(t.sched, t.stuckAt, at) {
+	if kind != Settled && at > t.stuckAt+a.terms.GivenUp && at > t.stuckAt+a.terms.GivenUp+a.excusedMs(t.sched, t.stuckAt, at) {
 		a.violated(AnswerDelayed, t, at, "nothing was left to be done for %.0f ms before it was %s", at-t.stuckAt, kind)
 	}
 	a.closeIfDone(t)
--- a/lab/audit/listknowledge.go
+++ b/lab/audit/listknowledge.go
@@ -17,9 +17,9 @@
 //
 // Times are milliseconds.
 const (
-	silentKnownMS     = 6000.0 // after a watch fell silent, or after a change was made
-	afterCallWaitMS   = 2000.0 // after the end of the wait of a silent watch's call
-	newAddressKnownMS = 4000.0 // after a scheduler was told of a new address
+	silentKnownMs     = 6000.0 // after a watch fell silent, or after a change was made
+	afterCallWaitMs   = 2000.0 // after the end of the wait of a silent watch's call
+	newAddressKnownMs = 4000.0 // after a scheduler was told of a new address
 )
 
 // change is one change of a worker's entry in the list.
@@ -74,11 +74,11 @@
 
 // Muted reports that a scheduler's watch fell silent. Its call was made at called and may wait for wait ms.
 func (a *Auditor) Muted(at float64, sched string, called, wait float64) {
-	a.knowsAllFrom(sched, max(at+silentKnownMS, called+wait+afterCallWaitMS))
+	a.knowsAllFrom(sched, max(at+silentKnownMs, called+wait+afterCallWaitMs))
 }
 
 // Moved reports that a scheduler was told of a new address of discovery.
-func (a *Auditor) Moved(at float64, sched string) { a.knowsAllFrom(sched, at+newAddressKnownMS) }
+func (a *Auditor) Moved(at float64, sched string) { a.knowsAllFrom(sched, at+newAddressKnownMs) }
 
 // knowsAllFrom has every change count as known to a scheduler from a time on, or from an earlier one if that is set.
 func (a *Auditor) knowsAllFrom(sched string, at float64) {
@@ -105,7 +105,7 @@
 		if w.allKnownAt >= 0 && at >= max(w.allKnownAt, all[i].at) {
 			return all[i], max(w.allKnownAt, all[i].at), true
 		}
-		knownAt := min(max(all[i].at, w.calledAt, a.discoveryUpAt)+a.terms.MustAsk, max(all[i].at, a.discoveryUpAt)+silentKnownMS)
+		knownAt := min(max(all[i].at, w.calledAt, a.discoveryUpAt)+a.terms.MustAsk, max(all[i].at, a.discoveryUpAt)+silentKnownMs)
 		if a.terms.MustAsk > 0 && !w.on && !a.discoveryDown && at >= knownAt {
 			return all[i], knownAt, true
 		}
--- a/lab/sim/discovery.go
+++ b/lab/sim/discovery.go
@@ -180,12 +180,12 @@
 	conn = &connection{scheduler: s, generation: s.generation}
 	s.conn = conn
 	if d.sim.net.isCut(s.part(), script.Part{Kind: "discovery"}) {
-		d.sim.after(float64(d.sim.plan.Schedulers.Dial), func() { d.connectionFailed(conn, watch.Broken) })
+		d.sim.after(float64(d.sim.plan.Schedulers.Dial), func() { d.connectionFailed(conn, watch.ConnectionFailed) })
 		return
 	}
 	d.sim.net.send(s.part(), script.Part{Kind: "discovery"}, conn.inUse, func() {
 		if d.down {
-			d.endConnection(conn, watch.Refused)
+			d.endConnection(conn, watch.ConnectionRefused)
 			return
 		}
 		d.sim.net.send(script.Part{Kind: "discovery"}, s.part(), conn.inUse, func() {
@@ -198,7 +198,7 @@
 // sendCall sends a call on a connection that is up. One that begins a watch is answered with what the scheduler lacks
 // when its turn in the queue comes; one on a watch is answered at the next change, or after the wait that it gives.
 func (d *discovery) sendCall(conn *connection, call watch.Call) {
-	conn.scheduler.watch.Sent(conn.scheduler.clock())
+	conn.scheduler.watch.CallSent(conn.scheduler.clock())
 	conn.call, conn.callOut, conn.sentAt = call, true, d.sim.now
 	conn.callNo++
 	callNo := conn.callNo
@@ -206,17 +206,17 @@
 		switch {
 		case conn.silent:
 		case d.down:
-			d.endConnection(conn, watch.TurnedAway)
+			d.endConnection(conn, watch.Rejected)
 		case !conn.watching:
 			if at := d.enqueue(true, d.linesOwed(conn)); at > d.sim.now+callTimeoutMs {
-				d.sim.after(callTimeoutMs, func() { d.endConnection(conn, watch.TurnedAway) })
+				d.sim.after(callTimeoutMs, func() { d.endConnection(conn, watch.Rejected) })
 			} else {
 				d.sim.at(at, func() { d.writeAnswer(conn, callNo) })
 			}
-		case d.version > int(call.After):
+		case d.version > int(call.AfterVersion):
 			d.enqueueAnswer(conn)
 		default:
-			d.sim.after(call.Wait, func() {
+			d.sim.after(call.WaitMs, func() {
 				if !conn.answerQueued {
 					d.writeAnswer(conn, callNo)
 				}
@@ -240,10 +240,10 @@
 
 // linesOwed returns how many lines the answer to a connection's call has.
 func (d *discovery) linesOwed(conn *connection) int {
-	if conn.call.After < 0 {
+	if conn.call.AfterVersion < 0 {
 		return len(d.byName)
 	}
-	return len(d.changesSince(int(conn.call.After)))
+	return len(d.changesSince(int(conn.call.AfterVersion)))
 }
 
 // writeAnswer answers a call with the changes since the version that it names, or with the whole list, unless the call
@@ -260,8 +260,8 @@
 	if conn.silent {
 		return // nobody receives it
 	}
-	s, version, whole := conn.scheduler, d.version, conn.call.After < 0
-	rows := d.changesSince(int(conn.call.After))
+	s, version, whole := conn.scheduler, d.version, conn.call.AfterVersion < 0
+	rows := d.changesSince(int(conn.call.AfterVersion))
 	if whole {
 		rows = d.listAt(version)
 	}
@@ -278,7 +278,7 @@
 			d.sim.auditListed(writtenAt, s, removed)
 		}
 		if s.oldConn == conn {
-			if s.oldConn = nil; s.watch.Overhears(s.clock(), int64(version)) {
+			if s.oldConn = nil; s.watch.AcceptsLateAnswer(s.clock(), int64(version)) {
 				s.listVersion = version
 				s.applyList(rows, whole)
 				s.runDecisions()
@@ -323,7 +323,7 @@
 	conn.scheduler.conn = nil
 	d.sim.auditor.Unwatched(conn.scheduler.name)
 	if conn.reset {
-		failure = watch.Broken
+		failure = watch.ConnectionFailed
 	}
 	conn.scheduler.watch.Failed(conn.scheduler.clock(), failure)
 	conn.scheduler.followWatch()
@@ -399,7 +399,7 @@
 func (d *discovery) silence(conn *connection) {
 	wasSilent := conn.silent
 	if conn.silent = true; conn.watching && !wasSilent && conn == conn.scheduler.conn {
-		d.sim.auditor.Muted(d.sim.now, conn.scheduler.name, conn.sentAt, conn.call.Wait)
+		d.sim.auditor.Muted(d.sim.now, conn.scheduler.name, conn.sentAt, conn.call.WaitMs)
 	}
 }
 
@@ -410,10 +410,10 @@
 		return
 	}
 	d.sim.auditor.Moved(d.sim.now, s.name)
-	s.watch.Went(s.clock())
+	s.watch.DiscoveryMoved(s.clock())
 	if conn := s.conn; conn != nil {
 		conn.formerAddress = true
-		d.sim.after(formerAddressMs, func() { d.connectionFailed(conn, watch.TurnedAway) })
+		d.sim.after(formerAddressMs, func() { d.connectionFailed(conn, watch.Rejected) })
 	}
 	s.followWatch()
 	s.runDecisions()
@@ -431,7 +431,7 @@
 			s.pushQueued = false
 			if conn := s.conn; s.alive && conn != nil && !conn.silent {
 				conn.watching = false // discovery ends the watch itself, so that it can no longer fall silent
-				d.endConnection(conn, watch.TurnedAway)
+				d.endConnection(conn, watch.Rejected)
 			}
 		}
 	case a.Do == "down":
--- a/lab/sim/schedulers.go
+++ b/lab/sim/schedulers.go
@@ -37,7 +37,7 @@
 	watch              *watch.Watch
 	conn               *connection // its connection to discovery; nil: none
 	oldConn            *connection // the connection before, whose answer may only be late
-	watchWakeAt        float64     // scheduled call of watch.Passed; +Inf: none
+	watchWakeAt        float64     // scheduled call of watch.Advance; +Inf: none
 	pushQueued         bool        // discovery has a push for it in its queue
 	listVersion        int         // version of the list that it has
 	runningDecisions   bool        // runDecisions is under way, and must not be entered again
@@ -111,9 +111,9 @@
 	s.watch = watch.New(math.Inf(1), 0, 0)
 	if s.sim.plan.Discovery.Mode != "push" {
 		s.watch = watch.New(s.clock(), float64(s.sim.plan.Discovery.MustAsk),
-			watch.EachCall*float64(s.sim.plan.Schedulers.Count))
+			watch.CallServiceMs*float64(s.sim.plan.Schedulers.Count))
 	}
-	s.watch.Began(int64(s.listVersion))
+	s.watch.SetVersion(int64(s.listVersion))
 	s.txns, s.idleConns, s.states = map[string]*openTxn{}, map[int]idleConn{}, map[int]balance.State{}
 	if s.decider = s.sim.newDecider(s.no, s.generation); s.decider == nil {
 		return
@@ -297,29 +297,29 @@
 
 // followWatch carries out what the watch asks for, and passes its state on to the decider.
 func (s *scheduler) followWatch() {
-	if s.watch.NextHangUp() {
+	if s.watch.NextClose() {
 		s.conn = nil
 	}
-	if s.watch.NextAside() {
+	if s.watch.NextSetAside() {
 		s.oldConn, s.conn = s.conn, nil
 	}
-	if !s.watch.Besides() {
+	if !s.watch.KeepsAside() {
 		s.oldConn = nil
 	}
 	if call, ok := s.watch.NextCall(); ok {
 		s.sim.discovery.makeCall(s, call)
 	}
-	s.decider.SetListValidUntil(s.watch.Till())
-	for watching, ok := s.watch.NextTold(); ok; watching, ok = s.watch.NextTold() {
+	s.decider.SetListValidUntil(s.watch.ReliableUntil())
+	for watching, ok := s.watch.NextStatusChange(); ok; watching, ok = s.watch.NextStatusChange() {
 		s.decider.WatchAnswered(s.clock(), watching)
 	}
-	if at := s.watch.Wake(); at < s.watchWakeAt {
+	if at := s.watch.NextWake(); at < s.watchWakeAt {
 		s.watchWakeAt = at
 		gen := s.generation
 		s.sim.after(at-s.clock(), func() {
 			if s.generation == gen && s.watchWakeAt == at {
 				s.watchWakeAt = math.Inf(1)
-				s.watch.Passed(s.clock())
+				s.watch.Advance(s.clock())
 				s.followWatch()
 				s.runDecisions()
 			}
@@ -419,7 +419,7 @@
 		return true
 	}
 	if s.decider.NextWatch(now) {
-		s.watch.Wanted(s.clock())
+		s.watch.Begin(s.clock())
 		s.followWatch()
 		return true
 	}
@@ -450,7 +450,7 @@
 		return
 	}
 	s.dial(w, p.awaited, func(workerGen int) {
-		unusable := s.states[w.no] != balance.Running || s.clock() >= s.watch.Till() || s.sim.withdrawn[w.Name] > 0
+		unusable := s.states[w.no] != balance.Running || s.clock() >= s.watch.ReliableUntil() || s.sim.withdrawn[w.Name] > 0
 		if _, skipCheck := s.decider.(interface{ SkipsLastCheck() }); unusable && !skipCheck || txn.closed ||
 			s.clock() > decision.LatestSendAt {
 			s.postingEnded(p, balance.NeverSent, balance.NoLoad) // too late, see balance.Post.LatestSendAt
@@ -639,7 +639,7 @@
 	case a.Do == "unwatch" && a.Begin:
 		if s.conn != nil {
 			s.conn.reset = s.conn.watching
-			s.sim.discovery.endConnection(s.conn, watch.TurnedAway)
+			s.sim.discovery.endConnection(s.conn, watch.Rejected)
 		}
 	case a.Do == "move" && a.Begin:
 		s.sim.discovery.changeAddress(s)
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -157,7 +157,7 @@
 func (wc *workerConn) maySend(now float64) bool {
 	p := wc.posting
 	return wc.s.pool.inService(wc.worker) && wc.addr == wc.worker.addr &&
-		(p == nil || !p.txn.closed && now <= p.sendBy && now < p.deadline && now < wc.s.roster.watch.Till())
+		(p == nil || !p.txn.closed && now <= p.sendBy && now < p.deadline && now < wc.s.roster.watch.ReliableUntil())
 }
 
 // removeWorkers removes workers from the pool: those in removed and, where discovery sent the whole list, all that
--- a/scheduler/roster.go
+++ b/scheduler/roster.go
@@ -89,7 +89,7 @@
 
 // begin starts the watch with the list from the configuration, where there is one.
 func (r *roster) begin() {
-	r.watch = watch.New(r.s.now(), r.s.node.decoded.Terms.ListPollIntervalMs, watch.EachCall*float64(r.s.node.decoded.Terms.Schedulers))
+	r.watch = watch.New(r.s.now(), r.s.node.decoded.Terms.ListPollIntervalMs, watch.CallServiceMs*float64(r.s.node.decoded.Terms.Schedulers))
 	r.applyWatch()
 	if len(r.s.node.Known) == 0 {
 		return
@@ -97,22 +97,22 @@
 	if seq, err := r.readList(r.s.node.Known); err != nil {
 		r.s.log.Printf("msg=malformed from=configuration part=known err=%q", err)
 	} else {
-		r.watch.Began(seq)
+		r.watch.SetVersion(seq)
 	}
 }
 
 // startWatch begins a watch, as the module decided.
 func (r *roster) startWatch() {
-	r.watch.Wanted(r.s.now())
+	r.watch.Begin(r.s.now())
 	r.applyWatch()
 }
 
 // retune takes new settings, and goes over to discovery's new address if that has changed.
 func (r *roster) retune(addr string) {
-	r.watch.Retune(r.s.node.decoded.Terms.ListPollIntervalMs)
+	r.watch.SetMustAskIn(r.s.node.decoded.Terms.ListPollIntervalMs)
 	if addr != r.addr {
 		r.addr = addr
-		r.watch.Went(r.s.now())
+		r.watch.DiscoveryMoved(r.s.now())
 		r.applyWatch()
 	}
 }
@@ -120,14 +120,14 @@
 // applyWatch carries out what package watch decides, and reports to the module how long the list may be relied on and
 // whether the watch works.
 func (r *roster) applyWatch() {
-	if r.watch.NextHangUp() {
+	if r.watch.NextClose() {
 		r.closeCurrent()
 	}
-	if r.watch.NextAside() {
+	if r.watch.NextSetAside() {
 		r.setAside.close()
 		r.setAside, r.current = r.current, nil
 	}
-	if !r.watch.Besides() {
+	if !r.watch.KeepsAside() {
 		old := r.setAside
 		r.setAside = nil
 		old.close()
@@ -135,8 +135,8 @@
 	if c, ok := r.watch.NextCall(); ok {
 		r.sendCall(c)
 	}
-	r.s.driver.module.SetListValidUntil(r.watch.Till())
-	for working, ok := r.watch.NextTold(); ok; working, ok = r.watch.NextTold() {
+	r.s.driver.module.SetListValidUntil(r.watch.ReliableUntil())
+	for working, ok := r.watch.NextStatusChange(); ok; working, ok = r.watch.NextStatusChange() {
 		r.s.driver.module.WatchAnswered(r.s.now(), working)
 	}
 }
@@ -160,7 +160,7 @@
 func (dc *discoveryConn) takeLateAnswer() {
 	r := dc.roster
 	list, err := decodeList(dc.resp.Body())
-	if err == nil && dc.resp.Status == 200 && r.watch.Overhears(r.s.now(), *list.Seq) {
+	if err == nil && dc.resp.Status == 200 && r.watch.AcceptsLateAnswer(r.s.now(), *list.Seq) {
 		r.applyList(list)
 	}
 	r.setAside = nil
@@ -181,11 +181,11 @@
 // writeCall writes a call: for the whole list, or a long poll of c.Wait ms for what is newer than version c.After.
 func (dc *discoveryConn) writeCall(c watch.Call) {
 	query := ""
-	if c.After >= 0 {
-		query = "?after=" + strconv.FormatInt(c.After, 10) + "&wait_ms=" + strconv.Itoa(int(c.Wait))
+	if c.AfterVersion >= 0 {
+		query = "?after=" + strconv.FormatInt(c.AfterVersion, 10) + "&wait_ms=" + strconv.Itoa(int(c.WaitMs))
 	}
 	dc.resp.Reset(http1.Limits{Head: maxHeadBytes, Body: maxListBytes})
-	dc.roster.watch.Sent(dc.roster.s.now())
+	dc.roster.watch.CallSent(dc.roster.s.now())
 	_ = dc.conn.Write([]byte("GET " + membersPath + query + " HTTP/1.1\r\nHost: " + dc.addr + "\r\n\r\n"))
 }
 
@@ -205,13 +205,13 @@
 	var closed unexpectedClose
 	switch {
 	case errors.Is(err, unix.ECONNREFUSED):
-		return watch.Refused
-	case errors.As(err, &status), errors.As(err, &closed) && dc.roster.watch.State() == watch.First:
-		return watch.TurnedAway
+		return watch.ConnectionRefused
+	case errors.As(err, &status), errors.As(err, &closed) && dc.roster.watch.State() == watch.Initial:
+		return watch.Rejected
 	}
 	// The path to discovery may have been down for some time before a watch was reset, and a discovery that sends
 	// malformed data is up: neither shows that it is down.
-	return watch.Broken
+	return watch.ConnectionFailed
 }
 
 // fail handles a failed call, which ends its connection.
@@ -227,7 +227,7 @@
 	r.closeCurrent()
 	r.failureLogged = true
 	r.watch.Failed(r.s.now(), failure)
-	r.s.log.Printf("msg=discovery state=failed err=%q counts_ms=%.0f", err, max(r.watch.Till()-r.s.now(), 0))
+	r.s.log.Printf("msg=discovery state=failed err=%q counts_ms=%.0f", err, max(r.watch.ReliableUntil()-r.s.now(), 0))
 	r.applyWatch()
 }
 
@@ -279,7 +279,7 @@
 		dc.fail(err)
 		return
 	}
-	if r.failureLogged && r.watch.State() != watch.Moved {
+	if r.failureLogged && r.watch.State() != watch.AddressChanged {
 		r.failureLogged = false
 		r.s.log.Printf("msg=discovery state=answers addr=%s seq=%d", r.addr, seq)
 	}
@@ -296,7 +296,7 @@
 func (r *roster) readList(raw []byte) (seq int64, err error) {
 	list, err := decodeList(raw)
 	if err == nil {
-		err = r.watch.Fits(*list.Seq, list.Whole)
+		err = r.watch.CheckVersion(*list.Seq, list.Whole)
 	}
 	if err != nil {
 		return 0, err
@@ -398,23 +398,23 @@
 // nextWake is when sweep next has something to do, in milliseconds.
 func (r *roster) nextWake() float64 {
 	if r.listExpired {
-		return r.watch.Wake()
+		return r.watch.NextWake()
 	}
-	return min(r.watch.Wake(), r.watch.Till())
+	return min(r.watch.NextWake(), r.watch.ReliableUntil())
 }
 
 // sweep logs when the list expires, and has package watch handle what is due by now.
 func (r *roster) sweep(now float64) {
-	if wasExpired := r.listExpired; now < r.watch.Till() {
+	if wasExpired := r.listExpired; now < r.watch.ReliableUntil() {
 		r.listExpired, r.hadValidList = false, true
 	} else if r.listExpired = true; !wasExpired && r.hadValidList {
 		r.s.log.Printf("msg=discovery state=unheard note=\"list of workers has expired; no postings until discovery answers\"")
 	}
-	if now < r.watch.Wake() {
+	if now < r.watch.NextWake() {
 		return
 	}
 	was := r.watch.State()
-	r.watch.Passed(now)
+	r.watch.Advance(now)
 	if state := r.watch.State(); state != was {
 		r.failureLogged = true
 		r.s.log.Printf("msg=discovery state=silent was=%s is=%s", was, state)
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -2,10 +2,11 @@
 // long discovery may hold it, when an answer is overdue, when a connection is to be closed, and until when the
 // scheduler may rely on the list that it has.
 //
-// The package has no sockets and no clock. Its host reports what happened (Wanted, Sent, Answered, Overhears, Failed,
-// Went), then pulls what to do until nothing is left (NextAside, NextHangUp, NextCall, NextTold), and calls Passed at
-// the time that Wake returns. Package balance decides when a watch is to begin; it is called the policy below. All
-// times are in milliseconds of one clock. docs/design/told.md has the states of a watch in a table.
+// The package has no sockets and no clock. Its host reports what happened (Begin, CallSent, Answered,
+// AcceptsLateAnswer, Failed, DiscoveryMoved), then pulls what to do until nothing is left (NextSetAside, NextClose,
+// NextCall, NextStatusChange), and calls Advance at the time that NextWake returns. Package balance decides when a
+// watch is to begin; it is called the policy below. All times are in milliseconds of one clock. docs/design/told.md has
+// the states of a watch in a table.
 package watch
 
 import (
@@ -15,44 +16,44 @@
 
 // All constants are in milliseconds, except crowdRounds.
 const (
-	// StalenessBoundMS is how long after discovery had a change, and could be reached, a scheduler counts as informed of
+	// StalenessBoundMs is how long after discovery had a change, and could be reached, a scheduler counts as informed of
 	// it, whether or not the change arrived and whatever calls failed meanwhile.
-	StalenessBoundMS = 6000.0
-	// MovedStalenessBoundMS is how long after a scheduler was told of discovery's new address it counts as informed of
+	StalenessBoundMs = 6000.0
+	// MovedStalenessBoundMs is how long after a scheduler was told of discovery's new address it counts as informed of
 	// what discovery has there.
-	MovedStalenessBoundMS = 4000.0
-	// EachCall is how long discovery may take to answer the call of one scheduler when many call.
-	EachCall = 100.0
+	MovedStalenessBoundMs = 4000.0
+	// CallServiceMs is how long discovery may take to answer the call of one scheduler when many call.
+	CallServiceMs = 100.0
 
 	// A third of the staleness bound may pass until the scheduler notices that discovery is silent, a third while all
 	// schedulers call in turn, and a third until discovery has answered: after that time it rejects a call.
 
-	// maxWaitMS is the longest time for which discovery is asked to hold a call.
-	maxWaitMS = StalenessBoundMS / 3
-	// graceMS is how late the answer to a call that waited may be before it counts as overdue. Twice the lateness of the
-	// last such answer is added, up to maxGraceMS in all.
-	graceMS    = StalenessBoundMS / 24
-	maxGraceMS = StalenessBoundMS / 6
-	// answerTimeoutMS is how long any other call may take, and how late an answer may be on a connection that is set
+	// maxWaitMs is the longest time for which discovery is asked to hold a call.
+	maxWaitMs = StalenessBoundMs / 3
+	// graceMs is how late the answer to a call that waited may be before it counts as overdue. Twice the lateness of the
+	// last such answer is added, up to maxGraceMs in all.
+	graceMs    = StalenessBoundMs / 24
+	maxGraceMs = StalenessBoundMs / 6
+	// answerTimeoutMs is how long any other call may take, and how late an answer may be on a connection that is set
 	// aside. It is longer than discovery takes until it ends a call by itself, so that this comes first.
-	answerTimeoutMS = StalenessBoundMS/3 + 500.0
+	answerTimeoutMs = StalenessBoundMs/3 + 500.0
 	// crowdRounds bounds how long all schedulers may crowd discovery with their calls after an outage, as a multiple of
 	// the time that discovery takes to answer each of them once.
 	crowdRounds = 3.0
-	// earlyAnswerGapMS is how long the next call is put off after an answer that came too early. It is well below the 200
+	// earlyAnswerGapMs is how long the next call is put off after an answer that came too early. It is well below the 200
 	// ms within which a watch must go on.
-	earlyAnswerGapMS = 100.0
+	earlyAnswerGapMs = 100.0
 )
 
 // State is the state of a watch.
 type State int
 
 const (
-	Idle     State = iota // no call is in progress
-	First                 // the first call, which asks for no wait, or its connection is in progress
-	Watching              // a call that may wait is in progress, or the next one is about to be made
-	Overdue               // the answer to a call is overdue; its connection stays until the next watch begins
-	Moved                 // discovery has a new address; the connection to the former one is read until the watch there begins
+	Idle           State = iota // no call is in progress
+	Initial                     // the first call, which asks for no wait, or its connection is in progress
+	Watching                    // a call that may wait is in progress, or the next one is about to be made
+	Overdue                     // the answer to a call is overdue; its connection stays until the next watch begins
+	AddressChanged              // discovery has a new address; the connection to the former one is read until the watch there begins
 )
 
 // String returns the state's name in log lines.
@@ -62,9 +63,9 @@
 type Failure int
 
 const (
-	Broken     Failure = iota // the connection broke or was never made, which says nothing of discovery itself
-	TurnedAway                // discovery answered with an error status or ended a first call: it is down or overloaded
-	Refused                   // the connection was refused, as nobody listens at the address: discovery is down
+	ConnectionFailed  Failure = iota // the connection broke or was never made, which says nothing of discovery itself
+	Rejected                         // discovery answered with an error status or ended a first call: it is down or overloaded
+	ConnectionRefused                // the connection was refused, as nobody listens at the address: discovery is down
 )
 
 // rejection is the way in which discovery rejects first calls.
@@ -72,21 +73,21 @@
 
 const (
 	notRejected rejection = iota
-	connectionRefused
+	refusedConnection
 	rejectedAtOnce
 	rejectedAfterWait
 )
 
 // Call is a call to discovery that the host is to make.
 type Call struct {
-	After int64   // ask for what is newer than this version of the list, or for the whole list if it is below 0
-	Wait  float64 // how long discovery may hold the call until there is news, in milliseconds
+	AfterVersion int64   // ask for what is newer than this version of the list, or for the whole list if it is below 0
+	WaitMs       float64 // how long discovery may hold the call until there is news, in milliseconds
 }
 
 // Watch follows one list. Its times are in milliseconds.
 type Watch struct {
-	mustAskInMS float64 // within which time discovery has to be asked again (setting must_ask_in)
-	fullRoundMS float64 // how long discovery takes to answer one call of each scheduler, one after the other
+	mustAskInMs float64 // within which time discovery has to be asked again (setting must_ask_in)
+	fullRoundMs float64 // how long discovery takes to answer one call of each scheduler, one after the other
 
 	state       State
 	version     int64   // version of the list that the scheduler has; below 0: the whole list is to be asked for
@@ -95,7 +96,7 @@
 	calledAt    float64 // when the call was sent, or its connection begun
 	overdueAt   float64 // when the answer becomes overdue
 	nextCallAt  float64 // when to make the next call after an answer that came too early
-	formerOpen  bool    // in state Moved: the connection to the former address is open
+	formerOpen  bool    // in state AddressChanged: the connection to the former address is open
 	mayBeMissed bool    // since the last answer a watch fell silent or discovery moved: changes may have been missed
 
 	setAsideDue     bool      // the host is yet to set the current connection aside
@@ -108,59 +109,59 @@
 	rejectedBy      rejection // how the last first call was rejected, if it was
 	rejectedSince   float64   // when the first call was made of those that were rejected in this way without a break
 	lastLateness    float64   // how late the last answer came that discovery held until the call's wait was over
-	pendingOutcomes []bool    // what the policy is yet to be told, see NextTold
+	pendingOutcomes []bool    // what the policy is yet to be told, see NextStatusChange
 }
 
 // New returns the watch of a scheduler that starts now. mustAskIn is the setting must_ask_in; fullRound is how long
 // discovery takes to answer one call of each scheduler, one after the other. The list that a new process begins with is
 // as old as the process before it, and the scheduler may count as informed of changes since: the list is not relied on.
 func New(now, mustAskIn, fullRound float64) *Watch {
-	w := &Watch{mustAskInMS: mustAskIn, fullRoundMS: fullRound, reliableUntil: now, version: -1}
+	w := &Watch{mustAskInMs: mustAskIn, fullRoundMs: fullRound, reliableUntil: now, version: -1}
 	w.enter(Idle)
 	return w
 }
 
-// Began sets the version of the list that the scheduler begins with.
-func (w *Watch) Began(version int64) { w.version = version }
+// SetVersion sets the version of the list that the scheduler begins with.
+func (w *Watch) SetVersion(version int64) { w.version = version }
 
-// Retune changes the setting must_ask_in.
-func (w *Watch) Retune(mustAskIn float64) { w.mustAskInMS = mustAskIn }
+// SetMustAskIn changes the setting must_ask_in.
+func (w *Watch) SetMustAskIn(mustAskIn float64) { w.mustAskInMs = mustAskIn }
 
 // State returns the watch's state.
 func (w *Watch) State() State { return w.state }
 
-// Till returns until when the list may be relied on. After that, a worker may be draining that the list still shows as
+// ReliableUntil returns until when the list may be relied on. After that, a worker may be draining that the list still shows as
 // in service.
-func (w *Watch) Till() float64 { return w.reliableUntil }
+func (w *Watch) ReliableUntil() float64 { return w.reliableUntil }
 
 // ---- events that the host reports ----
 
-// Wanted reports that the policy wants a watch. A new one begins, also in place of one that is overdue or that is at a
+// Begin reports that the policy wants a watch. A new one begins, also in place of one that is overdue or that is at a
 // former address; one that is in progress goes on.
-func (w *Watch) Wanted(now float64) {
+func (w *Watch) Begin(now float64) {
 	switch w.state {
-	case First, Watching:
+	case Initial, Watching:
 		return
-	case Moved:
+	case AddressChanged:
 		w.version = -1 // discovery at the new address may count versions differently
 		w.setAside(w.formerOpen, true)
 	case Overdue:
 		w.setAside(true, false)
 	}
-	w.enter(First)
+	w.enter(Initial)
 	w.scheduleCall(now, 0)
 }
 
-// Sent reports that the call was written, which may have waited for its connection.
-func (w *Watch) Sent(now float64) {
-	w.scheduleCall(now, w.call.Wait)
+// CallSent reports that the call was written, which may have waited for its connection.
+func (w *Watch) CallSent(now float64) {
+	w.scheduleCall(now, w.call.WaitMs)
 	w.callDue = false
 }
 
-// Fits checks whether a list can be applied, and returns an error if not. A partial list has to follow from the version
+// CheckVersion checks whether a list can be applied, and returns an error if not. A partial list has to follow from the version
 // that was asked from, and no list may be older than that. If versions go back, the whole list is asked for next, as
 // the rest of the known list belongs to another sequence of versions.
-func (w *Watch) Fits(version int64, whole bool) error {
+func (w *Watch) CheckVersion(version int64, whole bool) error {
 	switch {
 	case w.version < 0 && !whole:
 		return fmt.Errorf("got a part of the list, want the whole list")
@@ -176,28 +177,28 @@
 func (w *Watch) Answered(now float64, version int64, reusable bool) {
 	news := version != w.version
 	w.version = version
-	if w.state == Moved {
+	if w.state == AddressChanged {
 		if w.formerOpen = reusable; !reusable {
-			w.enter(Moved)
+			w.enter(AddressChanged)
 			return
 		}
 	} else {
 		w.state, w.mayBeMissed, w.down, w.rejectedBy = Watching, false, false, notRejected
 		w.recordLateness(now, news)
 		w.asideOpen = w.asideOpen && !w.asideFormer
-		w.setReliableUntil(now+StalenessBoundMS, false)
+		w.setReliableUntil(now+StalenessBoundMs, false)
 		w.pendingOutcomes = append(w.pendingOutcomes, true)
 	}
-	if !news && now < w.calledAt+w.call.Wait/2 {
+	if !news && now < w.calledAt+w.call.WaitMs/2 {
 		// Discovery doesn't hold calls as asked; without a gap they would follow each other at once.
-		w.nextCallAt, w.overdueAt = now+earlyAnswerGapMS, math.Inf(1)
+		w.nextCallAt, w.overdueAt = now+earlyAnswerGapMs, math.Inf(1)
 		return
 	}
-	w.scheduleCall(now, min(w.mustAskInMS/2, maxWaitMS))
+	w.scheduleCall(now, min(w.mustAskInMs/2, maxWaitMs))
 }
 
-// Overhears reports an answer on the connection that was set aside, and returns whether its list may be applied.
-func (w *Watch) Overhears(now float64, version int64) bool {
+// AcceptsLateAnswer reports an answer on the connection that was set aside, and returns whether its list may be applied.
+func (w *Watch) AcceptsLateAnswer(now float64, version int64) bool {
 	if w.asideOpen = false; w.asideFormer {
 		return true
 	}
@@ -210,7 +211,7 @@
 
 // recordLateness records how late an answer without news came.
 func (w *Watch) recordLateness(now float64, news bool) {
-	if dueAt := w.calledAt + w.call.Wait; !news && w.call.Wait > 0 && now >= dueAt {
+	if dueAt := w.calledAt + w.call.WaitMs; !news && w.call.WaitMs > 0 && now >= dueAt {
 		w.lastLateness = now - dueAt
 	}
 }
@@ -218,15 +219,15 @@
 // Failed reports that a call failed. Its connection is closed.
 func (w *Watch) Failed(now float64, how Failure) {
 	switch w.state {
-	case First, Watching:
+	case Initial, Watching:
 		w.assessFailure(now, how)
 		w.pendingOutcomes = append(w.pendingOutcomes, false)
 		w.enter(Idle)
 	case Overdue:
 		w.enter(Idle) // the policy was told when the answer became overdue, and will ask for a watch in its turn
-	case Moved:
+	case AddressChanged:
 		w.formerOpen = false
-		w.enter(Moved)
+		w.enter(AddressChanged)
 	}
 }
 
@@ -236,11 +237,11 @@
 func (w *Watch) assessFailure(now float64, how Failure) {
 	informedAt := w.calledAt
 	switch {
-	case how == Broken:
+	case how == ConnectionFailed:
 		w.rejectedBy = notRejected
 		return
-	case how == Refused:
-		w.down, w.rejectedBy = true, connectionRefused
+	case how == ConnectionRefused:
+		w.down, w.rejectedBy = true, refusedConnection
 	case w.state == Watching:
 		w.down, w.rejectedBy, informedAt = true, notRejected, now // discovery ended the watch, which was not silent until then
 	default:
@@ -249,7 +250,7 @@
 		}
 	}
 	if w.down {
-		w.setReliableUntil(max(w.reliableUntil, min(informedAt+StalenessBoundMS, w.calledAt+w.mustAskInMS)), false)
+		w.setReliableUntil(max(w.reliableUntil, min(informedAt+StalenessBoundMs, w.calledAt+w.mustAskInMs)), false)
 	}
 }
 
@@ -259,48 +260,48 @@
 // have been of one kind for longer than that can last.
 func (w *Watch) recordRejection(now float64) bool {
 	by := rejectedAtOnce
-	if now > w.calledAt+answerTimeoutMS/2 {
+	if now > w.calledAt+answerTimeoutMs/2 {
 		by = rejectedAfterWait
 	}
 	if by == w.rejectedBy {
-		w.down = w.down || w.calledAt >= w.rejectedSince+answerTimeoutMS+crowdRounds*w.fullRoundMS
+		w.down = w.down || w.calledAt >= w.rejectedSince+answerTimeoutMs+crowdRounds*w.fullRoundMs
 		return true
 	}
 	// After a rejection or refusal of another kind, discovery may have been up in between.
 	w.down = w.down && w.rejectedBy == notRejected
 	w.rejectedBy, w.rejectedSince = by, w.calledAt
 	// More schedulers than fit this time call before discovery may be able to answer them all.
-	return w.fullRoundMS <= StalenessBoundMS-maxWaitMS
+	return w.fullRoundMs <= StalenessBoundMs-maxWaitMs
 }
 
-// Went reports that discovery is at another address from now on. All schedulers ask for the whole list there at the
+// DiscoveryMoved reports that discovery is at another address from now on. All schedulers ask for the whole list there at the
 // same time, so the policy decides when it is this one's turn.
-func (w *Watch) Went(now float64) {
+func (w *Watch) DiscoveryMoved(now float64) {
 	switch w.state {
-	case First, Overdue:
+	case Initial, Overdue:
 		w.closeDue = true
 		w.enter(Idle)
 	case Watching:
 		w.formerOpen = true
 	}
-	w.state = Moved
-	w.setReliableUntil(min(w.reliableUntil, now+MovedStalenessBoundMS), true)
+	w.state = AddressChanged
+	w.setReliableUntil(min(w.reliableUntil, now+MovedStalenessBoundMs), true)
 	w.pendingOutcomes = append(w.pendingOutcomes, true, false) // failures at the former address say nothing of the new one
 }
 
-// Passed does what is due by now: it has the next call made, or takes an answer as overdue.
-func (w *Watch) Passed(now float64) {
+// Advance does what is due by now: it has the next call made, or takes an answer as overdue.
+func (w *Watch) Advance(now float64) {
 	if now >= w.nextCallAt {
-		w.scheduleCall(now, min(w.mustAskInMS/2, maxWaitMS))
+		w.scheduleCall(now, min(w.mustAskInMs/2, maxWaitMs))
 	}
-	if w.asideOpen && now >= w.asideAnswerDue+answerTimeoutMS {
+	if w.asideOpen && now >= w.asideAnswerDue+answerTimeoutMs {
 		w.asideOpen = false
 	}
 	if now < w.overdueAt {
 		return
 	}
 	switch w.state {
-	case First:
+	case Initial:
 		w.setReliableUntil(w.reliableUntil, true) // discovery may have taken the call as a watch, and fallen silent
 		w.closeDue, w.pendingOutcomes = true, append(w.pendingOutcomes, false)
 		w.enter(Idle)
@@ -309,9 +310,9 @@
 		w.setReliableUntil(w.reliableUntil, true)
 		w.pendingOutcomes = append(w.pendingOutcomes, false)
 		w.enter(Overdue)
-	case Moved:
+	case AddressChanged:
 		w.closeDue, w.formerOpen = true, false
-		w.enter(Moved)
+		w.enter(AddressChanged)
 	}
 }
 
@@ -320,16 +321,16 @@
 func (w *Watch) setAside(open, former bool) {
 	if open {
 		w.setAsideDue, w.asideOpen, w.asideFormer = true, true, former
-		w.asideAnswerDue = w.calledAt + w.call.Wait
+		w.asideAnswerDue = w.calledAt + w.call.WaitMs
 	}
 }
 
 // scheduleCall has a call made now that discovery may hold for wait milliseconds.
 func (w *Watch) scheduleCall(now, wait float64) {
 	w.call, w.callDue, w.calledAt = Call{w.version, wait}, true, now
-	w.nextCallAt, w.overdueAt = math.Inf(1), now+wait+min(graceMS+2*w.lastLateness, maxGraceMS)
-	if w.state == First {
-		w.overdueAt = now + answerTimeoutMS
+	w.nextCallAt, w.overdueAt = math.Inf(1), now+wait+min(graceMs+2*w.lastLateness, maxGraceMs)
+	if w.state == Initial {
+		w.overdueAt = now + answerTimeoutMs
 	}
 }
 
@@ -349,19 +350,19 @@
 
 // ---- actions that the host pulls ----
 
-// NextAside returns whether the current connection is to be set aside: no call is made on it any more, and an answer
-// that still comes is passed to Overhears. A connection that was set aside before is closed.
-func (w *Watch) NextAside() bool {
+// NextSetAside returns whether the current connection is to be set aside: no call is made on it any more, and an answer
+// that still comes is passed to AcceptsLateAnswer. A connection that was set aside before is closed.
+func (w *Watch) NextSetAside() bool {
 	due := w.setAsideDue
 	w.setAsideDue = false
 	return due
 }
 
-// Besides returns whether the connection that is set aside is still to be read. If not, it is to be closed.
-func (w *Watch) Besides() bool { return w.asideOpen }
+// KeepsAside returns whether the connection that is set aside is still to be read. If not, it is to be closed.
+func (w *Watch) KeepsAside() bool { return w.asideOpen }
 
-// NextHangUp returns whether the current connection is to be closed. Nothing that happens on it is reported any more.
-func (w *Watch) NextHangUp() bool {
+// NextClose returns whether the current connection is to be closed. Nothing that happens on it is reported any more.
+func (w *Watch) NextClose() bool {
 	due := w.closeDue
 	w.closeDue = false
 	return due
@@ -375,9 +376,9 @@
 	return w.call, due
 }
 
-// NextTold returns what the policy is to be told next: that its watch is in progress (on) or that it failed. ok is
+// NextStatusChange returns what the policy is to be told next: that its watch is in progress (on) or that it failed. ok is
 // false if there is nothing to tell.
-func (w *Watch) NextTold() (on, ok bool) {
+func (w *Watch) NextStatusChange() (on, ok bool) {
 	if len(w.pendingOutcomes) == 0 {
 		return false, false
 	}
@@ -386,10 +387,10 @@
 	return on, true
 }
 
-// Wake returns when Passed is to be called next.
-func (w *Watch) Wake() float64 {
+// NextWake returns when Advance is to be called next.
+func (w *Watch) NextWake() float64 {
 	if w.asideOpen {
-		return min(w.nextCallAt, w.overdueAt, w.asideAnswerDue+answerTimeoutMS)
+		return min(w.nextCallAt, w.overdueAt, w.asideAnswerDue+answerTimeoutMs)
 	}
 	return min(w.nextCallAt, w.overdueAt)
 }
