--- a/benchwire/benchwire.go
+++ b/benchwire/benchwire.go
@@ -70,7 +70,7 @@
 	Zone        int     `json:"dc"`
 }
 
-func usToMS(us int64) float64 { return float64(us) / 1000 }
+func usToMs(us int64) float64 { return float64(us) / 1000 }
 func msToUS(ms float64) int64 { return int64(math.Ceil(ms * 1000)) }
 
 // states maps the names of a worker's states on the wire.
@@ -89,7 +89,7 @@
 	id        int
 	scheduler *balance.Scheduler
 	timerAt   float64 // when the pending timer is due, in milliseconds; +Inf if there is none
-	settings  startup.Told
+	settings  startup.Settings
 }
 
 // Session runs the schedulers that one bench starts. They share nothing.
@@ -114,7 +114,7 @@
 	if b.AtUS == nil || b.Messages == nil {
 		return nil, fmt.Errorf("invalid batch: at_time or msgs is missing")
 	}
-	now := usToMS(*b.AtUS)
+	now := usToMs(*b.AtUS)
 	s.out.Reset()
 	s.out.WriteString(`{"do":[`)
 	var touched []*instance // those that got a message, in the order of their first one
@@ -200,10 +200,10 @@
 	case "call":
 		hint := -1.0
 		if m.Options&optHinted != 0 {
-			hint = usToMS(m.WorkHintUS)
+			hint = usToMs(m.WorkHintUS)
 		}
 		scheduler.Arrived(now, balance.Txn{Ref: m.refText(), Scheme: m.Scheme, Tenant: m.Tenant, Key: m.Key, Hint: hint,
-			Slots: m.Cores, TimeLeftMs: usToMS(m.RemainingUS), Repeat: m.Options&optRepeat != 0})
+			Slots: m.Cores, TimeLeftMs: usToMs(m.RemainingUS), Repeat: m.Options&optRepeat != 0})
 	case "dropped":
 		scheduler.TxnClosed(now, m.refText())
 	case "answer":
@@ -226,7 +226,7 @@
 				state = balance.Draining // so that nothing is sent to a worker in an unknown state
 			}
 			rows = append(rows, balance.Listed{ID: e.Worker, Cell: e.Cell, Zone: e.Zone, Kind: e.Kind, State: state,
-				Start: usToMS(e.LastStartUS), Weight: e.Weight})
+				Start: usToMs(e.LastStartUS), Weight: e.Weight})
 		}
 		scheduler.ListChanged(now, m.Scope != "Partial", rows)
 		if m.Scope != "Persisted" {
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -28,8 +28,8 @@
 	Known    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	decoded startup.Told // Settings, decoded, with defaults for what they do not give
-	raw     []byte       // the whole configuration as it was read
+	decoded startup.Settings // Settings, decoded, with defaults for what they do not give
+	raw     []byte           // the whole configuration as it was read
 }
 
 // Limits is how much of its machine the program may use. 0 is no limit on cores and memory, and defaultSockets for sockets.
@@ -77,7 +77,7 @@
 // that differ and need a restart. Differences of the seed, which is new with each start, and of the known list, which is only
 // used at a start, are ignored.
 func (n *Node) reloaded(other *Node) (result *Node, kept []string, err error) {
-	if key := startup.Lacks(n.raw, other.raw); key != "" {
+	if key := startup.MissingKey(n.raw, other.raw); key != "" {
 		return nil, nil, fmt.Errorf("%s is missing, and the settings in force have it", key)
 	}
 	for _, field := range []struct {
@@ -92,7 +92,7 @@
 	}
 	merged := *n
 	merged.Discovery, merged.raw = other.Discovery, other.raw
-	decoded, moreKept, err := n.decoded.Retuned(other.decoded)
+	decoded, moreKept, err := n.decoded.MergeReload(other.decoded)
 	merged.decoded = decoded
 	return &merged, append(kept, moreKept...), err
 }
@@ -147,11 +147,11 @@
 		}
 		seen[name] = true
 	}
-	if n.decoded.Dial <= 0 {
-		n.decoded.Dial = defaultDialMs
+	if n.decoded.DialTimeoutMs <= 0 {
+		n.decoded.DialTimeoutMs = defaultDialMs
 	}
-	if n.decoded.Idle <= 0 {
-		n.decoded.Idle = defaultIdleMs
+	if n.decoded.WorkerIdleTimeoutMs <= 0 {
+		n.decoded.WorkerIdleTimeoutMs = defaultIdleMs
 	}
 	// This program gets discovery's list only by asking for it; nothing pushes it.
 	n.decoded.Terms.PollsList = true
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -111,7 +111,7 @@
 // an early close the limit is half of the time for which that connection had been idle; it then doubles every
 // idleTrustDoublingMs without another early close, up to what the settings allow.
 func (pl *pool) maxIdleMs(now float64) float64 {
-	configuredMaxMs := idleTimeoutShare * pl.s.node.decoded.Idle
+	configuredMaxMs := idleTimeoutShare * pl.s.node.decoded.WorkerIdleTimeoutMs
 	if math.IsInf(pl.earlyCloseAt, -1) {
 		return configuredMaxMs
 	}
@@ -254,7 +254,7 @@
 		s.loop.After(0, func() { failed(err) }) // cannot happen: addresses are checked where they are read
 		return
 	}
-	s.loop.Dial(addrPort, time.Duration(s.node.decoded.Dial*float64(time.Millisecond)), handler, func(err error) {
+	s.loop.Dial(addrPort, time.Duration(s.node.decoded.DialTimeoutMs*float64(time.Millisecond)), handler, func(err error) {
 		failed(err)
 		s.afterEvent()
 	})
@@ -286,7 +286,7 @@
 	}
 	// A probe finds out whether a worker answers at all. One that has not within twice the connect timeout counts as
 	// silent.
-	wc.probing, wc.probeDeadline = true, pl.s.now()+2*pl.s.node.decoded.Dial
+	wc.probing, wc.probeDeadline = true, pl.s.now()+2*pl.s.node.decoded.DialTimeoutMs
 	if wc.state == connIdle {
 		wc.send()
 	}
@@ -343,7 +343,7 @@
 	var b []byte
 	if wc.posting == nil {
 		path := "/ping"
-		if wc.s.node.decoded.Reports {
+		if wc.s.node.decoded.WorkersReportLoad {
 			path = "/_load"
 		}
 		b = append(b, "GET "+path+" HTTP/1.1\r\nHost: "+wc.worker.addr+"\r\n\r\n"...)
@@ -531,7 +531,7 @@
 // Aggregation), "JSON " before an object or "TEXT " before name=value pairs. A malformed report, or pair of one, is
 // logged and ignored: the response that it came with is still valid.
 func (wc *workerConn) parseLoad(report []byte) balance.Load {
-	if !wc.s.node.decoded.Reports || len(report) == 0 {
+	if !wc.s.node.decoded.WorkersReportLoad || len(report) == 0 {
 		return balance.NoLoad
 	}
 	values := map[string]float64{}
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -109,7 +109,7 @@
 // Load reports in all formats are read, and malformed ones are ignored.
 func TestLoadReports(t *testing.T) {
 	_, wc := newOnceOnlyPosting(t)
-	wc.s.node.decoded.Reports, wc.s.node.decoded.FreeSlots = true, true
+	wc.s.node.decoded.WorkersReportLoad, wc.s.node.decoded.X0IsFreeSlots = true, true
 	for text, want := range map[string]float64{"": -1, "TEXT tps=1.5, depth=0, x0=4.25": 4.25, `{"x0":2}`: 2,
 		`JSON {"x0":3}`: 3, "TEXT x0=y, tps=1": -1, "TEXT": -1, "TEXT ": -1, `{"x0":"2"}`: -1, "null": -1} {
 		if got := wc.parseLoad([]byte(text)); got.Free != want {
--- a/startup/startup.go
+++ b/startup/startup.go
@@ -14,21 +14,21 @@
 	"shalebeam/balance"
 )
 
-// Told is the decoded settings: the terms of package balance, and what only its host needs.
-type Told struct {
-	Terms     balance.Terms
-	Schemes   []string // names, in the order of Terms.Schemes
-	Tenants   []string // names, in the order of Terms.Quota
-	Zones     []string // names; a zone's number is its index
-	Kinds     []string // names; a kind's number is its index
-	Reports   bool     // workers report their load
-	FreeSlots bool     // the field x0 of a load report is the number of free slots
-	Idle      float64  // a worker closes a connection that was idle for this long, in milliseconds
-	Dial      float64  // timeout for establishing a connection, in milliseconds
+// Settings is the decoded settings: the terms of package balance, and what only its host needs.
+type Settings struct {
+	Terms               balance.Terms
+	Schemes             []string // names, in the order of Terms.Schemes
+	Tenants             []string // names, in the order of Terms.Quota
+	Zones               []string // names; a zone's number is its index
+	Kinds               []string // names; a kind's number is its index
+	WorkersReportLoad   bool     // workers report their load
+	X0IsFreeSlots       bool     // the field x0 of a load report is the number of free slots
+	WorkerIdleTimeoutMs float64  // a worker closes a connection that was idle for this long, in milliseconds
+	DialTimeoutMs       float64  // timeout for establishing a connection, in milliseconds
 }
 
-// settings is the JSON form of the settings. Integer times are in microseconds. A pointer tells a missing value from 0.
-type settings struct {
+// settingsJSON is the JSON form of the settings. Integer times are in microseconds. A pointer tells a missing value from 0.
+type settingsJSON struct {
 	SchedulerNumber int      `json:"my_number"`
 	SchedulerCount  int      `json:"peers_total"`
 	Zone            int      `json:"zone"`
@@ -92,29 +92,29 @@
 }
 
 // Decode decodes the settings, a JSON object, and checks them. Unknown keys are ignored. The seed goes into the terms.
-func Decode(raw []byte, seed uint64) (Told, error) {
-	var in settings
+func Decode(raw []byte, seed uint64) (Settings, error) {
+	var in settingsJSON
 	if err := json.Unmarshal(raw, &in); err != nil {
-		return Told{}, fmt.Errorf("settings: %w", err)
+		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	if len(in.Schemes) == 0 {
-		return Told{}, fmt.Errorf("settings: schemes is missing or empty")
+		return Settings{}, fmt.Errorf("settings: schemes is missing or empty")
 	}
 	for i, scheme := range in.Schemes {
 		if scheme.ExpiryUS <= 0 {
-			return Told{}, fmt.Errorf("settings: schemes[%d].expiry: %d us, want more than 0", i, scheme.ExpiryUS)
+			return Settings{}, fmt.Errorf("settings: schemes[%d].expiry: %d us, want more than 0", i, scheme.ExpiryUS)
 		}
 	}
 	if n := in.Limits.MaxPostings; n != nil && *n <= 0 {
-		return Told{}, fmt.Errorf("settings: policy_limits.max_postings: %d, want more than 0", *n)
+		return Settings{}, fmt.Errorf("settings: policy_limits.max_postings: %d, want more than 0", *n)
 	}
 	terms, err := in.terms(seed)
 	if err != nil {
-		return Told{}, fmt.Errorf("settings: %w", err)
+		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	t := Told{Terms: terms, Zones: in.Zones, Kinds: in.Kinds, Reports: len(in.Report.Fields) > 0,
-		FreeSlots: in.Domain.ReportX0 == "free slots",
-		Idle:      usToMS(in.Limits.ConnIdleUS), Dial: usToMS(in.Limits.ConnectTimeoutUS)}
+	t := Settings{Terms: terms, Zones: in.Zones, Kinds: in.Kinds, WorkersReportLoad: len(in.Report.Fields) > 0,
+		X0IsFreeSlots:       in.Domain.ReportX0 == "free slots",
+		WorkerIdleTimeoutMs: usToMs(in.Limits.ConnIdleUS), DialTimeoutMs: usToMs(in.Limits.ConnectTimeoutUS)}
 	for _, scheme := range in.Schemes {
 		t.Schemes = append(t.Schemes, scheme.Name)
 	}
@@ -124,9 +124,9 @@
 	return t, nil
 }
 
-// Retuned returns the settings to use after a reload: those of fresh, except that what can't change while a scheduler
+// MergeReload returns the settings to use after a reload: those of fresh, except that what can't change while a scheduler
 // runs is kept from t. It also returns the keys of the values that were kept although fresh differs.
-func (t Told) Retuned(fresh Told) (out Told, kept []string, err error) {
+func (t Settings) MergeReload(fresh Settings) (out Settings, kept []string, err error) {
 	old, updated := &t.Terms, &fresh.Terms
 	for _, fixed := range []struct {
 		key  string
@@ -135,8 +135,8 @@
 		{"zone", old.Zone == updated.Zone},
 		{"zones", slices.Equal(t.Zones, fresh.Zones)}, {"kinds", slices.Equal(t.Kinds, fresh.Kinds)},
 		{"weights", old.WeightShowsLoad == updated.WeightShowsLoad},
-		{"domain", old.ReportsStart == updated.ReportsStart && t.FreeSlots == fresh.FreeSlots},
-		{"membership_mode", old.PollsList == updated.PollsList}, {"report", t.Reports == fresh.Reports},
+		{"domain", old.ReportsStart == updated.ReportsStart && t.X0IsFreeSlots == fresh.X0IsFreeSlots},
+		{"membership_mode", old.PollsList == updated.PollsList}, {"report", t.WorkersReportLoad == fresh.WorkersReportLoad},
 		{"policy_limits.peers", old.Messages == updated.Messages}} {
 		if !fixed.same {
 			kept = append(kept, fixed.key)
@@ -155,22 +155,22 @@
 	terms.Seed, terms.Index, terms.Schedulers, terms.Zone = old.Seed, old.Index, old.Schedulers, old.Zone
 	terms.WeightShowsLoad, terms.ReportsStart = old.WeightShowsLoad, old.ReportsStart
 	terms.PollsList, terms.Messages = old.PollsList, old.Messages
-	out.Zones, out.Kinds, out.Reports, out.FreeSlots = t.Zones, t.Kinds, t.Reports, t.FreeSlots
+	out.Zones, out.Kinds, out.WorkersReportLoad, out.X0IsFreeSlots = t.Zones, t.Kinds, t.WorkersReportLoad, t.X0IsFreeSlots
 	return out, kept, nil
 }
 
-// Lacks returns the path of a key that the JSON object old has and raw lacks, or "" if there is none or either can't be
+// MissingKey returns the path of a key that the JSON object old has and raw lacks, or "" if there is none or either can't be
 // decoded. In an array of objects, each object of raw needs the keys that all objects of old have.
-func Lacks(old, raw json.RawMessage) string {
+func MissingKey(old, raw json.RawMessage) string {
 	var a, b any
 	if json.Unmarshal(old, &a) != nil || json.Unmarshal(raw, &b) != nil {
 		return ""
 	}
-	return missingKey(a, b)
+	return missingKeyIn(a, b)
 }
 
-// missingKey is Lacks on decoded values.
-func missingKey(old, fresh any) string {
+// missingKeyIn is MissingKey on decoded values.
+func missingKeyIn(old, fresh any) string {
 	switch old := old.(type) {
 	case map[string]any:
 		fresh, _ := fresh.(map[string]any)
@@ -178,7 +178,7 @@
 			if _, ok := fresh[key]; !ok {
 				return key
 			}
-			if sub := missingKey(old[key], fresh[key]); sub != "" {
+			if sub := missingKeyIn(old[key], fresh[key]); sub != "" {
 				return key + "." + sub
 			}
 		}
@@ -214,37 +214,37 @@
 }
 
 // Load converts a worker's load report, by field name, to what package balance is told.
-func (t *Told) Load(report map[string]float64) balance.Load {
+func (t *Settings) Load(report map[string]float64) balance.Load {
 	load := balance.NoLoad
-	if free, ok := report["x0"]; ok && t.FreeSlots && !math.IsInf(free, 0) {
+	if free, ok := report["x0"]; ok && t.X0IsFreeSlots && !math.IsInf(free, 0) {
 		load.Free = free
 	}
 	return load
 }
 
-func usToMS(us int64) float64 { return float64(us) / 1000 }
+func usToMs(us int64) float64 { return float64(us) / 1000 }
 
 // terms converts the settings to the terms of package balance.
-func (in *settings) terms(seed uint64) (balance.Terms, error) {
+func (in *settingsJSON) terms(seed uint64) (balance.Terms, error) {
 	t := balance.Terms{Seed: seed, Index: in.SchedulerNumber, Schedulers: in.SchedulerCount, Zone: in.Zone,
-		Tick: usToMS(in.TickUS), OverQuotaGainFactor: in.SurplusGain,
+		Tick: usToMs(in.TickUS), OverQuotaGainFactor: in.SurplusGain,
 		MaxPostings: math.MaxInt, Hedging: in.Limits.ParallelTries, Cancels: in.Limits.Cancel, Messages: in.Limits.Peers,
-		Probes: in.Limits.Probes, WorkerIdleTimeoutMs: usToMS(in.Limits.ConnIdleUS),
+		Probes: in.Limits.Probes, WorkerIdleTimeoutMs: usToMs(in.Limits.ConnIdleUS),
 		NewConnectionCost: in.Fees.Handshake, MessageCost: in.Fees.Peer,
 		WeightShowsLoad: in.Weights == "live",
-		PollsList:       in.MembershipMode == "subscribe", ListPollIntervalMs: usToMS(in.Guarantees.MustAskInUS),
+		PollsList:       in.MembershipMode == "subscribe", ListPollIntervalMs: usToMs(in.Guarantees.MustAskInUS),
 		ReportsStart:          in.Domain.TellsStart,
-		SlowStartInitialShare: in.Guarantees.ColdFrom, SlowStartMs: usToMS(in.Guarantees.ColdUS),
-		SlowStartWindowMs: usToMS(in.Guarantees.FallUS), SlowStartMultiple: in.Guarantees.FallMultiple}
+		SlowStartInitialShare: in.Guarantees.ColdFrom, SlowStartMs: usToMs(in.Guarantees.ColdUS),
+		SlowStartWindowMs: usToMs(in.Guarantees.FallUS), SlowStartMultiple: in.Guarantees.FallMultiple}
 	if in.Limits.MaxPostings != nil {
 		t.MaxPostings = *in.Limits.MaxPostings
 	}
 	if in.Limits.RetryAfter {
-		t.MaxStayAwayMs = usToMS(in.Limits.MaxRetryAfterUS)
+		t.MaxStayAwayMs = usToMs(in.Limits.MaxRetryAfterUS)
 	}
 	for i, scheme := range in.Schemes {
-		row := balance.SchemeRow{Name: scheme.Name, Window: usToMS(scheme.WindowUS), SLA: usToMS(scheme.SLATimeUS),
-			Expiry:   usToMS(scheme.ExpiryUS),
+		row := balance.SchemeRow{Name: scheme.Name, Window: usToMs(scheme.WindowUS), SLA: usToMs(scheme.SLATimeUS),
+			Expiry:   usToMs(scheme.ExpiryUS),
 			Gain:     scheme.Gain,
 			LateGain: scheme.LateGain}
 		// An unknown effect counts as the strictest.
@@ -294,7 +294,7 @@
 	case rules.ResendRatio != nil && *rules.ResendRatio < 0:
 		return t, fmt.Errorf("guarantees.resend_ratio: %v, want 0 or more", *rules.ResendRatio)
 	}
-	t.RetryBudgetWindowMs = usToMS(*rules.LookBackUS)
+	t.RetryBudgetWindowMs = usToMs(*rules.LookBackUS)
 	if rules.BudgetFree != nil {
 		t.RetryBudgetMin = *rules.BudgetFree
 	}
--- a/startup/startup_test.go
+++ b/startup/startup_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestDecode(t *testing.T) {
-	told, err := Decode([]byte(`{"my_number":2,"peers_total":3,"tick":2000,"membership_mode":"subscribe",
+	decoded, err := Decode([]byte(`{"my_number":2,"peers_total":3,"tick":2000,"membership_mode":"subscribe",
 "weights":"live","new":{"x":1},
 "zones":["a","b"],"kinds":["k","l"],"domain":{"class_kind":[-1,0],"class_stretch":[2.5],
 "report_x0":"free slots"},"report":{"fields":["x0"]},"orgs":[{"name":"o","quota_per_s":4}],
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms := told.Terms
+	terms := decoded.Terms
 	if terms.Seed != 7 || terms.Index != 2 || terms.Schedulers != 3 || terms.Tick != 2 || !terms.PollsList || !terms.WeightShowsLoad ||
 		terms.MaxStayAwayMs != 2000 || terms.MaxPostings < 1000 || len(terms.Quota) != 1 || terms.Quota[0] != 4 {
 		t.Errorf("terms: %+v", terms)
@@ -31,14 +31,14 @@
 	if terms.Schemes[0] != first || terms.Schemes[1] != second {
 		t.Errorf("schemes: %+v", terms.Schemes)
 	}
-	if told.Schemes[1] != "t" || told.Tenants[0] != "o" || told.Zones[1] != "b" ||
-		told.Idle != 10000 || told.Dial != 250 {
-		t.Errorf("told: %+v", told)
+	if decoded.Schemes[1] != "t" || decoded.Tenants[0] != "o" || decoded.Zones[1] != "b" ||
+		decoded.WorkerIdleTimeoutMs != 10000 || decoded.DialTimeoutMs != 250 {
+		t.Errorf("decoded settings: %+v", decoded)
 	}
-	if got := told.Load(map[string]float64{"x0": 3.5}); got.Free != 3.5 {
+	if got := decoded.Load(map[string]float64{"x0": 3.5}); got.Free != 3.5 {
 		t.Errorf("load: %v", got)
 	}
-	if got := told.Load(nil); got != balance.NoLoad {
+	if got := decoded.Load(nil); got != balance.NoLoad {
 		t.Errorf("no load: %v", got)
 	}
 	for _, raw := range []string{``, `7`, `{}`, `{"schemes":[]}`, `{"schemes":[{"expiry":"x"}]}`,
@@ -61,14 +61,14 @@
 		`{"a":1,"b":{"c":[],"d":1},"rows":[{"x":1},{"y":2}],"known":[]}`:                               "rows.1.x",
 		`[]`: "a",
 	} {
-		if got := Lacks([]byte(old), []byte(raw)); got != want {
+		if got := MissingKey([]byte(old), []byte(raw)); got != want {
 			t.Errorf("%s lacks %q, want %q", raw, got, want)
 		}
 	}
 }
 
 func TestReload(t *testing.T) {
-	decode := func(raw string) Told {
+	decode := func(raw string) Settings {
 		out, err := Decode([]byte(raw), 7)
 		if err != nil {
 			t.Fatal(err)
@@ -78,7 +78,7 @@
 	old := decode(`{"my_number":1,"peers_total":2,"zones":["a"],"schemes":[{"name":"s","expiry":1000}]}`)
 	fresh := decode(`{"my_number":0,"peers_total":2,"zones":["b"],"tick":3000,"policy_limits":{"max_postings":2},
 "schemes":[{"name":"s","expiry":2000},{"name":"t","expiry":2000}]}`)
-	got, kept, err := old.Retuned(fresh)
+	got, kept, err := old.MergeReload(fresh)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,23 +89,23 @@
 		len(got.Terms.Schemes) != 2 || got.Schemes[1] != "t" || got.Terms.Schemes[0].Expiry != 2 {
 		t.Errorf("got: %+v", got)
 	}
-	if _, kept, err := old.Retuned(old); len(kept) != 0 || err != nil {
+	if _, kept, err := old.MergeReload(old); len(kept) != 0 || err != nil {
 		t.Errorf("reload of the same settings: kept %v, error %v", kept, err)
 	}
 	bound := decode(`{"my_number":1,"peers_total":2,"zones":["b","a"],"schemes":[{"name":"s","expiry":1000,"zones_only":["a"]}]}`)
-	if _, _, err := old.Retuned(bound); err == nil || !strings.Contains(err.Error(), "zones") {
+	if _, _, err := old.MergeReload(bound); err == nil || !strings.Contains(err.Error(), "zones") {
 		t.Errorf("schemes bound to zones of a changed list: error %v, want one that names zones", err)
 	}
 }
 
 func TestBoundSchemesAndRetryBudget(t *testing.T) {
 	const head = `{"zones":["a","b"],"kinds":["k","l"],"schemes":[{"name":"s","expiry":1000,`
-	told, err := Decode([]byte(head+`"zones_only":["b",0],"kinds_open":[1]}],
+	decoded, err := Decode([]byte(head+`"zones_only":["b",0],"kinds_open":[1]}],
 "guarantees":{"budget_free":1,"resend_ratio":0.05,"look_back":2000000}}`), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if terms := told.Terms; terms.Schemes[0].Zones != 3 || terms.Schemes[0].Kinds != 2 || terms.RetryBudgetWindowMs != 2000 ||
+	if terms := decoded.Terms; terms.Schemes[0].Zones != 3 || terms.Schemes[0].Kinds != 2 || terms.RetryBudgetWindowMs != 2000 ||
 		terms.RetryBudgetMin != 1 || terms.RetryBudgetRatio != 0.05 {
 		t.Errorf("got %+v", terms)
 	}
@@ -125,8 +125,8 @@
 		}
 	}
 	// A budget of 0 is kept as such: it allows no posting beyond a txn's first.
-	told, err = Decode([]byte(head+`"gain":1}],"guarantees":{"budget_free":0,"resend_ratio":0,"look_back":5}}`), 1)
-	if err != nil || told.Terms.RetryBudgetWindowMs != 0.005 || told.Terms.RetryBudgetMin != 0 {
-		t.Errorf("got %+v %v", told.Terms, err)
+	decoded, err = Decode([]byte(head+`"gain":1}],"guarantees":{"budget_free":0,"resend_ratio":0,"look_back":5}}`), 1)
+	if err != nil || decoded.Terms.RetryBudgetWindowMs != 0.005 || decoded.Terms.RetryBudgetMin != 0 {
+		t.Errorf("got %+v %v", decoded.Terms, err)
 	}
 }
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -130,8 +130,8 @@
 // State returns the watch's state.
 func (w *Watch) State() State { return w.state }
 
-// ReliableUntil returns until when the list may be relied on. After that, a worker may be draining that the list still shows as
-// in service.
+// ReliableUntil returns until when the list may be relied on. After that, a worker may be draining that the list still
+// shows as in service.
 func (w *Watch) ReliableUntil() float64 { return w.reliableUntil }
 
 // ---- events that the host reports ----
@@ -158,9 +158,9 @@
 	w.callDue = false
 }
 
-// CheckVersion checks whether a list can be applied, and returns an error if not. A partial list has to follow from the version
-// that was asked from, and no list may be older than that. If versions go back, the whole list is asked for next, as
-// the rest of the known list belongs to another sequence of versions.
+// CheckVersion checks whether a list can be applied, and returns an error if not. A partial list has to follow from the
+// version that was asked from, and no list may be older than that. If versions go back, the whole list is asked for
+// next, as the rest of the known list belongs to another sequence of versions.
 func (w *Watch) CheckVersion(version int64, whole bool) error {
 	switch {
 	case w.version < 0 && !whole:
@@ -274,8 +274,8 @@
 	return w.fullRoundMs <= StalenessBoundMs-maxWaitMs
 }
 
-// DiscoveryMoved reports that discovery is at another address from now on. All schedulers ask for the whole list there at the
-// same time, so the policy decides when it is this one's turn.
+// DiscoveryMoved reports that discovery is at another address from now on. All schedulers ask for the whole list there
+// at the same time, so the policy decides when it is this one's turn.
 func (w *Watch) DiscoveryMoved(now float64) {
 	switch w.state {
 	case Initial, Overdue:
@@ -376,8 +376,8 @@
 	return w.call, due
 }
 
-// NextStatusChange returns what the policy is to be told next: that its watch is in progress (on) or that it failed. ok is
-// false if there is nothing to tell.
+// NextStatusChange returns what the policy is to be told next: that its watch is in progress (on) or that it failed. ok
+// is false if there is nothing to tell.
 func (w *Watch) NextStatusChange() (on, ok bool) {
 	if len(w.pendingOutcomes) == 0 {
 		return false, false
