--- a/agent/agent.go
+++ b/agent/agent.go
@@ -92,7 +92,7 @@
 		duty: fleet.NewDuty(config.Name, startID, float64(config.Term)/1e6), ownedLeases: map[string]*ownedLease{}, heardAtMS: map[string]float64{},
 		commandInFlight: map[string]bool{}, workRequested: make(chan struct{}, 1)}
 	var listener net.Listener
-	err := transient.Retry(listenRetryPeriod, transient.Error, func() (err error) {
+	err := transient.Retry(listenRetryPeriod, transient.IsTransient, func() (err error) {
 		listener, err = net.Listen("tcp", config.Listen)
 		return err
 	})
@@ -127,7 +127,7 @@
 	}
 	server := &http.Server{Handler: a.routes(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second,
 		MaxHeaderBytes: 16 << 10}
-	go func() { _ = server.Serve(transient.Listener(listener)) }()
+	go func() { _ = server.Serve(transient.RetryAccept(listener)) }()
 	defer server.Close()
 	logger.Info("agent runs", "name", config.Name, "addr", a.listenAddr, "owner", a.ownerID, "voter", config.ownVoter() != nil)
 	go a.followRecord(ctx)
--- a/cmd/shalebeam/main.go
+++ b/cmd/shalebeam/main.go
@@ -58,7 +58,7 @@
 
 // loadAtStart reads the configuration, and retries transient read errors for up to startRetryLimit.
 func (c *serveCommand) loadAtStart() (n *scheduler.Node, err error) {
-	err = transient.Retry(startRetryLimit, transient.FileError, func() (err error) {
+	err = transient.Retry(startRetryLimit, transient.IsTransientFile, func() (err error) {
 		n, err = scheduler.Load(c.Path, c.Mgmt)
 		return err
 	})
@@ -70,7 +70,7 @@
 func (c *serveCommand) loadForReload(l *log.Logger) (*scheduler.Node, error) {
 	for tries := 1; ; tries++ {
 		n, err := c.loadConsistent()
-		if !transient.FileError(err) {
+		if !transient.IsTransientFile(err) {
 			return n, err
 		}
 		if tries == 1 {
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -94,17 +94,17 @@
 // Fields returns the header fields.
 func (m *message) Fields() Fields { return m.fields }
 
-// Body returns the bytes of the body that were parsed and not dropped by Response.Take.
+// Body returns the bytes of the body that were parsed and not dropped by Response.DiscardBody.
 func (m *message) Body() []byte { return m.body }
 
-// HeadDone reports whether all header fields were parsed.
-func (m *message) HeadDone() bool { return m.state > headerFields }
+// HeadComplete reports whether all header fields were parsed.
+func (m *message) HeadComplete() bool { return m.state > headerFields }
 
-// Done reports whether the message is complete.
-func (m *message) Done() bool { return m.state == done }
+// Complete reports whether the message is complete.
+func (m *message) Complete() bool { return m.state == done }
 
-// Begun reports whether any byte of the message was seen.
-func (m *message) Begun() bool { return m.state != firstLine || m.scanned > 0 }
+// Started reports whether any byte of the message was seen.
+func (m *message) Started() bool { return m.state != firstLine || m.scanned > 0 }
 
 func (m *message) reset(l Limits) { *m = message{limits: l} }
 
@@ -383,11 +383,11 @@
 // Feed parses what it can of buf and returns how many bytes it used, as Request.Feed does.
 func (r *Response) Feed(buf []byte) (int, error) { return r.feed(buf, r.parseFirstLine, r.startBody) }
 
-// Take drops the first n bytes of Body.
-func (r *Response) Take(n int) { r.body = append(r.body[:0], r.body[n:]...) }
+// DiscardBody drops the first n bytes of Body.
+func (r *Response) DiscardBody(n int) { r.body = append(r.body[:0], r.body[n:]...) }
 
-// End is called when the connection has ended, and reports whether the response is complete.
-func (r *Response) End() bool {
+// ConnectionEnded is called when the connection has ended, and reports whether the response is complete.
+func (r *Response) ConnectionEnded() bool {
 	if r.state == bodyUntilClose {
 		r.state = done
 	}
@@ -395,7 +395,7 @@
 }
 
 // Reusable reports whether another request may be sent on the connection.
-func (r *Response) Reusable() bool { return r.Done() && !r.closesConnection() }
+func (r *Response) Reusable() bool { return r.Complete() && !r.closesConnection() }
 
 // savedResponse is the stored form of a Response, read by another process, possibly of another build. An
 // unfinished line is not part of it: that is still in the connection's buffer.
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -30,7 +30,7 @@
 	r.Reset(limits)
 	err := feedInPieces(text, cuts, r.Feed, &w)
 	w.Line, w.Fields, w.Body = r.Method+" "+r.Target, r.Fields(), string(r.Body())
-	w.setOutcome(r.Done(), r.Close(), err)
+	w.setOutcome(r.Complete(), r.Close(), err)
 	return w
 }
 
@@ -40,7 +40,7 @@
 	r.Reset(limits)
 	err := feedInPieces(text, cuts, r.Feed, &w)
 	w.Line, w.Fields, w.Body = fmt.Sprint(r.Status), r.Fields(), string(r.Body())
-	w.setOutcome(r.Done(), !r.Reusable(), err)
+	w.setOutcome(r.Complete(), !r.Reusable(), err)
 	return w
 }
 
@@ -163,15 +163,15 @@
 func TestBodyThatEndsWithTheConnection(t *testing.T) {
 	var r Response
 	r.Reset(limits)
-	if _, err := r.Feed([]byte("HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\nabc")); err != nil || r.Done() {
+	if _, err := r.Feed([]byte("HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\nabc")); err != nil || r.Complete() {
 		t.Fatal(err)
 	}
-	if r.Take(2); string(r.Body()) != "c" || !r.End() || r.Reusable() {
-		t.Errorf("body %q after Take(2), end of connection: done %t, reusable %t; want %q, done, not reusable", r.Body(),
-			r.Done(), r.Reusable(), "c")
+	if r.DiscardBody(2); string(r.Body()) != "c" || !r.ConnectionEnded() || r.Reusable() {
+		t.Errorf("body %q after DiscardBody(2), end of connection: complete %t, reusable %t; want %q, complete, not reusable", r.Body(),
+			r.Complete(), r.Reusable(), "c")
 	}
 	r.Reset(limits)
-	if _, err := r.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc")); err != nil || r.End() {
+	if _, err := r.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc")); err != nil || r.ConnectionEnded() {
 		t.Errorf("error %v; a body of 3 bytes with Content-Length 4 must not count as complete", err)
 	}
 }
@@ -249,9 +249,9 @@
 		if err := b.Restore(raw, Limits{1000, 1000}); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := b.Feed([]byte(text[n:])); err != nil || !b.Done() || string(b.Body()) != "hello, world!" ||
+		if _, err := b.Feed([]byte(text[n:])); err != nil || !b.Complete() || string(b.Body()) != "hello, world!" ||
 			b.Status != 200 || !b.Reusable() {
-			t.Errorf("cut at %d: error %v, done %t, body %q, status %d, reusable %t, want the whole body and 200", cut, err, b.Done(),
+			t.Errorf("cut at %d: error %v, complete %t, body %q, status %d, reusable %t, want the whole body and 200", cut, err, b.Complete(),
 				b.Body(), b.Status, b.Reusable())
 		}
 	}
@@ -289,8 +289,8 @@
 		if err := b.Restore([]byte(c.saved), Limits{1000, 1000}); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := b.Feed([]byte(c.rest)); err != nil || !b.Done() || string(b.Body()) != c.body || b.Status != a.Status {
-			t.Errorf("%q restored: error %v, done %t, body %q, status %d, want body %q, status %d", c.saved, err, b.Done(), b.Body(),
+		if _, err := b.Feed([]byte(c.rest)); err != nil || !b.Complete() || string(b.Body()) != c.body || b.Status != a.Status {
+			t.Errorf("%q restored: error %v, complete %t, body %q, status %d, want body %q, status %d", c.saved, err, b.Complete(), b.Body(),
 				b.Status, c.body, a.Status)
 		}
 		if !reflect.DeepEqual(b.Fields(), a.Fields()) {
--- a/scheduler/clients.go
+++ b/scheduler/clients.go
@@ -279,7 +279,7 @@
 		if !c.requestBegun {
 			c.requestBegun, c.requestStart = true, c.stateSince
 		}
-		before := c.req.HeadDone()
+		before := c.req.HeadComplete()
 		n, err := c.req.Feed(buf)
 		if n > 0 {
 			c.conn.Discard(n)
@@ -292,8 +292,8 @@
 			c.answer(503, "no room for the body\n", -1)
 			return
 		}
-		if !c.req.Done() {
-			if c.req.HeadDone() && !before && c.req.Fields().Has("expect", "100-continue") {
+		if !c.req.Complete() {
+			if c.req.HeadComplete() && !before && c.req.Fields().Has("expect", "100-continue") {
 				_ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 			}
 			return
@@ -369,7 +369,7 @@
 // were not read, or the process was stalled. The client's timeout counts from the arrival of the request's last byte. Less than
 // minWaitMs counts as 0.
 func (c *client) unreadWaitMs() float64 {
-	ms := float64(time.Since(c.conn.Since())) / float64(time.Millisecond)
+	ms := float64(time.Since(c.conn.EarliestArrival())) / float64(time.Millisecond)
 	if ms < minWaitMs {
 		return 0
 	}
--- a/scheduler/eventloop/conn.go
+++ b/scheduler/eventloop/conn.go
@@ -18,8 +18,8 @@
 	// Write sends b; bytes that the kernel's send buffer does not take yet are buffered and sent later. If the connection turns
 	// out to have ended, it is closed, and the handler's Closed called, within the call.
 	Write(b []byte) error
-	// Since is the earliest time at which the bytes that were read last may have arrived in the kernel.
-	Since() time.Time
+	// EarliestArrival is the earliest time at which the bytes that were read last may have arrived in the kernel.
+	EarliestArrival() time.Time
 	// SetWriteDeadline sets the time after which buffered bytes are no longer sent: the connection is then closed with
 	// os.ErrDeadlineExceeded as soon as it becomes writable.
 	SetWriteDeadline(t time.Time)
@@ -43,7 +43,7 @@
 	interest      interest
 	context       any
 	open          bool
-	inLoopBuffer  []byte    // the bytes just read, in the loop's shared buffer; valid during the Traffic callback only
+	inLoopBuffer  []byte    // the bytes just read, in the loop's shared buffer; valid during the DataReceived callback only
 	inbound       []byte    // bytes of earlier reads that were not discarded; they precede inLoopBuffer
 	outbound      []byte    // not taken by the kernel yet
 	writeDeadline time.Time // zero: none
@@ -69,12 +69,12 @@
 	return nil
 }
 
-func (c *conn) Fd() int                { return c.fd }
-func (c *conn) Context() any           { return c.context }
-func (c *conn) SetContext(context any) { c.context = context }
-func (c *conn) InboundBuffered() int   { return len(c.inbound) + len(c.inLoopBuffer) }
-func (c *conn) OutboundBuffered() int  { return len(c.outbound) }
-func (c *conn) Since() time.Time       { return c.interest.earliestArrival }
+func (c *conn) Fd() int                    { return c.fd }
+func (c *conn) Context() any               { return c.context }
+func (c *conn) SetContext(context any)     { c.context = context }
+func (c *conn) InboundBuffered() int       { return len(c.inbound) + len(c.inLoopBuffer) }
+func (c *conn) OutboundBuffered() int      { return len(c.outbound) }
+func (c *conn) EarliestArrival() time.Time { return c.interest.earliestArrival }
 
 func (c *conn) SetWriteDeadline(t time.Time) { c.writeDeadline = t }
 
@@ -123,7 +123,7 @@
 		c.closeWith(os.NewSyscallError("read", io.EOF))
 	default:
 		c.inLoopBuffer = c.loop.buffer[:n]
-		c.loop.handler.Traffic(c)
+		c.loop.handler.DataReceived(c)
 		if c.open {
 			c.saveLoopBuffer()
 		}
--- a/scheduler/eventloop/errors.go
+++ b/scheduler/eventloop/errors.go
@@ -29,7 +29,7 @@
 	case unix.EBADF, unix.EFAULT, unix.EINVAL, unix.ENOTSOCK:
 		return programError
 	}
-	if transient.Error(err) {
+	if transient.IsTransient(err) {
 		return retryLater
 	}
 	return connectionEnded
@@ -54,8 +54,8 @@
 	return reactionTo(err)
 }
 
-// Failure is a kind of failed system call, as counted by Failures.
-type Failure struct {
+// FailedCall is a kind of failed system call, as counted by FailureCounts.
+type FailedCall struct {
 	Call  string // the name of the system call, such as "accept"
 	Errno unix.Errno
 }
@@ -63,13 +63,13 @@
 // recordFailure counts a failed call, except with EAGAIN, and returns the reaction to it.
 func (l *Loop) recordFailure(call string, err error) reaction {
 	if errno, ok := err.(unix.Errno); ok && errno != unix.EAGAIN {
-		l.failures[Failure{call, errno}]++
+		l.failures[FailedCall{call, errno}]++
 	}
 	return reactionTo(err)
 }
 
-// Failures returns how many system calls failed, by call and error. EAGAIN is not counted: it only says that nothing was ready.
-func (l *Loop) Failures() map[Failure]uint64 { return l.failures }
+// FailureCounts returns how many system calls failed, by call and error. EAGAIN is not counted: it only says that nothing was ready.
+func (l *Loop) FailureCounts() map[FailedCall]uint64 { return l.failures }
 
 // startRetryLimit is how long a call that fails with transient errors is repeated before the creation of a loop or of a listener
 // fails.
@@ -77,5 +77,5 @@
 
 // retryAtStart repeats a call while it fails with a transient error, for at most startRetryLimit. It blocks.
 func retryAtStart(call func() error) error {
-	return transient.Retry(startRetryLimit, transient.Error, call)
+	return transient.Retry(startRetryLimit, transient.IsTransient, call)
 }
--- a/scheduler/eventloop/loop.go
+++ b/scheduler/eventloop/loop.go
@@ -30,8 +30,8 @@
 	Accepted(c Conn, from *Listener)
 	// Opened is called with a connection that was dialled, or handed to Adopt.
 	Opened(c Conn)
-	// Traffic is called when bytes have been read; c.Peek returns them.
-	Traffic(c Conn)
+	// DataReceived is called when bytes have been read; c.Peek returns them.
+	DataReceived(c Conn)
 	// Closed is called once, when a connection is closed. err is nil if Close was called, and wraps io.EOF if the other side
 	// closed its sending direction. The descriptor is still open during the call. If err is nil, one more write of the buffered
 	// bytes is tried after it.
@@ -48,7 +48,7 @@
 	sources       map[int]eventSource // by descriptor
 	buffer        []byte              // of readBufferBytes, shared by all reads
 	timers        timers
-	failures      map[Failure]uint64
+	failures      map[FailedCall]uint64
 	stopping      bool
 	iteration     uint64    // counts the iterations of Run
 	epollReturned time.Time // when epoll_wait last returned
@@ -69,7 +69,7 @@
 // New creates a loop; Run runs it.
 func New(handler Handler) (*Loop, error) {
 	l := &Loop{handler: handler, epollFD: -1, wakeFD: -1, sources: map[int]eventSource{}, buffer: make([]byte, readBufferBytes),
-		failures: map[Failure]uint64{}}
+		failures: map[FailedCall]uint64{}}
 	err := retryAtStart(func() (err error) {
 		l.epollFD, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 		return err
--- a/scheduler/eventloop/loop_test.go
+++ b/scheduler/eventloop/loop_test.go
@@ -35,7 +35,7 @@
 		r.opened(c)
 	}
 }
-func (r *recorder) Traffic(c Conn) {
+func (r *recorder) DataReceived(c Conn) {
 	if r.traffic != nil {
 		r.traffic(c)
 	}
@@ -308,20 +308,20 @@
 	}
 }
 
-// Since is the earliest time at which the bytes may have arrived: not before they were sent if the loop was idle, and not after
+// EarliestArrival is the earliest time at which the bytes may have arrived: not before they were sent if the loop was idle, and not after
 // they were sent if a callback kept the loop busy meanwhile.
-func TestSinceBoundsTheArrivalOfBytes(t *testing.T) {
+func TestEarliestArrivalBoundsTheArrivalOfBytes(t *testing.T) {
 	since := make(chan time.Time, 10)
 	l, addr := run(t, &recorder{traffic: func(c Conn) {
 		c.Discard(c.InboundBuffered())
-		since <- c.Since()
+		since <- c.EarliestArrival()
 	}})
 	c := connect(t, addr)
 	time.Sleep(50 * time.Millisecond)
 	sent := time.Now()
 	io.WriteString(c, "x")
 	if at := get(t, since); at.Before(sent.Add(-stallThreshold)) {
-		t.Errorf("on an idle loop Since is %v before the bytes were sent, want at most %v", sent.Sub(at), stallThreshold)
+		t.Errorf("on an idle loop EarliestArrival is %v before the bytes were sent, want at most %v", sent.Sub(at), stallThreshold)
 	}
 	busy := make(chan bool)
 	l.Execute(func() {
@@ -336,7 +336,7 @@
 	sent = time.Now()
 	for range 2 {
 		if at := get(t, since); at.After(sent) {
-			t.Errorf("on a busy loop Since is %v after the bytes were sent", at.Sub(sent))
+			t.Errorf("on a busy loop EarliestArrival is %v after the bytes were sent", at.Sub(sent))
 		}
 	}
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -217,14 +217,14 @@
 	var response http1.Response
 	response.Reset(http1.Limits{Head: 4 << 10, Body: maxAgentBytes})
 	buf := make([]byte, 0, 4<<10)
-	for piece := make([]byte, 4<<10); !response.Done(); {
+	for piece := make([]byte, 4<<10); !response.Complete(); {
 		n, err := conn.Read(piece)
 		buf = append(buf, piece[:n]...)
 		used, parseErr := response.Feed(buf)
 		if buf = buf[used:]; parseErr != nil {
 			return status, parseErr
 		}
-		if err != nil && !response.Done() {
+		if err != nil && !response.Complete() {
 			return status, err
 		}
 	}
--- a/scheduler/handover.go
+++ b/scheduler/handover.go
@@ -85,7 +85,7 @@
 	}
 	base := filepath.Join(os.TempDir(), "shalebeam-"+strings.NewReplacer(":", "-", "[", "", "]", "").Replace(
 		h.s.node.Listen))
-	err := transient.Retry(startTimeout/2, transient.FileError, func() (err error) {
+	err := transient.Retry(startTimeout/2, transient.IsTransientFile, func() (err error) {
 		h.lockFile, err = os.OpenFile(base+".lock", os.O_RDWR|os.O_CREATE, 0o600)
 		return err
 	})
@@ -150,7 +150,7 @@
 			*lock = request
 			return nil
 		}
-		if err == unix.EAGAIN || err == unix.EACCES || !transient.FileError(err) {
+		if err == unix.EAGAIN || err == unix.EACCES || !transient.IsTransientFile(err) {
 			return err // another process has the lock, or the error is permanent
 		}
 	}
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -31,7 +31,7 @@
 	attempts    map[balance.Outcome]uint64
 	clientsLeft uint64 // requests whose client closed its connection before the answer
 	unanswered  uint64 // requests whose connection ended before the answer for another reason
-	failureRuns map[eventloop.Failure]*failureRun
+	failureRuns map[eventloop.FailedCall]*failureRun
 }
 
 // failureRun is a series of failures of one kind, with less than failureRunGapMs between one and the next.
@@ -43,12 +43,12 @@
 }
 
 func (m *metrics) init(s *Scheduler) {
-	*m = metrics{s: s, attempts: map[balance.Outcome]uint64{}, failureRuns: map[eventloop.Failure]*failureRun{}}
+	*m = metrics{s: s, attempts: map[balance.Outcome]uint64{}, failureRuns: map[eventloop.FailedCall]*failureRun{}}
 }
 
 // sweep logs one line for the first failure of a run, and one with the number of failures when the run has ended.
 func (m *metrics) sweep(now float64) {
-	for failure, count := range m.s.loop.Failures() {
+	for failure, count := range m.s.loop.FailureCounts() {
 		r := m.failureRuns[failure]
 		if r == nil {
 			r = &failureRun{}
@@ -85,8 +85,8 @@
 		fmt.Fprintf(&b, "shalebeam_attempts_total{outcome=%q} %d\n", outcomeNames[outcome], m.attempts[outcome])
 	}
 	writeFamilyHeader(&b, "shalebeam_system_call_failures", "counter", "System calls that failed, by call and error.")
-	failures := m.s.loop.Failures()
-	for _, failure := range slices.SortedFunc(maps.Keys(failures), func(a, b eventloop.Failure) int {
+	failures := m.s.loop.FailureCounts()
+	for _, failure := range slices.SortedFunc(maps.Keys(failures), func(a, b eventloop.FailedCall) int {
 		return cmp.Or(cmp.Compare(a.Call, b.Call), cmp.Compare(a.Errno, b.Errno))
 	}) {
 		fmt.Fprintf(&b, "shalebeam_system_call_failures_total{call=%q,errno=%q} %d\n", failure.Call, unix.ErrnoName(failure.Errno),
--- a/scheduler/ops.go
+++ b/scheduler/ops.go
@@ -100,9 +100,9 @@
 	}
 	if e, ok := err.(*http1.Error); ok {
 		c.answerText(e.Status, e.Reason+"\n")
-	} else if c.req.Done() && c.req.Target == metricsPath && c.req.Method == "GET" {
+	} else if c.req.Complete() && c.req.Target == metricsPath && c.req.Method == "GET" {
 		c.writeAnswer(200, metricsContentType, c.s.metrics.text())
-	} else if c.req.Done() {
+	} else if c.req.Complete() {
 		status, body := c.s.ops.handle(&c.req)
 		delay := c.s.handover.successDelay()
 		if c.received = true; delay == 0 || status != 200 {
--- a/scheduler/phases.go
+++ b/scheduler/phases.go
@@ -146,7 +146,7 @@
 	if s.handover.otherProcesses == 0 {
 		// The listeners set SO_REUSEPORT for another process of this scheduler. That would also let them share the address with any
 		// other program that sets it, so make sure first that the address is free.
-		if err := transient.Retry(startTimeout, transient.Error, func() error {
+		if err := transient.Retry(startTimeout, transient.IsTransient, func() error {
 			return checkAddressFree(s.node.Listen)
 		}); err != nil {
 			return fmt.Errorf("listen: %w", err)
@@ -341,8 +341,8 @@
 	s.afterEvent()
 }
 
-// Traffic handles bytes that arrived on a connection.
-func (s *Scheduler) Traffic(c eventloop.Conn) {
+// DataReceived handles bytes that arrived on a connection.
+func (s *Scheduler) DataReceived(c eventloop.Conn) {
 	s.handover.refresh()
 	c.Context().(connection).traffic(c)
 	s.afterEvent()
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -431,7 +431,7 @@
 		// not an early close by the worker
 	} else if wc.state == connIdle {
 		wc.s.pool.noteEarlyClose(now, now-wc.stateSince)
-	} else if wc.state == connBusy && wc.idleBeforeUseMs >= 0 && !wc.resp.Begun() {
+	} else if wc.state == connBusy && wc.idleBeforeUseMs >= 0 && !wc.resp.Started() {
 		wc.s.pool.noteEarlyClose(now, wc.idleBeforeUseMs)
 	}
 	switch {
@@ -439,7 +439,7 @@
 		wc.reportEnd(balance.NeverSent) // this machine could not write it, which says nothing of the worker
 	case truncated:
 		wc.reportEnd(balance.NoConnect)
-	case wc.resp.End() && wc.resp.Status != 0:
+	case wc.resp.ConnectionEnded() && wc.resp.Status != 0:
 		wc.reportEnd(wc.responseOutcome())
 	default:
 		wc.reportEnd(balance.Reset)
@@ -495,7 +495,7 @@
 		if n > 0 {
 			wc.conn.Discard(n)
 		}
-		if err == nil && wc.posting != nil && wc.resp.HeadDone() && wc.resp.Status == 200 {
+		if err == nil && wc.posting != nil && wc.resp.HeadComplete() && wc.resp.Status == 200 {
 			err = wc.readProgressLines()
 		}
 		if err != nil {
@@ -503,11 +503,11 @@
 			wc.close()
 			return
 		}
-		if wc.posting != nil && wc.resp.HeadDone() && wc.resp.Status != 200 {
+		if wc.posting != nil && wc.resp.HeadComplete() && wc.resp.Status != 200 {
 			wc.state, wc.stateSince = connAwaitingEnd, wc.s.now() // the status decides the outcome, and the body may never come
 			wc.reportEnd(wc.responseOutcome())
 		}
-		if wc.conn != nil && wc.resp.Done() {
+		if wc.conn != nil && wc.resp.Complete() {
 			load := balance.NoLoad
 			if wc.probing {
 				load = wc.parseLoad(wc.resp.Body())
@@ -569,10 +569,10 @@
 // loop.
 func (wc *workerConn) readProgressLines() error {
 	body, consumed := wc.resp.Body(), 0
-	defer func() { wc.resp.Take(consumed) }()
+	defer func() { wc.resp.DiscardBody(consumed) }()
 	for wc.posting != nil {
 		lineLen := bytes.IndexByte(body[consumed:], '\n')
-		if lineLen < 0 && wc.resp.Done() {
+		if lineLen < 0 && wc.resp.Complete() {
 			lineLen = len(body) - consumed
 		}
 		if lineLen < 0 || consumed == len(body) {
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -32,9 +32,9 @@
 	fd          int        // of a real socket, 0 where there is none
 }
 
-func (c *fakeConn) OutboundBuffered() int { return c.unsentBytes }
-func (c *fakeConn) Peek() []byte          { return c.input }
-func (c *fakeConn) Since() time.Time      { return time.Now() }
+func (c *fakeConn) OutboundBuffered() int      { return c.unsentBytes }
+func (c *fakeConn) Peek() []byte               { return c.input }
+func (c *fakeConn) EarliestArrival() time.Time { return time.Now() }
 
 func (c *fakeConn) SetWriteDeadline(time.Time) {}
 
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -60,7 +60,7 @@
 		return
 	}
 	file, err := h.loadFile()
-	if transient.FileError(err) {
+	if transient.IsTransientFile(err) {
 		return // tried again with the next refresh
 	}
 	if h.recordsInfo = info; err != nil {
@@ -118,7 +118,7 @@
 	}
 	defer h.unlockByte(lockRecordsFile)
 	file, err := h.loadFile()
-	if transient.FileError(err) {
+	if transient.IsTransientFile(err) {
 		return err // it may hold what another process has written, which must not be overwritten unread
 	}
 	if err != nil { // torn, or of another program: it is replaced
--- a/scheduler/roster.go
+++ b/scheduler/roster.go
@@ -263,7 +263,7 @@
 		dc.fail(err)
 		return
 	}
-	if !dc.resp.Done() {
+	if !dc.resp.Complete() {
 		return
 	}
 	if r.setAside == dc {
--- a/scheduler/transfer.go
+++ b/scheduler/transfer.go
@@ -144,7 +144,7 @@
 	}
 	err = unix.Sendmsg(h.successorFD, raw, unix.UnixRights(fds...), nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 	if err != nil {
-		if !transient.Error(err) {
+		if !transient.IsTransient(err) {
 			h.s.log.Printf("msg=handover state=broken err=%q", err)
 			h.disconnectSuccessor()
 		}
@@ -290,7 +290,7 @@
 		if connErr != nil {
 			return 0, 0, 0, connErr
 		}
-		if !transient.Error(err) {
+		if !transient.IsTransient(err) {
 			return rawBytes, oobBytes, gotFlags, err
 		}
 		time.Sleep(transferRetryDelay)
--- a/scheduler/transient/transient.go
+++ b/scheduler/transient/transient.go
@@ -16,16 +16,16 @@
 // fileErrnos are reported in addition by a disk or a file server with a temporary fault.
 var fileErrnos = []unix.Errno{unix.EIO, unix.EDQUOT, unix.ETIMEDOUT, unix.ENOLCK, unix.ESTALE}
 
-// Error reports whether err wraps a transient error of a system call.
-func Error(err error) bool {
+// IsTransient reports whether err wraps a transient error of a system call.
+func IsTransient(err error) bool {
 	var errno unix.Errno
 	return errors.As(err, &errno) && slices.Contains(callErrnos, errno)
 }
 
-// FileError reports the same for a call on a file, which has more transient errors than other calls.
-func FileError(err error) bool {
+// IsTransientFile reports the same for an error of a call on a file, which has more transient errors than other calls.
+func IsTransientFile(err error) bool {
 	var errno unix.Errno
-	return Error(err) || errors.As(err, &errno) && slices.Contains(fileErrnos, errno)
+	return IsTransient(err) || errors.As(err, &errno) && slices.Contains(fileErrnos, errno)
 }
 
 const retryDelay = 10 * time.Millisecond
--- a/scheduler/transient/transient_test.go
+++ b/scheduler/transient/transient_test.go
@@ -24,16 +24,16 @@
 		{&os.PathError{Op: "open", Err: unix.ENOENT}, false, false},
 		{unix.ECONNREFUSED, false, false},
 	} {
-		if Error(c.err) != c.call || FileError(c.err) != c.file {
-			t.Errorf("%v: transient for a call: %t, want %t; for a file: %t, want %t", c.err, Error(c.err), c.call,
-				FileError(c.err), c.file)
+		if IsTransient(c.err) != c.call || IsTransientFile(c.err) != c.file {
+			t.Errorf("%v: transient for a call: %t, want %t; for a file: %t, want %t", c.err, IsTransient(c.err), c.call,
+				IsTransientFile(c.err), c.file)
 		}
 	}
 }
 
 func TestRetryEndsWithTheFirstOtherError(t *testing.T) {
 	calls := 0
-	err := Retry(time.Minute, Error, func() error {
+	err := Retry(time.Minute, IsTransient, func() error {
 		if calls++; calls < 3 {
 			return unix.ENOBUFS
 		}
@@ -42,7 +42,7 @@
 	if calls != 3 || err != unix.EADDRINUSE {
 		t.Errorf("%d calls, last error %v, want 3 calls, last error %v", calls, err, unix.EADDRINUSE)
 	}
-	if err := Retry(0, Error, func() error { return unix.ENOBUFS }); err != unix.ENOBUFS {
+	if err := Retry(0, IsTransient, func() error { return unix.ENOBUFS }); err != unix.ENOBUFS {
 		t.Errorf("after its time limit: error %v, want %v", err, unix.ENOBUFS)
 	}
 }
@@ -61,7 +61,7 @@
 
 func TestListenerRetriesAfterErrors(t *testing.T) {
 	f := &failingListener{errs: []error{unix.ENOBUFS, unix.EPROTO, unix.ENOMEM, nil, net.ErrClosed}}
-	l := Listener(f)
+	l := RetryAccept(f)
 	if _, err := l.Accept(); err != nil || len(f.errs) != 1 {
 		t.Errorf("error %v, %d results not used, want no error and 1", err, len(f.errs))
 	}
