--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -118,7 +118,7 @@
 	if zone != "" {
 		status.Workers = map[string]string{}
 		zones := o.s.node.decoded.Zones
-		o.s.driver.module.Shown(o.s.now(), func(id string, zoneIndex int, cold bool, ownPostings int) {
+		o.s.driver.module.EachRunningWorker(o.s.now(), func(id string, zoneIndex int, cold bool, ownPostings int) {
 			switch {
 			case zoneIndex < 0 || zoneIndex >= len(zones) || zones[zoneIndex] != zone:
 			case o.workerRecords[id].isOut() && ownPostings > 0:
@@ -217,14 +217,14 @@
 	var response http1.Response
 	response.Reset(http1.Limits{Head: 4 << 10, Body: maxAgentBytes})
 	buf := make([]byte, 0, 4<<10)
-	for piece := make([]byte, 4<<10); !response.Done(); {
+	for piece := make([]byte, 4<<10); !response.Complete(); {
 		n, err := conn.Read(piece)
 		buf = append(buf, piece[:n]...)
 		used, parseErr := response.Feed(buf)
 		if buf = buf[used:]; parseErr != nil {
 			return status, parseErr
 		}
-		if err != nil && !response.Done() {
+		if err != nil && !response.Complete() {
 			return status, err
 		}
 	}
--- a/scheduler/handover.go
+++ b/scheduler/handover.go
@@ -85,7 +85,7 @@
 	}
 	base := filepath.Join(os.TempDir(), "shalebeam-"+strings.NewReplacer(":", "-", "[", "", "]", "").Replace(
 		h.s.node.Listen))
-	err := transient.Retry(startTimeout/2, transient.FileError, func() (err error) {
+	err := transient.Retry(startTimeout/2, transient.IsTransientFile, func() (err error) {
 		h.lockFile, err = os.OpenFile(base+".lock", os.O_RDWR|os.O_CREATE, 0o600)
 		return err
 	})
@@ -119,7 +119,7 @@
 		h.listenForTransfers()
 	}
 	if !h.mayUseCold {
-		h.s.driver.module.Yields()
+		h.s.driver.module.YieldLead()
 	}
 	h.readRecords()
 }
@@ -150,7 +150,7 @@
 			*lock = request
 			return nil
 		}
-		if err == unix.EAGAIN || err == unix.EACCES || !transient.FileError(err) {
+		if err == unix.EAGAIN || err == unix.EACCES || !transient.IsTransientFile(err) {
 			return err // another process has the lock, or the error is permanent
 		}
 	}
@@ -224,7 +224,7 @@
 		if hasSuccessor := h.countOthers(servingLocks) > 0; hasSuccessor && !h.hasSuccessor {
 			h.s.log.Printf("msg=handover state=passed")
 			h.hasSuccessor = true
-			h.s.driver.module.Yields()
+			h.s.driver.module.YieldLead()
 			h.mayUseCold = false
 			h.unlockByte(lockColdWorkers)
 			h.steerToNext()
@@ -236,7 +236,7 @@
 		h.s.applyDrainDeadline()
 	} else if !h.mayUseCold && h.lockByte(lockColdWorkers) {
 		h.mayUseCold = true
-		h.s.driver.module.Leads(now)
+		h.s.driver.module.TakeLead(now)
 	}
 }
 
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -111,7 +111,7 @@
 // an early close the limit is half of the time for which that connection had been idle; it then doubles every
 // idleTrustDoublingMs without another early close, up to what the settings allow.
 func (pl *pool) maxIdleMs(now float64) float64 {
-	configuredMaxMs := idleTimeoutShare * pl.s.node.decoded.Idle
+	configuredMaxMs := idleTimeoutShare * pl.s.node.decoded.WorkerIdleTimeoutMs
 	if math.IsInf(pl.earlyCloseAt, -1) {
 		return configuredMaxMs
 	}
@@ -157,7 +157,7 @@
 func (wc *workerConn) maySend(now float64) bool {
 	p := wc.posting
 	return wc.s.pool.inService(wc.worker) && wc.addr == wc.worker.addr &&
-		(p == nil || !p.txn.closed && now <= p.sendBy && now < p.deadline && now < wc.s.roster.watch.Till())
+		(p == nil || !p.txn.closed && now <= p.sendBy && now < p.deadline && now < wc.s.roster.watch.ReliableUntil())
 }
 
 // removeWorkers removes workers from the pool: those in removed and, where discovery sent the whole list, all that
@@ -254,7 +254,7 @@
 		s.loop.After(0, func() { failed(err) }) // cannot happen: addresses are checked where they are read
 		return
 	}
-	s.loop.Dial(addrPort, time.Duration(s.node.decoded.Dial*float64(time.Millisecond)), handler, func(err error) {
+	s.loop.Dial(addrPort, time.Duration(s.node.decoded.DialTimeoutMs*float64(time.Millisecond)), handler, func(err error) {
 		failed(err)
 		s.afterEvent()
 	})
@@ -286,7 +286,7 @@
 	}
 	// A probe finds out whether a worker answers at all. One that has not within twice the connect timeout counts as
 	// silent.
-	wc.probing, wc.probeDeadline = true, pl.s.now()+2*pl.s.node.decoded.Dial
+	wc.probing, wc.probeDeadline = true, pl.s.now()+2*pl.s.node.decoded.DialTimeoutMs
 	if wc.state == connIdle {
 		wc.send()
 	}
@@ -343,7 +343,7 @@
 	var b []byte
 	if wc.posting == nil {
 		path := "/ping"
-		if wc.s.node.decoded.Reports {
+		if wc.s.node.decoded.WorkersReportLoad {
 			path = "/_load"
 		}
 		b = append(b, "GET "+path+" HTTP/1.1\r\nHost: "+wc.worker.addr+"\r\n\r\n"...)
@@ -431,7 +431,7 @@
 		// not an early close by the worker
 	} else if wc.state == connIdle {
 		wc.s.pool.noteEarlyClose(now, now-wc.stateSince)
-	} else if wc.state == connBusy && wc.idleBeforeUseMs >= 0 && !wc.resp.Begun() {
+	} else if wc.state == connBusy && wc.idleBeforeUseMs >= 0 && !wc.resp.Started() {
 		wc.s.pool.noteEarlyClose(now, wc.idleBeforeUseMs)
 	}
 	switch {
@@ -439,7 +439,7 @@
 		wc.reportEnd(balance.NeverSent) // this machine could not write it, which says nothing of the worker
 	case truncated:
 		wc.reportEnd(balance.NoConnect)
-	case wc.resp.End() && wc.resp.Status != 0:
+	case wc.resp.ConnectionEnded() && wc.resp.Status != 0:
 		wc.reportEnd(wc.responseOutcome())
 	default:
 		wc.reportEnd(balance.Reset)
@@ -475,9 +475,9 @@
 	case wc.probing && s == 503, (s == 503 || s == 504) && notStarted == "1":
 		return balance.Full
 	case s == 400:
-		return balance.Unfit // not the worker's fault: one client's bad requests must not make the module avoid it
+		return balance.InvalidRequest // not the worker's fault: one client's bad requests must not make the module avoid it
 	}
-	return balance.Erred
+	return balance.Failed
 }
 
 // traffic is called when bytes have come from the worker.
@@ -495,7 +495,7 @@
 		if n > 0 {
 			wc.conn.Discard(n)
 		}
-		if err == nil && wc.posting != nil && wc.resp.HeadDone() && wc.resp.Status == 200 {
+		if err == nil && wc.posting != nil && wc.resp.HeadComplete() && wc.resp.Status == 200 {
 			err = wc.readProgressLines()
 		}
 		if err != nil {
@@ -503,11 +503,11 @@
 			wc.close()
 			return
 		}
-		if wc.posting != nil && wc.resp.HeadDone() && wc.resp.Status != 200 {
+		if wc.posting != nil && wc.resp.HeadComplete() && wc.resp.Status != 200 {
 			wc.state, wc.stateSince = connAwaitingEnd, wc.s.now() // the status decides the outcome, and the body may never come
 			wc.reportEnd(wc.responseOutcome())
 		}
-		if wc.conn != nil && wc.resp.Done() {
+		if wc.conn != nil && wc.resp.Complete() {
 			load := balance.NoLoad
 			if wc.probing {
 				load = wc.parseLoad(wc.resp.Body())
@@ -531,7 +531,7 @@
 // Aggregation), "JSON " before an object or "TEXT " before name=value pairs. A malformed report, or pair of one, is
 // logged and ignored: the response that it came with is still valid.
 func (wc *workerConn) parseLoad(report []byte) balance.Load {
-	if !wc.s.node.decoded.Reports || len(report) == 0 {
+	if !wc.s.node.decoded.WorkersReportLoad || len(report) == 0 {
 		return balance.NoLoad
 	}
 	values := map[string]float64{}
@@ -569,10 +569,10 @@
 // loop.
 func (wc *workerConn) readProgressLines() error {
 	body, consumed := wc.resp.Body(), 0
-	defer func() { wc.resp.Take(consumed) }()
+	defer func() { wc.resp.DiscardBody(consumed) }()
 	for wc.posting != nil {
 		lineLen := bytes.IndexByte(body[consumed:], '\n')
-		if lineLen < 0 && wc.resp.Done() {
+		if lineLen < 0 && wc.resp.Complete() {
 			lineLen = len(body) - consumed
 		}
 		if lineLen < 0 || consumed == len(body) {
@@ -600,7 +600,7 @@
 		case "done":
 			wc.handleFinalLine(balance.Done, line)
 		case "failed":
-			wc.handleFinalLine(balance.Erred, line)
+			wc.handleFinalLine(balance.Failed, line)
 		case "returned":
 			wc.handleFinalLine(balance.Full, line)
 		case "lost":
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -32,9 +32,9 @@
 	fd          int        // of a real socket, 0 where there is none
 }
 
-func (c *fakeConn) OutboundBuffered() int { return c.unsentBytes }
-func (c *fakeConn) Peek() []byte          { return c.input }
-func (c *fakeConn) Since() time.Time      { return time.Now() }
+func (c *fakeConn) OutboundBuffered() int      { return c.unsentBytes }
+func (c *fakeConn) Peek() []byte               { return c.input }
+func (c *fakeConn) EarliestArrival() time.Time { return time.Now() }
 
 func (c *fakeConn) SetWriteDeadline(time.Time) {}
 
@@ -69,7 +69,7 @@
 	s.pool.updateWorker("w1", "127.0.0.1:3", true)
 	s.driver.module.ListChanged(s.now(), true, []balance.Listed{{ID: "w1", Weight: 1}})
 	tx := s.driver.addTxn(nil, clientRequest{scheme: &n.decoded.Terms.Schemes[0],
-		txn: balance.Txn{Ref: "r1", Hint: 100, Left: 20000}})
+		txn: balance.Txn{Ref: "r1", Hint: 100, TimeLeftMs: 20000}})
 	if _, ok := s.driver.module.NextPosting(s.now()); !ok {
 		t.Fatal("the module decided on no posting for the txn")
 	}
@@ -109,7 +109,7 @@
 // Load reports in all formats are read, and malformed ones are ignored.
 func TestLoadReports(t *testing.T) {
 	_, wc := newOnceOnlyPosting(t)
-	wc.s.node.decoded.Reports, wc.s.node.decoded.FreeSlots = true, true
+	wc.s.node.decoded.WorkersReportLoad, wc.s.node.decoded.X0IsFreeSlots = true, true
 	for text, want := range map[string]float64{"": -1, "TEXT tps=1.5, depth=0, x0=4.25": 4.25, `{"x0":2}`: 2,
 		`JSON {"x0":3}`: 3, "TEXT x0=y, tps=1": -1, "TEXT": -1, "TEXT ": -1, `{"x0":"2"}`: -1, "null": -1} {
 		if got := wc.parseLoad([]byte(text)); got.Free != want {
