--- a/agent/agent.go
+++ b/agent/agent.go
@@ -62,7 +62,7 @@
 	recordJSON      []byte        // the same as JSON, the base of the next patch; nil: the whole record is to be requested
 	absentAgents    map[string]bool
 	lastLeaderAddr  string // as last received; "" where it is not known
-	duty            *fleet.Duty
+	duty            *fleet.LeaseClaimer
 	ownedLeases     map[string]*ownedLease // by name of the lease
 	lastNumber      uint64                 // of this agent's commands
 	heardAtMS       map[string]float64     // when each agent last asked for the record, where this voter leads
@@ -75,9 +75,9 @@
 // ownedLease is a lease that this agent holds, with the work that comes with it: one of notifier and operation is set.
 type ownedLease struct {
 	zone          string
-	lease         *fleet.Hold
-	notifier      *fleet.Teller  // tells schedulers which of the zone's workers are out; nil for the lease of an operation
-	operation     *fleet.Carrier // carries out the operation; nil for the lease of a zone
+	lease         *fleet.HeldLease
+	notifier      *fleet.ZoneController      // tells schedulers which of the zone's workers are out; nil for the lease of an operation
+	operation     *fleet.OperationController // carries out the operation; nil for the lease of a zone
 	callsInFlight int
 }
 
@@ -88,8 +88,8 @@
 	defer stop()
 	startID := strconv.FormatUint(rand.Uint64()>>32, 16)
 	a := &Agent{config: config, log: logger, clock: quorum.NewClock(), httpClient: NewHTTP(config.Via, callTimeout), startID: startID, injectedFault: injectedFault,
-		ownerID: fleet.OwnerOf(config.Name, startID), record: fleet.NewRecord(), absentAgents: map[string]bool{},
-		duty: fleet.NewDuty(config.Name, startID, float64(config.Term)/1e6), ownedLeases: map[string]*ownedLease{}, heardAtMS: map[string]float64{},
+		ownerID: fleet.OwnerName(config.Name, startID), record: fleet.NewRecord(), absentAgents: map[string]bool{},
+		duty: fleet.NewLeaseClaimer(config.Name, startID, float64(config.Term)/1e6), ownedLeases: map[string]*ownedLease{}, heardAtMS: map[string]float64{},
 		commandInFlight: map[string]bool{}, workRequested: make(chan struct{}, 1)}
 	var listener net.Listener
 	err := transient.Retry(listenRetryPeriod, transient.Error, func() (err error) {
@@ -100,7 +100,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	a.listenAddr = listener.Addr().String()
-	a.duty.Hurry = injectedFault == "new-leader-hurries"
+	a.duty.ClaimWithoutWaiting = injectedFault == "new-leader-hurries"
 	if injectedFault == "wall-clock" {
 		a.clock = quorum.WallClock()
 	}
@@ -219,7 +219,7 @@
 			}
 			if len(update.Record) > 0 {
 				received := fleet.NewRecord()
-				received.Bug = a.injectedFault
+				received.InjectedFault = a.injectedFault
 				if err := received.Restore(update.Record); err != nil {
 					a.log.Error("received record could not be decoded", "err", err)
 				} else if received.No >= a.record.No {
@@ -293,9 +293,9 @@
 			if registered[m] = registered[m] || upToDate && (m.Kind != "scheduler" || m.Agent == ""); upToDate || refused[m] || registered[m] {
 				continue
 			}
-			answer, err := a.submit(ctx, fleet.Command{Do: "member", Member: &m, Force: true, By: a.config.Name, Caller: a.callerID("member")})
-			if err == nil && !answer.Done {
-				a.log.Error("not taken on record", "member", m.ID, "why", answer.Why)
+			answer, err := a.submit(ctx, fleet.Command{Verb: "member", Member: &m, Force: true, By: a.config.Name, Caller: a.callerID("member")})
+			if err == nil && !answer.Applied {
+				a.log.Error("not taken on record", "member", m.ID, "why", answer.Reason)
 				refused[m] = true // a person has to change the configuration or the record
 			}
 		}
@@ -312,10 +312,10 @@
 func (a *Agent) callerID(sequence string) string { return a.ownerID + "/" + sequence }
 
 // submit sends a command to the leader, or to the voters in turn, until its outcome is known or commandTimeout has passed.
-func (a *Agent) submit(ctx context.Context, c fleet.Command) (fleet.Answer, error) {
+func (a *Agent) submit(ctx context.Context, c fleet.Command) (fleet.CommandResult, error) {
 	a.mu.Lock()
 	a.lastNumber++
-	c.V, c.Number = fleet.FormOf(&c), a.lastNumber
+	c.FormatVersion, c.Number = fleet.FormatVersionOf(&c), a.lastNumber
 	addrs := a.voterAddrs()
 	if a.lastLeaderAddr != "" {
 		addrs = append([]string{a.lastLeaderAddr}, addrs...)
@@ -334,27 +334,27 @@
 	defer a.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(a.ownedLeases)) {
 		owned := a.ownedLeases[name]
-		recorded := a.record.Matters[name]
+		recorded := a.record.Leases[name]
 		switch {
-		case !owned.lease.Holds(now) || owned.supersedingFence() > 0 || recorded.Fence > owned.lease.Fence:
+		case !owned.lease.Valid(now) || owned.supersedingFence() > 0 || recorded.Fence > owned.lease.Fence:
 			// This agent must not act on it any more, even where the record that it last received still names it as the
 			// owner. Calls in flight are bounded by the lease's end.
 			a.log.Warn("matter lost", "matter", name, "fence", owned.lease.Fence, "passed", max(owned.supersedingFence(), recorded.Fence))
 			delete(a.ownedLeases, name)
 			continue
-		case recorded.Wanted != "" && recorded.Wanted != a.config.Name && recorded.Owner == a.ownerID:
+		case recorded.HandoverTo != "" && recorded.HandoverTo != a.config.Name && recorded.Owner == a.ownerID:
 			if owned.callsInFlight == 0 && !a.commandInFlight[name] {
-				a.log.Info("matter passed on", "matter", name, "to", recorded.Wanted)
+				a.log.Info("matter passed on", "matter", name, "to", recorded.HandoverTo)
 				delete(a.ownedLeases, name)
-				a.submitAsync(ctx, name, fleet.Command{Do: "leave", Matter: name, Owner: a.ownerID, Fence: owned.lease.Fence, By: a.config.Name}, nil)
+				a.submitAsync(ctx, name, fleet.Command{Verb: "leave", Lease: name, Owner: a.ownerID, Fence: owned.lease.Fence, By: a.config.Name}, nil)
 			}
 			continue
 		}
 		if owned.operation != nil {
-			if owned.operation.Follow(now, a.record); owned.operation.Over() && a.record.Matters[name].Owner == a.ownerID {
+			if owned.operation.Follow(now, a.record); owned.operation.Finished() && a.record.Leases[name].Owner == a.ownerID {
 				if owned.callsInFlight == 0 && !a.commandInFlight[name] {
 					delete(a.ownedLeases, name)
-					a.submitAsync(ctx, name, fleet.Command{Do: "leave", Matter: name, Owner: a.ownerID, Fence: owned.lease.Fence, By: a.config.Name}, nil)
+					a.submitAsync(ctx, name, fleet.Command{Verb: "leave", Lease: name, Owner: a.ownerID, Fence: owned.lease.Fence, By: a.config.Name}, nil)
 				}
 				continue
 			}
@@ -362,17 +362,17 @@
 			owned.notifier.Follow(now, a.record, owned.zone)
 		}
 		if !a.commandInFlight[name] && owned.lease.NextRenewal(now, owned.notifier != nil && owned.notifier.Urgent()) {
-			renewal := fleet.Command{Do: "renew", Matter: name, Owner: a.ownerID, Fence: owned.lease.Fence}
+			renewal := fleet.Command{Verb: "renew", Lease: name, Owner: a.ownerID, Fence: owned.lease.Fence}
 			if owned.notifier != nil {
 				var whole bool
-				if renewal.Seen, whole = owned.notifier.Report(now); whole {
-					renewal.To = fleet.Whole
+				if renewal.Health, whole = owned.notifier.Report(now); whole {
+					renewal.To = fleet.AllReported
 				}
 			}
 			a.submitAsync(ctx, name, renewal,
-				func(answer fleet.Answer, err error) {
-					owned.lease.Renewed(err == nil && answer.Done)
-					a.log.Debug("renewed", "matter", name, "fence", owned.lease.Fence, "left", owned.lease.Until()-a.clock.Now())
+				func(answer fleet.CommandResult, err error) {
+					owned.lease.Renewed(err == nil && answer.Applied)
+					a.log.Debug("renewed", "matter", name, "fence", owned.lease.Fence, "left", owned.lease.ValidUntil()-a.clock.Now())
 				})
 		}
 		if owned.operation != nil {
@@ -388,26 +388,26 @@
 			go a.callScheduler(ctx, owned, call)
 		}
 	}
-	if claim, ok := a.duty.NextClaim(now, a.record, a.absentAgents); ok && a.ownedLeases[claim.Matter] == nil && !a.commandInFlight[claim.Matter] {
-		claimedAt, zone := now, strings.TrimPrefix(claim.Matter, "zone/")
-		a.submitAsync(ctx, claim.Matter, claim, func(answer fleet.Answer, err error) {
-			if err != nil || !answer.Done {
+	if claim, ok := a.duty.NextClaim(now, a.record, a.absentAgents); ok && a.ownedLeases[claim.Lease] == nil && !a.commandInFlight[claim.Lease] {
+		claimedAt, zone := now, strings.TrimPrefix(claim.Lease, "zone/")
+		a.submitAsync(ctx, claim.Lease, claim, func(answer fleet.CommandResult, err error) {
+			if err != nil || !answer.Applied {
 				return
 			}
-			a.log.Info("matter owned", "matter", claim.Matter, "fence", answer.Fence)
-			owned := &ownedLease{zone: zone, lease: fleet.Held(claimedAt, answer.Fence, claim.Term)}
-			if id, isOperation := strings.CutPrefix(claim.Matter, "op/"); isOperation {
-				owned.operation = fleet.NewCarrier(id, a.ownerID, answer.Fence)
-				owned.operation.Bug = a.injectedFault
+			a.log.Info("matter owned", "matter", claim.Lease, "fence", answer.Fence)
+			owned := &ownedLease{zone: zone, lease: fleet.NewHeldLease(claimedAt, answer.Fence, claim.TermMs)}
+			if id, isOperation := strings.CutPrefix(claim.Lease, "op/"); isOperation {
+				owned.operation = fleet.NewOperationController(id, a.ownerID, answer.Fence)
+				owned.operation.InjectedFault = a.injectedFault
 			} else {
-				owned.notifier = fleet.NewTeller(claim.Matter, answer.Fence)
-				owned.notifier.Bug, owned.notifier.Holds = a.injectedFault, func(w fleet.Intent) bool { return a.supervisor.isHeldBack(a.record, w) }
+				owned.notifier = fleet.NewZoneController(claim.Lease, answer.Fence)
+				owned.notifier.InjectedFault, owned.notifier.Halted = a.injectedFault, func(w fleet.Intent) bool { return a.supervisor.isHeldBack(a.record, w) }
 			}
-			a.ownedLeases[claim.Matter] = owned
+			a.ownedLeases[claim.Lease] = owned
 		})
 	}
-	if request, ok := a.duty.NextPass(now, a.record, a.absentAgents); ok && !a.commandInFlight[request.Matter] {
-		a.submitAsync(ctx, request.Matter, request, nil)
+	if request, ok := a.duty.NextHandover(now, a.record, a.absentAgents); ok && !a.commandInFlight[request.Lease] {
+		a.submitAsync(ctx, request.Lease, request, nil)
 	}
 }
 
@@ -416,15 +416,15 @@
 	if o.notifier == nil {
 		return 0
 	}
-	return o.notifier.Passed
+	return o.notifier.SupersededBy
 }
 
 // advanceOperation begins the calls and commands of an operation that are due. The caller holds a.mu.
 func (a *Agent) advanceOperation(ctx context.Context, now float64, name string, owned *ownedLease) {
 	for owned.callsInFlight < maxCallsPerLease {
-		do, ok := owned.operation.NextLook(now)
+		do, ok := owned.operation.NextAgentStatusCall(now)
 		if !ok {
-			if do, ok = owned.operation.NextDo(now); !ok {
+			if do, ok = owned.operation.NextAgentCall(now); !ok {
 				break
 			}
 		}
@@ -446,12 +446,12 @@
 		if !ok {
 			return
 		}
-		a.submitAsync(ctx, name+"/steps/"+cmd.ID, cmd, func(answer fleet.Answer, err error) {
-			owned.operation.Commanded(cmd)
-			if err == nil && answer.Done {
-				a.log.Info("step", "op", owned.operation.ID, "do", cmd.Do, "of", cmd.ID, "to", cmd.To, "no", answer.No, "why", cmd.Why)
+		a.submitAsync(ctx, name+"/steps/"+cmd.ID, cmd, func(answer fleet.CommandResult, err error) {
+			owned.operation.CommandAnswered(cmd)
+			if err == nil && answer.Applied {
+				a.log.Info("step", "op", owned.operation.ID, "do", cmd.Verb, "of", cmd.ID, "to", cmd.To, "no", answer.No, "why", cmd.Reason)
 			} else if err == nil {
-				a.log.Debug("step refused", "op", owned.operation.ID, "of", cmd.ID, "to", cmd.To, "why", answer.Why)
+				a.log.Debug("step refused", "op", owned.operation.ID, "of", cmd.ID, "to", cmd.To, "why", answer.Reason)
 			}
 		})
 	}
@@ -461,31 +461,31 @@
 func (a *Agent) leaseContext(ctx context.Context, owned *ownedLease) (context.Context, context.CancelFunc) {
 	now := a.clock.Now()
 	a.mu.Lock()
-	left := time.Duration((owned.lease.Until() - now) * float64(time.Millisecond))
+	left := time.Duration((owned.lease.ValidUntil() - now) * float64(time.Millisecond))
 	a.mu.Unlock()
 	return context.WithTimeout(ctx, min(callTimeout, left))
 }
 
 // callMemberAgent asks the agent of a member to do what the member's step in an operation needs next.
-func (a *Agent) callMemberAgent(ctx context.Context, owned *ownedLease, do fleet.Do) {
+func (a *Agent) callMemberAgent(ctx context.Context, owned *ownedLease, do fleet.AgentCall) {
 	ctx, stop := a.leaseContext(ctx, owned)
 	defer stop()
-	var outcome fleet.Did
+	var outcome fleet.AgentResult
 	err := callJSON(ctx, a.httpClient, "POST", "http://"+do.Agent.Addr+"/v1/act", do, &outcome)
 	outcome.Reached = err == nil
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	owned.callsInFlight--
-	owned.operation.Did(a.clock.Now(), do, outcome)
+	owned.operation.AgentCalled(a.clock.Now(), do, outcome)
 	a.requestWork()
-	a.log.Debug("had", "op", do.Op, "member", do.Member, "call", do.Call, "no", do.No, "state", outcome.State, "why", outcome.Why, "err", err)
+	a.log.Debug("had", "op", do.Op, "member", do.Member, "call", do.Call, "no", do.No, "state", outcome.State, "why", outcome.Reason, "err", err)
 }
 
 // sampleTxns asks a scheduler how many txns it has settled, declined and reversed, for the gates of a release.
 func (a *Agent) sampleTxns(ctx context.Context, owned *ownedLease, scheduler fleet.Member) {
 	ctx, stop := a.leaseContext(ctx, owned)
 	defer stop()
-	reply := a.sendToScheduler(ctx, fleet.Call{To: scheduler, Act: fleet.Look, Matter: "-"})
+	reply := a.sendToScheduler(ctx, fleet.SchedulerCall{To: scheduler, Kind: fleet.CallStatus, Lease: "-"})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if owned.callsInFlight--; reply.Done {
@@ -495,7 +495,7 @@
 
 // submitAsync sends a command without waiting for it, and then calls done, where that is not nil, with a.mu held. sequence
 // is a lease's name, or names an operation's step: it has one command in flight at a time. The caller holds a.mu.
-func (a *Agent) submitAsync(ctx context.Context, sequence string, c fleet.Command, done func(fleet.Answer, error)) {
+func (a *Agent) submitAsync(ctx context.Context, sequence string, c fleet.Command, done func(fleet.CommandResult, error)) {
 	a.commandInFlight[sequence] = true
 	c.Caller = a.callerID(sequence)
 	go func() {
@@ -511,64 +511,64 @@
 }
 
 // callScheduler makes one call at a scheduler. It is cancelled when the lease ends, whether the call has arrived or not.
-func (a *Agent) callScheduler(ctx context.Context, owned *ownedLease, call fleet.Call) {
+func (a *Agent) callScheduler(ctx context.Context, owned *ownedLease, call fleet.SchedulerCall) {
 	ctx, stop := a.leaseContext(ctx, owned)
 	defer stop()
-	a.log.Debug("calls", "scheduler", call.To.ID, "act", int(call.Act), "matter", call.Matter, "fence", call.Fence)
+	a.log.Debug("calls", "scheduler", call.To.ID, "act", int(call.Kind), "matter", call.Lease, "fence", call.Fence)
 	reply := a.sendToScheduler(ctx, call)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	owned.callsInFlight--
 	owned.notifier.Answered(a.clock.Now(), call, reply)
 	a.requestWork()
-	if call.Act == fleet.Tell && reply.Done {
+	if call.Kind == fleet.CallSetWorker && reply.Done {
 		a.log.Info("told", "scheduler", call.To.ID, "worker", call.Worker, "out", call.Out, "fence", call.Fence, "since", call.Since)
 	}
 }
 
 // sendToScheduler sends a call to a scheduler's management address and returns its reply.
-func (a *Agent) sendToScheduler(ctx context.Context, call fleet.Call) (reply fleet.Reply) {
+func (a *Agent) sendToScheduler(ctx context.Context, call fleet.SchedulerCall) (reply fleet.SchedulerReply) {
 	method, path := "POST", "/ops/workers/up"
 	switch {
-	case call.Act == fleet.Look:
+	case call.Kind == fleet.CallStatus:
 		method, path = "GET", "/ops/fence"
-		if zone, ok := strings.CutPrefix(call.Matter, "zone/"); ok {
+		if zone, ok := strings.CutPrefix(call.Lease, "zone/"); ok {
 			path += "?zone=" + url.QueryEscape(zone)
 		}
-	case call.Act == fleet.Close:
+	case call.Kind == fleet.CallRaiseFence:
 		path = "/ops/fence"
 	case call.Out:
 		path = "/ops/workers/down"
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+call.To.Addr+path, strings.NewReader(call.Worker))
 	if err != nil {
-		return fleet.Reply{Why: err.Error()}
+		return fleet.SchedulerReply{Reason: err.Error()}
 	}
 	request.Close = true // a scheduler's management interface serves one call per connection
-	if call.Act != fleet.Look {
-		request.Header.Set("Fleet-Fence", fmt.Sprint(call.Matter, " ", call.Fence))
+	if call.Kind != fleet.CallStatus {
+		request.Header.Set("Fleet-Fence", fmt.Sprint(call.Lease, " ", call.Fence))
 		request.Header.Set("Fleet-Start", call.Start)
 		request.Header.Set("Fleet-Change", strconv.FormatUint(call.Since, 10))
 	}
 	response, err := a.httpClient.Do(request)
 	if err != nil {
-		return fleet.Reply{Why: shortErrorText(err)}
+		return fleet.SchedulerReply{Reason: shortErrorText(err)}
 	}
 	defer response.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxSchedulerReplyBytes))
 	if err != nil {
-		return fleet.Reply{Why: shortErrorText(err)}
+		return fleet.SchedulerReply{Reason: shortErrorText(err)}
 	}
 	return ParseReply(call, response.StatusCode, raw)
 }
 
-// ParseReply decodes a scheduler's response to a call. To a Look a scheduler answers JSON. To any other call it answers
+// ParseReply decodes a scheduler's response to a call. To a CallStatus a scheduler answers JSON. To any other call it answers
 // with status 200, or names in its body the start that is running ("start ID") or the fencing token in force ("fence
 // MATTER NUMBER") that made it refuse the call.
-func ParseReply(call fleet.Call, status int, raw []byte) fleet.Reply {
+func ParseReply(call fleet.SchedulerCall, status int, raw []byte) fleet.SchedulerReply {
 	text := strings.TrimSpace(string(raw))
-	reply := fleet.Reply{Reached: true, Start: call.Start}
-	if call.Act == fleet.Look {
+	reply := fleet.SchedulerReply{Reached: true, Start: call.Start}
+	if call.Kind == fleet.CallStatus {
 		// The JSON keys are the field names.
 		var state struct {
 			Name    string
@@ -580,15 +580,15 @@
 			Txns    fleet.Txns
 		}
 		if status != 200 || json.Unmarshal(raw, &state) != nil || state.Start == "" {
-			return fleet.Reply{Reached: true, Why: fmt.Sprintf("status %d: want 200 and the JSON of /ops/fence", status)}
+			return fleet.SchedulerReply{Reached: true, Reason: fmt.Sprintf("status %d: want 200 and the JSON of /ops/fence", status)}
 		}
 		if state.Name != call.To.ID {
-			return fleet.Reply{Reached: true, Why: "another scheduler answers there: " + state.Name}
+			return fleet.SchedulerReply{Reached: true, Reason: "another scheduler answers there: " + state.Name}
 		}
-		reply.Done, reply.Start, reply.Fence = true, state.Start, state.Fences[call.Matter]
+		reply.Done, reply.Start, reply.Fence = true, state.Start, state.Fences[call.Lease]
 		reply.Phase, reply.Workers, reply.Txns = state.Phase, state.Workers, state.Txns
 		for id, lease := range state.Out {
-			if lease == call.Matter {
+			if lease == call.Lease {
 				reply.Out = append(reply.Out, id)
 			}
 		}
@@ -599,10 +599,10 @@
 		reply.Done, reply.Fence = true, call.Fence
 		return reply
 	}
-	reply.Why = text
+	reply.Reason = text
 	if start, ok := strings.CutPrefix(text, "start "); ok {
 		reply.Start = start
-	} else if number, ok := strings.CutPrefix(text, "fence "+call.Matter+" "); ok {
+	} else if number, ok := strings.CutPrefix(text, "fence "+call.Lease+" "); ok {
 		reply.Fence, _ = strconv.ParseUint(number, 10, 64)
 	}
 	return reply
--- a/agent/api.go
+++ b/agent/api.go
@@ -41,11 +41,11 @@
 // Told says which schedulers have confirmed what the record intends for a worker, as the owner of the worker's zone knows
 // it.
 type Told struct {
-	Matter string           `json:"matter"` // the lease on the worker's zone
-	Owner  string           `json:"owner"`
-	Fence  uint64           `json:"fence"`
-	Intent fleet.Intent     `json:"intent"`
-	Rows   []fleet.Standing `json:"rows"` // one for each scheduler
+	Matter string                  `json:"matter"` // the lease on the worker's zone
+	Owner  string                  `json:"owner"`
+	Fence  uint64                  `json:"fence"`
+	Intent fleet.Intent            `json:"intent"`
+	Rows   []fleet.Acknowledgement `json:"rows"` // one for each scheduler
 }
 
 func (a *Agent) routes() http.Handler {
@@ -119,8 +119,8 @@
 		writeRefusal(w, 400, err.Error())
 		return
 	}
-	if c.V < fleet.FormOf(&c) {
-		writeRefusal(w, 400, fmt.Sprintf("command %s needs form %d, got form %d", c.Do, fleet.FormOf(&c), c.V))
+	if c.FormatVersion < fleet.FormatVersionOf(&c) {
+		writeRefusal(w, 400, fmt.Sprintf("command %s needs form %d, got form %d", c.Verb, fleet.FormatVersionOf(&c), c.FormatVersion))
 		return
 	}
 	ctx, stop := context.WithTimeout(r.Context(), commandTimeout)
@@ -145,7 +145,7 @@
 		writeJSON(w, 503, Refusal{Why: "another voter leads", Leader: leader})
 		return
 	}
-	var answer fleet.Answer
+	var answer fleet.CommandResult
 	err := callJSON(ctx, &http.Client{Transport: a.httpClient.Transport}, "POST", "http://"+leader+"/v1/do?hop=1", c, &answer)
 	var refusal *Refusal
 	switch {
@@ -265,7 +265,7 @@
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, m := range a.record.Of("agent") {
+	for _, m := range a.record.MembersOfKind("agent") {
 		if now > max(a.heardAtMS[m.ID], view.LedAt)+absentAfterMS {
 			ids = append(ids, m.ID)
 		}
@@ -326,11 +326,11 @@
 		Fences map[string]uint64 `json:"fences"`
 		Out    map[string]string `json:"out"` // worker to the lease on its zone
 	}{record.No, err != nil, map[string]uint64{}, map[string]string{}}
-	for name, m := range record.Matters {
+	for name, m := range record.Leases {
 		answer.Fences[name] = m.Fence
 	}
-	for _, id := range record.OutIn("") {
-		answer.Out[id] = fleet.MatterOf(record.Workers[id].Zone)
+	for _, id := range record.WorkersOut("") {
+		answer.Out[id] = fleet.ZoneLease(record.Intents[id].Zone)
 	}
 	writeJSON(w, 200, answer)
 }
@@ -341,17 +341,17 @@
 	worker := r.URL.Query().Get("worker")
 	a.mu.Lock()
 	record := a.record
-	intent, known := record.Workers[worker]
-	name := fleet.MatterOf(intent.Zone)
+	intent, known := record.Intents[worker]
+	name := fleet.ZoneLease(intent.Zone)
 	owned := a.ownedLeases[name]
-	if owned != nil && owned.notifier != nil && owned.lease.Holds(a.clock.Now()) {
+	if owned != nil && owned.notifier != nil && owned.lease.Valid(a.clock.Now()) {
 		owned.notifier.Follow(a.clock.Now(), record, owned.zone)
-		told := Told{name, a.ownerID, owned.lease.Fence, intent, owned.notifier.Told(worker)}
+		told := Told{name, a.ownerID, owned.lease.Fence, intent, owned.notifier.Acknowledgements(worker)}
 		a.mu.Unlock()
 		writeJSON(w, 200, told)
 		return
 	}
-	owner := fleet.AgentOf(record.Matters[name].Owner)
+	owner := fleet.AgentOfOwner(record.Leases[name].Owner)
 	addr := record.Members[owner].Addr
 	a.mu.Unlock()
 	switch {
@@ -384,7 +384,7 @@
 	defer a.mu.Unlock()
 	status.No = a.record.No
 	for name, owned := range a.ownedLeases {
-		if owned.lease.Holds(now) {
+		if owned.lease.Valid(now) {
 			status.Holds[name] = owned.lease.Fence
 		}
 	}
--- a/agent/changes.go
+++ b/agent/changes.go
@@ -58,7 +58,7 @@
 	if err := record.Restore(raw); err != nil {
 		return nil, err
 	}
-	if raw = record.Lean(); crc32.ChecksumIEEE(raw) != p.Sum { // Lean writes the keys in the order that the sum was taken over
+	if raw = record.SnapshotForAgents(); crc32.ChecksumIEEE(raw) != p.Sum { // SnapshotForAgents writes the keys in the order that the sum was taken over
 		return nil, fmt.Errorf("patched record has CRC-32 %08x, want %08x", crc32.ChecksumIEEE(raw), p.Sum)
 	}
 	return raw, nil
--- a/agent/changes_test.go
+++ b/agent/changes_test.go
@@ -17,7 +17,7 @@
 	leaderRecord, current := fleet.NewRecord(), []byte(nil)
 	var cache patchCache
 	apply := func(number uint64, c fleet.Command) {
-		c.V, c.Caller, c.Number, c.By = fleet.FormOf(&c), "t", number, "test"
+		c.FormatVersion, c.Caller, c.Number, c.By = fleet.FormatVersionOf(&c), "t", number, "test"
 		raw, err := json.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
@@ -26,20 +26,20 @@
 			t.Fatal(err)
 		}
 	}
-	followed, patchBytes, wholeBytes := leaderRecord.Lean(), 0, 0
+	followed, patchBytes, wholeBytes := leaderRecord.SnapshotForAgents(), 0, 0
 	for number := uint64(1); number <= 600; number++ {
 		id := fmt.Sprint(r.IntN(40))
 		switch r.IntN(6) {
 		case 0:
-			apply(number, fleet.Command{Do: "unmember", ID: id})
+			apply(number, fleet.Command{Verb: "unmember", ID: id})
 		case 1, 2:
-			apply(number, fleet.Command{Do: "out", ID: id, Zone: "a", Why: "hands"})
+			apply(number, fleet.Command{Verb: "out", ID: id, Zone: "a", Reason: "hands"})
 		case 3:
-			apply(number, fleet.Command{Do: "in", ID: id, Zone: "a"})
+			apply(number, fleet.Command{Verb: "in", ID: id, Zone: "a"})
 		default:
-			apply(number, fleet.Command{Do: "member", Member: &fleet.Member{ID: id, Kind: "agent", Zone: "a", Addr: fmt.Sprint(number)}})
+			apply(number, fleet.Command{Verb: "member", Member: &fleet.Member{ID: id, Kind: "agent", Zone: "a", Addr: fmt.Sprint(number)}})
 		}
-		if current = leaderRecord.Lean(); r.IntN(3) > 0 {
+		if current = leaderRecord.SnapshotForAgents(); r.IntN(3) > 0 {
 			continue // the following agent does not ask after this command
 		}
 		patch := cache.patch(0, followed, number, current)
--- a/agent/client.go
+++ b/agent/client.go
@@ -98,7 +98,7 @@
 
 // Do sends a command until an agent reports its outcome or ctx is done. It gives up sooner where
 // every agent refuses for want of a majority: the command was then not accepted.
-func (c *Caller) Do(ctx context.Context, cmd fleet.Command) (answer fleet.Answer, err error) {
+func (c *Caller) Do(ctx context.Context, cmd fleet.Command) (answer fleet.CommandResult, err error) {
 	var lastErr error
 	outcomeUnknown := false
 	for attempt := 0; ctx.Err() == nil; attempt++ {
--- a/agent/supervisor.go
+++ b/agent/supervisor.go
@@ -62,7 +62,7 @@
 
 // persistedState is the content of the state file.
 type persistedState struct {
-	Doer       *fleet.Doer                `json:"doer"` // the steps that were begun, and the halts that were ordered here
+	Doer       *fleet.StepExecutor        `json:"doer"` // the steps that were begun, and the halts that were ordered here
 	Schedulers map[string]*schedulerState `json:"runs"` // by id
 }
 
@@ -98,15 +98,15 @@
 // address, so that one process can take over from the other in an upgrade.
 type managedScheduler struct {
 	Local
-	lifecycle      fleet.Minder // decides when processes are started and stopped
-	processes      [2]*process  // by slot
-	probing        [2]bool      // by slot: a readiness check is in flight
+	lifecycle      fleet.ProcessSupervisor // decides when processes are started and stopped
+	processes      [2]*process             // by slot
+	probing        [2]bool                 // by slot: a readiness check is in flight
 	lastServedSlot int
 }
 
 // servingAddr returns the management address of the process that serves, or of the last one that did.
 func (m *managedScheduler) servingAddr() string {
-	if slot, ok := m.lifecycle.Serves(); ok {
+	if slot, ok := m.lifecycle.ServingSlot(); ok {
 		m.lastServedSlot = slot
 	}
 	if m.lastServedSlot == 1 {
@@ -150,7 +150,7 @@
 }
 
 func newSupervisor(a *Agent, disk quorum.Disk) (*supervisor, error) {
-	s := &supervisor{agent: a, disk: disk, schedulers: map[string]*managedScheduler{}, state: persistedState{fleet.NewDoer(a.startID), map[string]*schedulerState{}}, httpClient: NewHTTP(nil, callTimeout), stepBegun: map[string]bool{},
+	s := &supervisor{agent: a, disk: disk, schedulers: map[string]*managedScheduler{}, state: persistedState{fleet.NewStepExecutor(a.startID), map[string]*schedulerState{}}, httpClient: NewHTTP(nil, callTimeout), stepBegun: map[string]bool{},
 		stateChanged: make(chan struct{})}
 	if disk == nil {
 		s.reconciled = true // it runs nothing
@@ -169,10 +169,10 @@
 			return nil, fmt.Errorf("%s: %w", stateFile, err)
 		}
 	}
-	s.state.Doer.Start, s.state.Doer.Bug = a.startID, a.injectedFault
+	s.state.Doer.Start, s.state.Doer.InjectedFault = a.startID, a.injectedFault
 	for id, note := range s.state.Doer.Notes {
 		if note.Call == "command" && note.State == "going" {
-			note.State, note.Why = "unknown", "this agent ended while the command ran"
+			note.State, note.Reason = "unknown", "this agent ended while the command ran"
 			s.state.Doer.Notes[id] = note
 		}
 	}
@@ -182,8 +182,8 @@
 			continue
 		}
 		scheduler := &managedScheduler{Local: local}
-		scheduler.lifecycle.ReadyMost = float64(time.Duration(a.config.ReadyMost).Milliseconds())
-		if scheduler.lifecycle.KillAfter, err = shutdownTimeoutMS(local.Config); err != nil {
+		scheduler.lifecycle.ReadyTimeoutMs = float64(time.Duration(a.config.ReadyMost).Milliseconds())
+		if scheduler.lifecycle.KillDelayMs, err = shutdownTimeoutMS(local.Config); err != nil {
 			return nil, fmt.Errorf("scheduler %s: %w", local.ID, err)
 		}
 		state := s.state.Schedulers[local.ID]
@@ -232,7 +232,7 @@
 			}
 			s.agent.log.Warn("record overrides the saved state", "scheduler", id, "run", shouldRun)
 			state.ShouldRun = shouldRun
-			scheduler.lifecycle.Wants(s.agent.clock.Now(), state.ShouldRun, state.WantedStep)
+			scheduler.lifecycle.SetWanted(s.agent.clock.Now(), state.ShouldRun, state.WantedStep)
 		}
 		s.reconciled = true
 		s.saveOrLog()
@@ -317,12 +317,12 @@
 		for _, p := range processes {
 			state.ShouldRun, state.NeverStarted, state.Versions[p.step] = true, false, p.version // until reconcile has read the record
 		}
-		scheduler.lifecycle.Good(state.ReadyStep)
-		scheduler.lifecycle.Wants(now, state.ShouldRun, state.WantedStep)
+		scheduler.lifecycle.SetLastReady(state.ReadyStep)
+		scheduler.lifecycle.SetWanted(now, state.ShouldRun, state.WantedStep)
 		for _, p := range processes {
 			// The process of the step that was last known to be ready is taken to be ready.
 			ready := p.step == state.ReadyStep && readyStepServes
-			scheduler.lifecycle.Adopt(fleet.Proc{Slot: p.slot, Gen: p.step, Since: now, Ready: ready})
+			scheduler.lifecycle.Adopt(fleet.Process{Slot: p.slot, Generation: p.step, Since: now, Ready: ready})
 		}
 	}
 }
@@ -442,7 +442,7 @@
 func (s *supervisor) isHeldBack(record *fleet.Record, intent fleet.Intent) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.Doer.Holds(record, intent)
+	return s.state.Doer.Halted(record, intent)
 }
 
 // status returns the state of the schedulers that the agent runs, and the halts that were ordered here.
@@ -471,7 +471,7 @@
 	for _, h := range s.state.Doer.Halts {
 		halts = append(halts, h)
 	}
-	slices.SortFunc(halts, func(a, b fleet.Halt) int { return strings.Compare(a.Of, b.Of) })
+	slices.SortFunc(halts, func(a, b fleet.Halt) int { return strings.Compare(a.Scope, b.Scope) })
 	return schedulers, halts
 }
 
@@ -484,7 +484,7 @@
 	s.agent.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state.Doer.Lifted(record) || s.saveFailed {
+	if s.state.Doer.DropLiftedHalts(record) || s.saveFailed {
 		s.saveOrLog()
 	}
 	for _, local := range s.agent.config.Scheduler {
@@ -563,7 +563,7 @@
 	scheduler.lifecycle.Ready(slot)
 	state := s.state.Schedulers[scheduler.ID]
 	for _, p := range scheduler.lifecycle.Procs() {
-		if p.Slot == slot && p.Gen == state.WantedStep && state.ReadyStep != state.WantedStep {
+		if p.Slot == slot && p.Generation == state.WantedStep && state.ReadyStep != state.WantedStep {
 			state.ReadyStep = state.WantedStep
 			s.saveOrLog()
 		}
@@ -573,29 +573,29 @@
 }
 
 // perform starts, terminates or kills a process.
-func (s *supervisor) perform(now float64, scheduler *managedScheduler, action fleet.Deed) {
+func (s *supervisor) perform(now float64, scheduler *managedScheduler, action fleet.ProcessAction) {
 	p := scheduler.processes[action.Slot]
 	switch {
-	case action.Do == "start":
+	case action.Action == "start":
 		if err := s.startProcess(scheduler, action); err != nil {
 			s.agent.log.Error("process could not be started", "scheduler", scheduler.ID, "err", err)
-			scheduler.lifecycle.Started(now, action.Slot, err.Error())
+			scheduler.lifecycle.StartFailed(now, action.Slot, err.Error())
 		}
 	case p == nil:
-	case action.Do == "term":
-		s.agent.log.Info("process told to end", "scheduler", scheduler.ID, "pid", p.pid, "step", action.Gen)
+	case action.Action == "term":
+		s.agent.log.Info("process told to end", "scheduler", scheduler.ID, "pid", p.pid, "step", action.Generation)
 		_ = syscall.Kill(p.pid, syscall.SIGTERM)
-	case action.Do == "kill":
-		s.agent.log.Warn("process killed", "scheduler", scheduler.ID, "pid", p.pid, "step", action.Gen)
+	case action.Action == "kill":
+		s.agent.log.Warn("process killed", "scheduler", scheduler.ID, "pid", p.pid, "step", action.Generation)
 		_ = syscall.Kill(p.pid, syscall.SIGKILL)
 	}
 }
 
 // startProcess starts a process in a session of its own, so that it outlives this agent.
-func (s *supervisor) startProcess(scheduler *managedScheduler, action fleet.Deed) error {
-	version, ok := s.state.Schedulers[scheduler.ID].Versions[action.Gen]
+func (s *supervisor) startProcess(scheduler *managedScheduler, action fleet.ProcessAction) error {
+	version, ok := s.state.Schedulers[scheduler.ID].Versions[action.Generation]
 	if !ok {
-		return fmt.Errorf("no version is stored for step %d", action.Gen)
+		return fmt.Errorf("no version is stored for step %d", action.Generation)
 	}
 	for _, digest := range []string{version.Program, version.Config} {
 		if err := s.verifyStored(digest); err != nil {
@@ -617,14 +617,14 @@
 	cmd := exec.Command(s.storePath(version.Program), "serve")
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+s.storePath(version.Config), "BALANCER_MGMT="+mgmt, "TMPDIR="+tmp,
-		fmt.Sprintf("%s=%s|%s|%d|%d", processMarkerEnv, s.dataDir, scheduler.ID, action.Slot, action.Gen))
+		fmt.Sprintf("%s=%s|%s|%d|%d", processMarkerEnv, s.dataDir, scheduler.ID, action.Slot, action.Generation))
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	p := &process{pid: cmd.Process.Pid, exited: make(chan struct{})}
 	scheduler.processes[action.Slot] = p
-	s.agent.log.Info("process started", "scheduler", scheduler.ID, "pid", p.pid, "place", action.Slot, "step", action.Gen)
+	s.agent.log.Info("process started", "scheduler", scheduler.ID, "pid", p.pid, "place", action.Slot, "step", action.Generation)
 	go func() {
 		_ = cmd.Wait()
 		close(p.exited)
@@ -648,7 +648,7 @@
 			needed := step == state.WantedStep || step == state.ReadyStep
 			if scheduler := s.schedulers[id]; scheduler != nil {
 				for _, p := range scheduler.lifecycle.Procs() {
-					needed = needed || p.Gen == step
+					needed = needed || p.Generation == step
 				}
 			}
 			if !needed {
@@ -677,7 +677,7 @@
 // handleAct takes a call of an operation's owner for a step of one member. For a step that was begun here it answers with
 // the state of that step. Any other step begins only after a linearizable read of the record since the call came.
 func (a *Agent) handleAct(w http.ResponseWriter, r *http.Request) {
-	var do fleet.Do
+	var do fleet.AgentCall
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&do); err != nil {
 		writeRefusal(w, 400, err.Error())
 		return
@@ -686,9 +686,9 @@
 	if do.Call == "look" {
 		s.mu.Lock()
 		scheduler := s.schedulers[do.Member]
-		down := scheduler != nil && scheduler.lifecycle.Down()
+		down := scheduler != nil && scheduler.lifecycle.IsDown()
 		s.mu.Unlock()
-		writeJSON(w, 200, fleet.Did{State: "going", Start: a.startID, Down: down})
+		writeJSON(w, 200, fleet.AgentResult{State: "going", Start: a.startID, Down: down})
 		return
 	}
 	if outcome, known := s.awaitStep(r.Context(), do); known {
@@ -722,7 +722,7 @@
 	}
 	if err := s.beginStep(do, record); err != nil {
 		note := s.state.Doer.Notes[do.Member]
-		note.State, note.Why = "failed", err.Error()
+		note.State, note.Reason = "failed", err.Error()
 		s.state.Doer.Notes[do.Member] = note
 	}
 	if err := s.save(); err != nil {
@@ -734,32 +734,32 @@
 		if state := s.state.Schedulers[do.Member]; state != nil {
 			*state = stateBefore
 		}
-		writeJSON(w, 200, fleet.Did{State: "refused", Why: "it could not be kept: " + err.Error(), Start: a.startID})
+		writeJSON(w, 200, fleet.AgentResult{State: "refused", Reason: "it could not be kept: " + err.Error(), Start: a.startID})
 		return
 	}
 	s.stepBegun[do.Member] = true
 	note := s.state.Doer.Notes[do.Member]
-	a.log.Info("begun", "op", do.Op, "member", do.Member, "call", do.Call, "step", do.No, "takes", fleet.Takes(record.Ops[do.Op].Steps[do.Member]),
-		"state", note.State, "why", note.Why)
+	a.log.Info("begun", "op", do.Op, "member", do.Member, "call", do.Call, "step", do.No, "takes", fleet.TakesOut(record.Ops[do.Op].Steps[do.Member]),
+		"state", note.State, "why", note.Reason)
 	if scheduler := s.schedulers[do.Member]; scheduler != nil && note.State == "going" {
 		state := s.state.Schedulers[do.Member]
-		scheduler.lifecycle.Wants(a.clock.Now(), state.ShouldRun, state.WantedStep)
+		scheduler.lifecycle.SetWanted(a.clock.Now(), state.ShouldRun, state.WantedStep)
 	} else if note.State == "going" {
 		go s.runWorkerCommand(do, record)
 	}
 	a.requestWork()
-	writeJSON(w, 200, fleet.Did{State: note.State, Why: note.Why, Start: a.startID})
+	writeJSON(w, 200, fleet.AgentResult{State: note.State, Reason: note.Reason, Start: a.startID})
 }
 
 // awaitStep returns the outcome of a step that was begun here, and whether it is known. It waits for the end of a step that
 // is under way, for half of the caller's timeout: answered at once, the caller would learn of the end only with its next
 // call.
-func (s *supervisor) awaitStep(ctx context.Context, do fleet.Do) (fleet.Did, bool) {
+func (s *supervisor) awaitStep(ctx context.Context, do fleet.AgentCall) (fleet.AgentResult, bool) {
 	timedOut := time.After(callTimeout / 2)
 	for {
 		s.mu.Lock()
 		s.refreshNote(do.Member)
-		outcome, known := s.state.Doer.Known(do)
+		outcome, known := s.state.Doer.KnownResult(do)
 		stateChanged := s.stateChanged
 		s.mu.Unlock()
 		if !known || outcome.State != "going" {
@@ -777,7 +777,7 @@
 
 // beginStep sets in the saved state what a step wants of a scheduler: to run or not, and which version. For the command of
 // a worker it only checks that there is one.
-func (s *supervisor) beginStep(do fleet.Do, record *fleet.Record) error {
+func (s *supervisor) beginStep(do fleet.AgentCall, record *fleet.Record) error {
 	op := record.Ops[do.Op]
 	if do.Call == "command" {
 		if i := slices.IndexFunc(s.agent.config.Worker, func(w Site) bool { return w.ID == do.Member }); i < 0 || len(s.agent.config.Worker[i].Command) == 0 {
@@ -799,10 +799,10 @@
 			current = state.Versions[state.ReadyStep] // the wanted version failed, and this one serves
 		}
 	}
-	wanted, newProcess := current, op.Kind == "restart" && !op.Back
+	wanted, newProcess := current, op.Kind == "restart" && !op.RollingBack
 	step := op.Steps[do.Member]
 	switch former, kept := state.FormerVersions[op.ID]; {
-	case op.Kind == "release" && (op.Back || step.Undo):
+	case op.Kind == "release" && (op.RollingBack || step.Undo):
 		if kept {
 			wanted = former
 		} else if current.Program == op.Version.Digest {
@@ -855,18 +855,18 @@
 	if scheduler == nil || note.State != "going" {
 		return
 	}
-	if note.State, note.Why = scheduler.lifecycle.State(); note.State != "going" {
+	if note.State, note.Reason = scheduler.lifecycle.State(); note.State != "going" {
 		s.state.Doer.Notes[member] = note
 		s.saveOrLog()
 	}
 }
 
 // runWorkerCommand runs the site's own command for a worker that is out, and notes its outcome.
-func (s *supervisor) runWorkerCommand(do fleet.Do, record *fleet.Record) {
+func (s *supervisor) runWorkerCommand(do fleet.AgentCall, record *fleet.Record) {
 	i := slices.IndexFunc(s.agent.config.Worker, func(w Site) bool { return w.ID == do.Member })
 	op := record.Ops[do.Op]
 	version := op.Version.Name
-	if op.Back {
+	if op.RollingBack {
 		version = "former"
 	}
 	var args []string
@@ -883,11 +883,11 @@
 		return
 	}
 	if note.State = "done"; err != nil {
-		note.State, note.Why = "failed", fmt.Sprintf("%v: %.200s", err, output)
+		note.State, note.Reason = "failed", fmt.Sprintf("%v: %.200s", err, output)
 	}
 	s.state.Doer.Notes[do.Member] = note
 	s.saveOrLog()
-	s.agent.log.Info("command ended", "worker", do.Member, "step", do.No, "state", note.State, "why", note.Why)
+	s.agent.log.Info("command ended", "worker", do.Member, "step", do.No, "state", note.State, "why", note.Reason)
 }
 
 // HaltAnswer is an agent's confirmation of a halt: from then on this agent takes nothing more out of service that the halt
@@ -900,8 +900,8 @@
 // handleHalt applies a halt on this machine at once, whatever the record says. It confirms a halt only once that is saved.
 func (a *Agent) handleHalt(w http.ResponseWriter, r *http.Request) {
 	var halt fleet.Halt
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxHaltRequestBytes)).Decode(&halt); err != nil || halt.Of == "" || halt.By == "" ||
-		len(halt.Of)+len(halt.By)+len(halt.Why) > maxHaltTextBytes {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxHaltRequestBytes)).Decode(&halt); err != nil || halt.Scope == "" || halt.By == "" ||
+		len(halt.Scope)+len(halt.By)+len(halt.Reason) > maxHaltTextBytes {
 		writeRefusal(w, 400, fmt.Sprintf("a halt needs of and by, and at most %d bytes in of, by and why together", maxHaltTextBytes))
 		return
 	}
@@ -909,10 +909,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	halt.No = 0
-	_, known := s.state.Doer.Halts[halt.Of]
+	_, known := s.state.Doer.Halts[halt.Scope]
 	if !known {
-		s.state.Doer.Halts[halt.Of] = halt
-		a.log.Warn("halted here", "of", halt.Of, "by", halt.By, "why", halt.Why)
+		s.state.Doer.Halts[halt.Scope] = halt
+		a.log.Warn("halted here", "of", halt.Scope, "by", halt.By, "why", halt.Reason)
 	}
 	if !known || s.saveFailed {
 		if err := s.save(); err != nil {
@@ -941,19 +941,19 @@
 		}
 	}
 	s.mu.Unlock()
-	slices.SortFunc(unrecorded, func(x, y fleet.Halt) int { return strings.Compare(x.Of, y.Of) })
+	slices.SortFunc(unrecorded, func(x, y fleet.Halt) int { return strings.Compare(x.Scope, y.Scope) })
 	for _, halt := range unrecorded {
-		answer, err := a.submit(ctx, fleet.Command{Do: "halt", ID: halt.Of, By: halt.By, Why: halt.Why, Then: halt.Then, Caller: a.callerID("halt")})
+		answer, err := a.submit(ctx, fleet.Command{Verb: "halt", ID: halt.Scope, By: halt.By, Reason: halt.Reason, Then: halt.Then, Caller: a.callerID("halt")})
 		if err != nil {
 			continue
 		}
 		s.mu.Lock()
-		if answer.Done {
+		if answer.Applied {
 			halt.No = answer.No
-			s.state.Doer.Halts[halt.Of] = halt
+			s.state.Doer.Halts[halt.Scope] = halt
 		} else {
-			delete(s.state.Doer.Halts, halt.Of) // of an operation or zone that the record does not have
-			a.log.Warn("halt dropped", "of", halt.Of, "why", answer.Why)
+			delete(s.state.Doer.Halts, halt.Scope) // of an operation or zone that the record does not have
+			a.log.Warn("halt dropped", "of", halt.Scope, "why", answer.Reason)
 		}
 		s.saveOrLog()
 		s.mu.Unlock()
--- a/agent/supervisor_test.go
+++ b/agent/supervisor_test.go
@@ -21,7 +21,7 @@
 func TestHaltIsConfirmedOnceSaved(t *testing.T) {
 	disk := quorum.NewMemory()
 	a := &Agent{log: slog.New(slog.DiscardHandler), config: &File{}}
-	a.supervisor = &supervisor{agent: a, disk: disk, state: persistedState{Doer: fleet.NewDoer("x")}}
+	a.supervisor = &supervisor{agent: a, disk: disk, state: persistedState{Doer: fleet.NewStepExecutor("x")}}
 	sendHalt := func() int {
 		w := httptest.NewRecorder()
 		a.handleHalt(w, httptest.NewRequest("POST", "/v1/halt", strings.NewReader(`{"of":"fleet","by":"staff","why":"test"}`)))
@@ -44,16 +44,16 @@
 // A call for a step that is under way is answered as soon as the step ends. Answered at once, the owner of the operation
 // would learn of the end only with its next call, 0.1 s later.
 func TestActWaitsForEndOfStep(t *testing.T) {
-	s := &supervisor{schedulers: map[string]*managedScheduler{"s0": {}}, state: persistedState{Doer: fleet.NewDoer("x")}, stateChanged: make(chan struct{})}
-	do := fleet.Do{Op: "restart-1", Member: "s0", Call: "run", No: 7}
-	s.state.Doer.Notes["s0"] = fleet.Note{No: 7, Op: do.Op, Call: "run", State: "going"}
+	s := &supervisor{schedulers: map[string]*managedScheduler{"s0": {}}, state: persistedState{Doer: fleet.NewStepExecutor("x")}, stateChanged: make(chan struct{})}
+	do := fleet.AgentCall{Op: "restart-1", Member: "s0", Call: "run", No: 7}
+	s.state.Doer.Notes["s0"] = fleet.StepNote{No: 7, Op: do.Op, Call: "run", State: "going"}
 	lifecycle := &s.schedulers["s0"].lifecycle
-	lifecycle.ReadyMost = 1000
-	lifecycle.Wants(0, true, 7)
-	if action, ok := lifecycle.Next(0); !ok || action.Do != "start" {
+	lifecycle.ReadyTimeoutMs = 1000
+	lifecycle.SetWanted(0, true, 7)
+	if action, ok := lifecycle.Next(0); !ok || action.Action != "start" {
 		t.Fatalf("got action %+v, %v, want a start", action, ok)
 	}
-	got := make(chan fleet.Did, 1)
+	got := make(chan fleet.AgentResult, 1)
 	go func() {
 		outcome, _ := s.awaitStep(context.Background(), do)
 		got <- outcome
@@ -83,7 +83,7 @@
 func TestNewSchedulerIsNotReportedRunningBeforeItIsRecorded(t *testing.T) {
 	a := &Agent{config: &File{Name: "a1", Scheduler: []Local{{ID: "s0"}}}}
 	state := &schedulerState{ShouldRun: true, NeverStarted: true}
-	a.supervisor = &supervisor{agent: a, schedulers: map[string]*managedScheduler{"s0": {}}, state: persistedState{fleet.NewDoer("x"), map[string]*schedulerState{"s0": state}}}
+	a.supervisor = &supervisor{agent: a, schedulers: map[string]*managedScheduler{"s0": {}}, state: persistedState{fleet.NewStepExecutor("x"), map[string]*schedulerState{"s0": state}}}
 	for _, recorded := range []bool{false, true} {
 		state.NeverStarted = !recorded
 		if all, _ := a.supervisor.status(); len(all) != 1 || all[0].Run != recorded {
--- a/cmd/beamctl/main.go
+++ b/cmd/beamctl/main.go
@@ -93,14 +93,14 @@
 
 // sendCommand sends a command to the agents until one reports its outcome. A retry carries the same caller id and number,
 // which are the command's idempotency key: the record applies the command once.
-func (g *globalFlags) sendCommand(ctx context.Context, command fleet.Command) (fleet.Answer, error) {
+func (g *globalFlags) sendCommand(ctx context.Context, command fleet.Command) (fleet.CommandResult, error) {
 	if g.callerID == "" {
 		g.callerID = "beamctl/" + strconv.FormatUint(rand.Uint64(), 36)
 	}
 	g.lastCommandNumber++
-	command.V, command.Caller, command.Number, command.By = fleet.FormOf(&command), g.callerID, g.lastCommandNumber, g.requesterName()
+	command.FormatVersion, command.Caller, command.Number, command.By = fleet.FormatVersionOf(&command), g.callerID, g.lastCommandNumber, g.requesterName()
 	if err := command.Check(); err != nil {
-		return fleet.Answer{}, exitError{exitFailed, err.Error()}
+		return fleet.CommandResult{}, exitError{exitFailed, err.Error()}
 	}
 	answer, err := g.newCaller(commandTimeout).Do(ctx, command)
 	switch {
@@ -108,8 +108,8 @@
 		return answer, exitError{exitUnknown, err.Error()}
 	case err != nil:
 		return answer, exitError{exitFailed, "refused: " + err.Error()}
-	case !answer.Done:
-		return answer, exitError{exitFailed, "refused: " + answer.Why}
+	case !answer.Applied:
+		return answer, exitError{exitFailed, "refused: " + answer.Reason}
 	}
 	return answer, nil
 }
@@ -162,7 +162,7 @@
 	record, err := g.readRecord(ctx)
 	addrs := map[string]string{} // by agent id, or by address if the record cannot be read
 	if err == nil {
-		for _, member := range record.Of("agent") {
+		for _, member := range record.MembersOfKind("agent") {
 			addrs[member.ID] = member.Addr
 		}
 	} else {
@@ -214,7 +214,7 @@
 				fmt.Fprintf(w, "  %s\t%s\t%s\t%v\t%.12s\t%s\n", process.ID, process.State, process.Addr, process.Pids, process.Program, process.Why)
 			}
 			for _, halt := range row.Halts {
-				fmt.Fprintf(w, "  halted here: %s by %s: %s\n", halt.Of, halt.By, halt.Why)
+				fmt.Fprintf(w, "  halted here: %s by %s: %s\n", halt.Scope, halt.By, halt.Reason)
 			}
 		}
 	})
@@ -243,14 +243,14 @@
 }
 
 func (c *workerDown) Run(g *globalFlags, ctx context.Context) error {
-	return g.setWorkerIntent(ctx, fleet.Command{Do: "out", ID: c.ID, Zone: c.Zone, Why: c.Reason, Force: c.Force})
+	return g.setWorkerIntent(ctx, fleet.Command{Verb: "out", ID: c.ID, Zone: c.Zone, Reason: c.Reason, Force: c.Force})
 }
 
 func (c *workerUp) Run(g *globalFlags, ctx context.Context) error {
-	return g.setWorkerIntent(ctx, fleet.Command{Do: "in", ID: c.ID, Why: c.Reason, Force: c.Force})
+	return g.setWorkerIntent(ctx, fleet.Command{Verb: "in", ID: c.ID, Reason: c.Reason, Force: c.Force})
 }
 
-// setWorkerIntent puts on record whether a worker is to be in or out of service (command.Do is "in" or "out"), and waits
+// setWorkerIntent puts on record whether a worker is to be in or out of service (command.Verb is "in" or "out"), and waits
 // until every scheduler has obeyed or the time limit is reached.
 func (g *globalFlags) setWorkerIntent(ctx context.Context, command fleet.Command) error {
 	if g.DryRun {
@@ -258,9 +258,9 @@
 		if err != nil {
 			return err
 		}
-		g.printResult(record.Of("scheduler"), func(w *tabwriter.Writer) {
-			fmt.Fprintf(w, "worker %s: %s, now out: %t. These would be told:\n", command.ID, command.Do, record.Workers[command.ID].Out)
-			for _, member := range record.Of("scheduler") {
+		g.printResult(record.MembersOfKind("scheduler"), func(w *tabwriter.Writer) {
+			fmt.Fprintf(w, "worker %s: %s, now out: %t. These would be told:\n", command.ID, command.Verb, record.Intents[command.ID].Out)
+			for _, member := range record.MembersOfKind("scheduler") {
 				fmt.Fprintf(w, "%s\t%s\n", member.ID, member.Zone)
 			}
 		})
@@ -276,17 +276,17 @@
 		err = g.newCaller(readTimeout).Get(ctx, "/v1/told?worker="+url.QueryEscape(command.ID), &told)
 		obeyed = 0
 		for _, standing := range told.Rows {
-			if standing.State == fleet.Obeyed {
+			if standing.State == fleet.AckDone {
 				obeyed++
 			}
 		}
 		// The zone's owner may still report the intent before this command.
-		if err == nil && told.Intent.Out == (command.Do == "out") && obeyed == len(told.Rows) {
+		if err == nil && told.Intent.Out == (command.Verb == "out") && obeyed == len(told.Rows) {
 			break
 		}
 		select {
 		case <-ctx.Done():
-			if err != nil || told.Intent.Out != (command.Do == "out") {
+			if err != nil || told.Intent.Out != (command.Verb == "out") {
 				return exitError{exitUnknown, fmt.Sprintf("on record as command %d; which schedulers obey is not known: %v", answer.No, err)}
 			}
 		case <-time.After(pollInterval):
@@ -297,9 +297,9 @@
 	g.printResult(told, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "SCHEDULER\tSTATE\tWHY")
 		for _, standing := range told.Rows {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", standing.ID, standing.State, standing.Why)
+			fmt.Fprintf(w, "%s\t%s\t%s\n", standing.ID, standing.State, standing.Reason)
 		}
-		fmt.Fprintf(w, "%d of %d obeyed; told by %s as %s number %d\n", obeyed, len(told.Rows), fleet.AgentOf(told.Owner), told.Matter, told.Fence)
+		fmt.Fprintf(w, "%d of %d obeyed; told by %s as %s number %d\n", obeyed, len(told.Rows), fleet.AgentOfOwner(told.Owner), told.Matter, told.Fence)
 	})
 	switch {
 	case obeyed == len(told.Rows):
@@ -320,16 +320,16 @@
 	if err != nil {
 		return err
 	}
-	g.printResult(record.Workers, func(w *tabwriter.Writer) {
+	g.printResult(record.Intents, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "WORKER\tZONE\tSTATE\tSINCE\tBY\tWHY")
-		for _, id := range slices.Sorted(maps.Keys(record.Workers)) {
-			intent, state := record.Workers[id], "in use"
+		for _, id := range slices.Sorted(maps.Keys(record.Intents)) {
+			intent, state := record.Intents[id], "in use"
 			if intent.Out {
 				state = "out"
 			} else if c.OutOnly {
 				continue
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", id, intent.Zone, state, intent.Since, intent.By, intent.Why)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", id, intent.Zone, state, intent.Since, intent.By, intent.Reason)
 		}
 	})
 	return nil
@@ -344,11 +344,11 @@
 	if err != nil {
 		return err
 	}
-	g.printResult(record.Matters, func(w *tabwriter.Writer) {
+	g.printResult(record.Leases, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "MATTER\tOWNER\tNUMBER\tWANTED BY")
-		for _, name := range slices.Sorted(maps.Keys(record.Matters)) {
-			matter := record.Matters[name]
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", name, matter.Owner, matter.Fence, matter.Wanted)
+		for _, name := range slices.Sorted(maps.Keys(record.Leases)) {
+			matter := record.Leases[name]
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", name, matter.Owner, matter.Fence, matter.HandoverTo)
 		}
 	})
 	return nil
@@ -366,12 +366,12 @@
 		fmt.Printf("the owner of %s would be asked to hand it over to %s\n", c.Matter, c.NewOwner)
 		return nil
 	}
-	if _, err := g.sendCommand(ctx, fleet.Command{Do: "want", Matter: c.Matter, Owner: c.NewOwner, Why: c.Reason}); err != nil {
+	if _, err := g.sendCommand(ctx, fleet.Command{Verb: "want", Lease: c.Matter, Owner: c.NewOwner, Reason: c.Reason}); err != nil {
 		return err
 	}
 	for {
-		if record, err := g.readRecord(ctx); err == nil && fleet.AgentOf(record.Matters[c.Matter].Owner) == c.NewOwner {
-			fmt.Printf("%s is owned by %s, number %d\n", c.Matter, c.NewOwner, record.Matters[c.Matter].Fence)
+		if record, err := g.readRecord(ctx); err == nil && fleet.AgentOfOwner(record.Leases[c.Matter].Owner) == c.NewOwner {
+			fmt.Printf("%s is owned by %s, number %d\n", c.Matter, c.NewOwner, record.Leases[c.Matter].Fence)
 			return nil
 		}
 		select {
@@ -391,11 +391,11 @@
 	if err != nil {
 		return err
 	}
-	rows := record.Rows[max(0, len(record.Rows)-c.Count):]
+	rows := record.Audit[max(0, len(record.Audit)-c.Count):]
 	g.printResult(rows, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "NO\tWHAT\tOF\tBY\tWHY")
 		for _, row := range rows {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", row.No, row.What, row.Of, row.By, row.Why)
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", row.No, row.What, row.Of, row.By, row.Reason)
 		}
 	})
 	return nil
@@ -409,7 +409,7 @@
 }
 
 func (c *memberAdd) Run(g *globalFlags, ctx context.Context) error {
-	return g.recordCommand(ctx, fleet.Command{Do: "member", Member: &fleet.Member{ID: c.ID, Kind: c.Kind, Zone: c.Zone, Addr: c.Addr}})
+	return g.recordCommand(ctx, fleet.Command{Verb: "member", Member: &fleet.Member{ID: c.ID, Kind: c.Kind, Zone: c.Zone, Addr: c.Addr}})
 }
 
 type memberRemove struct {
@@ -419,13 +419,13 @@
 }
 
 func (c *memberRemove) Run(g *globalFlags, ctx context.Context) error {
-	return g.recordCommand(ctx, fleet.Command{Do: "unmember", ID: c.ID, Why: c.Reason, Force: c.Force})
+	return g.recordCommand(ctx, fleet.Command{Verb: "unmember", ID: c.ID, Reason: c.Reason, Force: c.Force})
 }
 
 // recordCommand puts a command on record and prints its number there, without waiting for members to follow it.
 func (g *globalFlags) recordCommand(ctx context.Context, command fleet.Command) error {
 	if g.DryRun {
-		fmt.Println("would be put on record:", command.Do, command.ID)
+		fmt.Println("would be put on record:", command.Verb, command.ID)
 		return nil
 	}
 	answer, err := g.sendCommand(ctx, command)
--- a/cmd/beamctl/ops.go
+++ b/cmd/beamctl/ops.go
@@ -93,22 +93,22 @@
 	case f.SelectKind != "" && f.SelectKind != "schedulers" && f.SelectKind != "workers":
 		return invalid("select: got %q, want schedulers or workers", f.SelectKind)
 	case f.MaxTogether < 0 || f.Gates.Settled < 0 || f.Gates.Settled > 1 || f.Gates.Declined < 0 || f.Gates.Declined > 1 || f.Gates.Reversed < 0 ||
-		f.Gates.Reversed > 1 || f.Gates.Txns < 0 || f.Gates.Lost < 0:
+		f.Gates.Reversed > 1 || f.Gates.MinTxns < 0 || f.Gates.MaxLost < 0:
 		return invalid("together and gates must not be below 0, and the shares settled, declined and reversed not above 1")
 	}
 	return nil
 }
 
 // buildOperation loads the file and makes an operation of it, with the members that the record has now.
-func (f *operationFile) buildOperation(path string, record *fleet.Record) (*fleet.Op, error) {
+func (f *operationFile) buildOperation(path string, record *fleet.Record) (*fleet.Operation, error) {
 	if err := f.load(path); err != nil {
 		return nil, err
 	}
-	invalid := func(format string, args ...any) (*fleet.Op, error) {
+	invalid := func(format string, args ...any) (*fleet.Operation, error) {
 		return nil, exitError{exitFailed, path + ": " + fmt.Sprintf(format, args...)}
 	}
-	op := &fleet.Op{Kind: f.Kind, Gates: f.Gates, Together: f.MaxTogether, AutoBack: f.AutoRollback,
-		Watch: milliseconds(f.WatchPeriod), Pause: milliseconds(f.Pause), WaveMost: milliseconds(f.WaveTimeout),
+	op := &fleet.Operation{Kind: f.Kind, Gates: f.Gates, MaxOut: f.MaxTogether, AutoRollBack: f.AutoRollback,
+		WatchMs: milliseconds(f.WatchPeriod), PauseMs: milliseconds(f.Pause), MaxWaveMs: milliseconds(f.WaveTimeout),
 		Version: fleet.Version{Program: f.Program, Digest: f.Digest, Config: f.Config, Name: f.Version}}
 	if f.Program != "" && f.Digest == "" {
 		raw, err := os.ReadFile(f.Program)
@@ -127,7 +127,7 @@
 		members = append(members, member)
 	}
 	key, value, _ := strings.Cut(f.Label, "=")
-	for _, member := range record.Of(strings.TrimSuffix(f.SelectKind, "s")) {
+	for _, member := range record.MembersOfKind(strings.TrimSuffix(f.SelectKind, "s")) {
 		if (f.Zone == "" || member.Zone == f.Zone) && (f.Label == "" || slices.Contains(strings.Split(member.Labels, ","), key+"="+value)) {
 			members = append(members, member)
 		}
@@ -163,8 +163,8 @@
 
 // printPlan prints an operation's waves, how many members would be out together in each zone, the estimated time, and what
 // prevents it from beginning now.
-func (g *globalFlags) printPlan(record *fleet.Record, op *fleet.Op, timePerMember time.Duration) error {
-	forecast := record.Plan(op, timePerMember.Seconds())
+func (g *globalFlags) printPlan(record *fleet.Record, op *fleet.Operation, timePerMember time.Duration) error {
+	forecast := record.Forecast(op, timePerMember.Seconds())
 	g.printResult(forecast, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "WAVE\tMEMBERS")
 		for i, wave := range forecast.Waves {
@@ -186,7 +186,7 @@
 
 // beginOperation puts an operation on record. With wait it returns when the operation has ended or is halted, or at the time
 // limit of the command; without wait it prints the operation's id and returns.
-func (g *globalFlags) beginOperation(ctx context.Context, op *fleet.Op, reason string, wait bool) error {
+func (g *globalFlags) beginOperation(ctx context.Context, op *fleet.Operation, reason string, wait bool) error {
 	if g.DryRun {
 		record, err := g.readRecord(ctx)
 		if err != nil {
@@ -194,7 +194,7 @@
 		}
 		return g.printPlan(record, op, defaultTimePerMember)
 	}
-	answer, err := g.sendCommand(ctx, fleet.Command{Do: "begin", Op: op, Why: reason})
+	answer, err := g.sendCommand(ctx, fleet.Command{Verb: "begin", Op: op, Reason: reason})
 	if err != nil {
 		return err
 	}
@@ -203,12 +203,12 @@
 		fmt.Println(id)
 		return nil
 	}
-	return g.waitForOperation(ctx, id, func(op *fleet.Op, halted bool) bool { return op.Done || halted })
+	return g.waitForOperation(ctx, id, func(op *fleet.Operation, halted bool) bool { return op.Done || halted })
 }
 
 // waitForOperation reads the record until isOver holds for an operation or the time limit is reached, and prints the
 // operation's table as last read.
-func (g *globalFlags) waitForOperation(ctx context.Context, id string, isOver func(op *fleet.Op, halted bool) bool) error {
+func (g *globalFlags) waitForOperation(ctx context.Context, id string, isOver func(op *fleet.Operation, halted bool) bool) error {
 	var record *fleet.Record // as last read; nil if it never was
 	for {
 		newer, err := g.readRecord(ctx)
@@ -245,22 +245,22 @@
 	halt, halted := record.Halts[id]
 	arrived, total := 0, 0
 	g.printResult(struct {
-		*fleet.Op
+		*fleet.Operation
 		Halt *fleet.Halt `json:"halt,omitempty"`
 	}{op, map[bool]*fleet.Halt{true: &halt}[halted] /* nil unless halted */}, func(w *tabwriter.Writer) {
-		fmt.Fprintf(w, "%s by %s: %s\n", op.ID, op.By, op.Why)
+		fmt.Fprintf(w, "%s by %s: %s\n", op.ID, op.By, op.Reason)
 		if halted {
-			fmt.Fprintf(w, "HALTED by %s: %s\n", halt.By, halt.Why)
+			fmt.Fprintf(w, "HALTED by %s: %s\n", halt.By, halt.Reason)
 		}
 		fmt.Fprintln(w, "WAVE\tMEMBER\tSTATE\tSEEN\tWHY")
 		for i, wave := range op.Waves {
 			for _, id := range wave {
 				step := op.Steps[id]
-				reason := step.Why
-				if reason == "" && step.At == fleet.Waits && i <= op.Wave { // its wave has begun, and it has no permit yet
-					reason = record.Grant(op, id)
+				reason := step.Reason
+				if reason == "" && step.State == fleet.StepWaiting && i <= op.Wave { // its wave has begun, and it has no permit yet
+					reason = record.GrantRefusal(op, id)
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", i+1, id, step.At, record.Health[id].State, reason)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", i+1, id, step.State, record.Health[id].State, reason)
 			}
 		}
 	})
@@ -273,7 +273,7 @@
 	case op.Done && arrived == total:
 		return nil
 	case halted:
-		return exitError{exitPartial, fmt.Sprintf("%s is halted: %s; %d of %d members have completed it", id, halt.Why, arrived, total)}
+		return exitError{exitPartial, fmt.Sprintf("%s is halted: %s; %d of %d members have completed it", id, halt.Reason, arrived, total)}
 	case arrived > 0:
 		return exitError{exitPartial, fmt.Sprintf("%s is not complete: %d of %d members have completed it", id, arrived, total)}
 	}
@@ -289,7 +289,7 @@
 
 // begin begins an operation with all members in one wave.
 func (c *memberArgs) begin(g *globalFlags, ctx context.Context, kind string, pause time.Duration) error {
-	return g.beginOperation(ctx, &fleet.Op{Kind: kind, Waves: [][]string{c.IDs}, Pause: float64(pause) / 1e6}, c.Reason, c.Wait)
+	return g.beginOperation(ctx, &fleet.Operation{Kind: kind, Waves: [][]string{c.IDs}, PauseMs: float64(pause) / 1e6}, c.Reason, c.Wait)
 }
 
 type drainCmd struct{ memberArgs }
@@ -361,7 +361,7 @@
 type releaseResume struct{ operationArgs }
 
 func (c *releaseResume) Run(g *globalFlags, ctx context.Context) error {
-	return g.recordCommand(ctx, fleet.Command{Do: "lift", ID: c.ID, Why: c.Reason})
+	return g.recordCommand(ctx, fleet.Command{Verb: "lift", ID: c.ID, Reason: c.Reason})
 }
 
 type releaseBack struct {
@@ -374,14 +374,14 @@
 		fmt.Println(c.ID, "would be rolled back")
 		return nil
 	}
-	if _, err := g.sendCommand(ctx, fleet.Command{Do: "turn", Matter: fleet.OpOf(c.ID), Why: c.Reason}); err != nil {
+	if _, err := g.sendCommand(ctx, fleet.Command{Verb: "turn", Lease: fleet.OperationLease(c.ID), Reason: c.Reason}); err != nil {
 		return err
 	}
 	if !c.Wait {
 		fmt.Println(c.ID, "goes back")
 		return nil
 	}
-	return g.waitForOperation(ctx, c.ID, func(op *fleet.Op, _ bool) bool { return op.Back && op.Done })
+	return g.waitForOperation(ctx, c.ID, func(op *fleet.Operation, _ bool) bool { return op.RollingBack && op.Done })
 }
 
 type releaseClose struct {
@@ -390,7 +390,7 @@
 }
 
 func (c *releaseClose) Run(g *globalFlags, ctx context.Context) error {
-	return g.recordCommand(ctx, fleet.Command{Do: "close", Matter: fleet.OpOf(c.ID), Why: c.Reason, Force: c.Force})
+	return g.recordCommand(ctx, fleet.Command{Verb: "close", Lease: fleet.OperationLease(c.ID), Reason: c.Reason, Force: c.Force})
 }
 
 type releaseList struct{}
@@ -409,7 +409,7 @@
 					arrived++
 				}
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d/%d\t%d/%d\t%s\t%s\n", id, op.By, op.Wave+1, len(op.Waves), arrived, len(op.Steps), operationState(record, op), op.Why)
+			fmt.Fprintf(w, "%s\t%s\t%d/%d\t%d/%d\t%s\t%s\n", id, op.By, op.Wave+1, len(op.Waves), arrived, len(op.Steps), operationState(record, op), op.Reason)
 		}
 	})
 	return nil
@@ -417,16 +417,16 @@
 
 // operationState is the STATE column of an operation: closed (nothing is kept for a rollback), back (rolled back), done,
 // going back (being rolled back), halted or going (in progress).
-func operationState(record *fleet.Record, op *fleet.Op) string {
+func operationState(record *fleet.Record, op *fleet.Operation) string {
 	_, halted := record.Halts[op.ID]
 	switch {
 	case op.Closed:
 		return "closed"
-	case op.Done && op.Back:
+	case op.Done && op.RollingBack:
 		return "back"
 	case op.Done:
 		return "done"
-	case op.Back:
+	case op.RollingBack:
 		return "going back"
 	case halted:
 		return "halted"
@@ -449,9 +449,9 @@
 func (g *globalFlags) sendHalt(ctx context.Context, scope, reason, onHalt string) error {
 	// agentAnswer is also the JSON form of one agent's answer.
 	type agentAnswer struct {
-		Agent string      `json:"agent"`
-		State fleet.State `json:"state"`
-		Why   string      `json:"why,omitempty"`
+		Agent string         `json:"agent"`
+		State fleet.AckState `json:"state"`
+		Why   string         `json:"why,omitempty"`
 	}
 	if g.DryRun {
 		fmt.Println("would be halted:", scope)
@@ -460,7 +460,7 @@
 	addrs := map[string]string{} // by agent id, or by address if the record cannot be read
 	record, readErr := g.readRecord(ctx)
 	if readErr == nil {
-		for _, member := range record.Of("agent") {
+		for _, member := range record.MembersOfKind("agent") {
 			addrs[member.ID] = member.Addr
 		}
 	} else {
@@ -468,7 +468,7 @@
 			addrs[addr] = addr // without the record only the agents of --agent are known
 		}
 	}
-	body, _ := json.Marshal(fleet.Halt{Of: scope, By: g.requesterName(), Why: reason, Then: onHalt})
+	body, _ := json.Marshal(fleet.Halt{Scope: scope, By: g.requesterName(), Reason: reason, Then: onHalt})
 	answers, obeyed := map[string]agentAnswer{}, 0
 	received := make(chan agentAnswer)
 	client := agent.NewHTTP(nil, haltTimeout)
@@ -477,7 +477,7 @@
 			response, err := client.Post("http://"+addr+"/v1/halt", "application/json", bytes.NewReader(body))
 			if err != nil {
 				// Such an agent may take members out until it learns of the halt from the record.
-				received <- agentAnswer{id, fleet.NotReached, "its machine may go on until the record tells it"}
+				received <- agentAnswer{id, fleet.AckNotReached, "its machine may go on until the record tells it"}
 				return
 			}
 			defer response.Body.Close()
@@ -485,7 +485,7 @@
 			var refusal agent.Refusal
 			if response.StatusCode != http.StatusOK {
 				_ = json.NewDecoder(response.Body).Decode(&refusal)
-				received <- agentAnswer{id, fleet.Refused, refusal.Why}
+				received <- agentAnswer{id, fleet.AckRefused, refusal.Why}
 				return
 			}
 			_ = json.NewDecoder(response.Body).Decode(&accepted)
@@ -493,16 +493,16 @@
 			if len(accepted.Under) > 0 {
 				text = "under way there already: " + strings.Join(accepted.Under, " ")
 			}
-			received <- agentAnswer{id, fleet.Obeyed, text}
+			received <- agentAnswer{id, fleet.AckDone, text}
 		}()
 	}
 	for range addrs {
 		answer := <-received
-		if answers[answer.Agent] = answer; answer.State == fleet.Obeyed {
+		if answers[answer.Agent] = answer; answer.State == fleet.AckDone {
 			obeyed++
 		}
 	}
-	recorded, err := g.sendCommand(ctx, fleet.Command{Do: "halt", ID: scope, Why: reason, Then: onHalt})
+	recorded, err := g.sendCommand(ctx, fleet.Command{Verb: "halt", ID: scope, Reason: reason, Then: onHalt})
 	g.printResult(answers, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "AGENT\tSTATE\tWHY")
 		for _, id := range slices.Sorted(maps.Keys(answers)) {
@@ -530,7 +530,7 @@
 }
 
 func (c *liftCmd) Run(g *globalFlags, ctx context.Context) error {
-	return g.recordCommand(ctx, fleet.Command{Do: "lift", ID: c.Scope, Why: c.Reason})
+	return g.recordCommand(ctx, fleet.Command{Verb: "lift", ID: c.Scope, Reason: c.Reason})
 }
 
 type limitsShow struct{}
@@ -575,7 +575,7 @@
 	if err != nil {
 		return err
 	}
-	return g.recordCommand(ctx, fleet.Command{Do: "limits", Limits: limits, Why: c.Reason})
+	return g.recordCommand(ctx, fleet.Command{Verb: "limits", Limits: limits, Reason: c.Reason})
 }
 
 type whyCmd struct {
@@ -593,8 +593,8 @@
 	if !known || member.Kind == "agent" {
 		return exitError{exitFailed, fmt.Sprintf("no scheduler or worker %s in the fleet record", c.ID)}
 	}
-	counts := record.Room(c.ID)
-	reason := record.Grant(&fleet.Op{ID: "-"}, c.ID) // for an operation with an id that no other has
+	counts := record.LimitCounts(c.ID)
+	reason := record.GrantRefusal(&fleet.Operation{ID: "-"}, c.ID) // for an operation with an id that no other has
 	g.printResult(counts, func(w *tabwriter.Writer) {
 		state, out := record.IsOut(c.ID)
 		if !out {
@@ -602,7 +602,7 @@
 		}
 		fmt.Fprintf(w, "%s, %s in zone %s: %s\n", c.ID, member.Kind, member.Zone, state)
 		for _, count := range counts {
-			fmt.Fprintf(w, "limit\t%s\t%d of %d would be out, %d may be\n", count.Limit, len(count.Out), count.Of, count.Allowed)
+			fmt.Fprintf(w, "limit\t%s\t%d of %d would be out, %d may be\n", count.Limit, len(count.Out), count.Members, count.Allowed)
 			for _, id := range count.Out {
 				if id != c.ID {
 					state, _ := record.IsOut(id)
@@ -627,7 +627,7 @@
 func attentionLines(record *fleet.Record) (lines []string) {
 	for _, scope := range slices.Sorted(maps.Keys(record.Halts)) {
 		halt := record.Halts[scope]
-		lines = append(lines, fmt.Sprintf("HALTED %s by %s: %s", scope, halt.By, halt.Why))
+		lines = append(lines, fmt.Sprintf("HALTED %s by %s: %s", scope, halt.By, halt.Reason))
 	}
 	for _, id := range slices.Sorted(maps.Keys(record.Ops)) {
 		op := record.Ops[id]
@@ -635,8 +635,8 @@
 			continue
 		}
 		for _, member := range slices.Sorted(maps.Keys(op.Steps)) {
-			if step := op.Steps[member]; step.Why != "" {
-				lines = append(lines, fmt.Sprintf("STUCK %s in %s: %s", member, id, step.Why))
+			if step := op.Steps[member]; step.Reason != "" {
+				lines = append(lines, fmt.Sprintf("STUCK %s in %s: %s", member, id, step.Reason))
 			}
 		}
 		if op.Done {
@@ -645,7 +645,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(record.Members)) {
 		// In a record below form 2 nobody observes whether members are in service, and all would count as out.
-		if member := record.Members[id]; member.Kind == "agent" || record.V < 2 {
+		if member := record.Members[id]; member.Kind == "agent" || record.FormatVersion < 2 {
 			continue
 		}
 		if state, out := record.IsOut(id); out && record.Permits[id].Op == "" {
--- a/cmd/beamctl/ops_test.go
+++ b/cmd/beamctl/ops_test.go
@@ -45,7 +45,7 @@
 	}
 	want := operationFile{Kind: "release", Reason: "fix", SelectKind: "schedulers", Zone: "a", Label: "rack=1", Program: "/opt/shalebeam", Digest: "ab12",
 		Config: "/etc/{id}.toml", Version: "v2", WatchPeriod: agent.Span(time.Second), WaveTimeout: agent.Span(3 * time.Second), MaxTogether: 2,
-		AutoRollback: true, Gates: fleet.Gates{Settled: 0.1, Declined: 0.2, Reversed: 0.3, Txns: 40, Lost: 5}}
+		AutoRollback: true, Gates: fleet.Gates{Settled: 0.1, Declined: 0.2, Reversed: 0.3, MinTxns: 40, MaxLost: 5}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
--- a/fleet/gates.go
+++ b/fleet/gates.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const defaultMinTxns = 50 // on either side, if Gates.Txns is 0
+const defaultMinTxns = 50 // on either side, if Gates.MinTxns is 0
 
 // txnComparison compares the txns answered by released and unreleased schedulers since the observation of a wave began.
 type txnComparison struct {
@@ -37,11 +37,11 @@
 // regression returns in which outcome the released schedulers are worse than the unreleased ones over the same time, by more
 // than the operation's gates allow, "" if they aren't or if either side answered too few txns. againstFixedGoodDay is a
 // fault that a test injects: it compares with a fixed number of settled txns instead of the unreleased schedulers.
-func (f *txnComparison) regression(op *Op, againstFixedGoodDay bool) string {
+func (f *txnComparison) regression(op *Operation, againstFixedGoodDay bool) string {
 	var released, unreleased Txns
 	for id, counts := range f.totals {
 		sum := &unreleased
-		if step, inOperation := op.Steps[id]; inOperation && step.At == StepInService && slices.Contains(op.begunMembers(), id) {
+		if step, inOperation := op.Steps[id]; inOperation && step.State == StepInService && slices.Contains(op.begunMembers(), id) {
 			sum = &released
 		}
 		sum.Settled, sum.Declined, sum.Reversed = sum.Settled+counts.Settled, sum.Declined+counts.Declined, sum.Reversed+counts.Reversed
@@ -49,7 +49,7 @@
 	if againstFixedGoodDay {
 		unreleased = Txns{Settled: 1000}
 	}
-	minTxns := op.Gates.Txns
+	minTxns := op.Gates.MinTxns
 	if minTxns == 0 {
 		minTxns = defaultMinTxns
 	}
--- a/fleet/lease_claims.go
+++ b/fleet/lease_claims.go
@@ -13,15 +13,16 @@
 	handoverDelayTerms = 10
 )
 
-// Duty decides which leases one agent claims and which it hands over. Each lease has an order of preference of the agents,
-// which is the same at all agents that know the same members. In that of a zone's lease the agents of the zone come first.
-type Duty struct {
-	Agent, Owner   string // the agent's id, and the owner name of its current start
-	TermMs         float64
-	Hurry          bool                   // a fault that a test injects: the agent claims leases without waiting for the end of a term
-	lastChange     map[string]leaseChange // by lease name
-	preferredSince map[string]float64     // by lease name: since when a more preferred agent has been present
-	claimedAt      map[string]float64     // by lease name: when a claim was last sent
+// LeaseClaimer decides which leases one agent claims and which it hands over. Each lease has an order of preference of the
+// agents, which is the same at all agents that know the same members. In that of a zone's lease the agents of the zone come
+// first.
+type LeaseClaimer struct {
+	Agent, Owner        string // the agent's id, and the owner name of its current start
+	TermMs              float64
+	ClaimWithoutWaiting bool                   // a fault that a test injects: the agent claims leases without waiting for the end of a term
+	lastChange          map[string]leaseChange // by lease name
+	preferredSince      map[string]float64     // by lease name: since when a more preferred agent has been present
+	claimedAt           map[string]float64     // by lease name: when a claim was last sent
 }
 
 // leaseChange is the last change of a lease that the agent has seen.
@@ -30,17 +31,17 @@
 	seenAt   float64
 }
 
-// NewDuty returns the Duty of one start of an agent; start is the name of that start.
-func NewDuty(agent, start string, termMs float64) *Duty {
-	return &Duty{Agent: agent, Owner: OwnerOf(agent, start), TermMs: termMs, lastChange: map[string]leaseChange{},
+// NewLeaseClaimer returns the LeaseClaimer of one start of an agent; start is the name of that start.
+func NewLeaseClaimer(agent, start string, termMs float64) *LeaseClaimer {
+	return &LeaseClaimer{Agent: agent, Owner: OwnerName(agent, start), TermMs: termMs, lastChange: map[string]leaseChange{},
 		preferredSince: map[string]float64{}, claimedAt: map[string]float64{}}
 }
 
-// Zones lists the zones whose leases have to have an owner: those of all workers with an intent, and of all schedulers and
-// workers on record.
-func (r *Record) Zones() []string {
+// ZonesWithWork lists the zones whose leases have to have an owner: those of all workers with an intent, and of all
+// schedulers and workers on record.
+func (r *Record) ZonesWithWork() []string {
 	zones := map[string]bool{}
-	for _, intent := range r.Workers {
+	for _, intent := range r.Intents {
 		zones[intent.Zone] = true
 	}
 	for _, member := range r.Members {
@@ -57,12 +58,12 @@
 
 // neededLeases lists the leases of all zones with work and of all open operations.
 func (r *Record) neededLeases() (all []neededLease) {
-	for _, zone := range r.Zones() {
-		all = append(all, neededLease{MatterOf(zone), zone})
+	for _, zone := range r.ZonesWithWork() {
+		all = append(all, neededLease{ZoneLease(zone), zone})
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.Ops)) {
 		if r.Ops[id].Open() {
-			all = append(all, neededLease{OpOf(id), id})
+			all = append(all, neededLease{OperationLease(id), id})
 		}
 	}
 	return all
@@ -87,10 +88,10 @@
 
 // rank returns this agent's rank among the agents that are present, from 0, or -1 if it isn't on record, and the id of the
 // most preferred agent that is present.
-func (d *Duty) rank(orderKey string, r *Record, absent map[string]bool) (rank int, first string) {
+func (d *LeaseClaimer) rank(orderKey string, r *Record, absent map[string]bool) (rank int, first string) {
 	rank = -1
 	present := 0
-	for _, agent := range AgentOrder(orderKey, r.Of("agent")) {
+	for _, agent := range AgentOrder(orderKey, r.MembersOfKind("agent")) {
 		if agent.ID != d.Agent && absent[agent.ID] {
 			continue
 		}
@@ -107,10 +108,10 @@
 
 // NextClaim returns the next claim to send, if any. absent has the agents from which the leader has not heard lately. An
 // agent of rank n waits for n quarters of a term longer than the most preferred one, so that claims don't collide.
-func (d *Duty) NextClaim(now float64, r *Record, absent map[string]bool) (Command, bool) {
+func (d *LeaseClaimer) NextClaim(now float64, r *Record, absent map[string]bool) (Command, bool) {
 	for _, needed := range r.neededLeases() {
 		name := needed.lease
-		lease := r.Matters[name]
+		lease := r.Leases[name]
 		change, ok := d.lastChange[name]
 		if !ok || change.recordNo != lease.Renewed {
 			change = leaseChange{lease.Renewed, now}
@@ -118,7 +119,7 @@
 		}
 		claimedAt, claimed := d.claimedAt[name]
 		if lease.Owner == d.Owner || claimed && now < claimedAt+d.TermMs/4 ||
-			lease.Owner != "" && now < change.seenAt+leaderTermFraction*lease.TermMs && !d.Hurry {
+			lease.Owner != "" && now < change.seenAt+leaderTermFraction*lease.TermMs && !d.ClaimWithoutWaiting {
 			// Most leases end here. The order below is only computed for the others, as with hundreds of agents it is expensive.
 			continue
 		}
@@ -130,33 +131,33 @@
 		if lease.Owner != "" {
 			waitMs += leaderTermFraction * lease.TermMs
 		}
-		if d.Hurry {
+		if d.ClaimWithoutWaiting {
 			waitMs = 0
 		}
 		switch {
-		case lease.Wanted == d.Agent && lease.Owner == "":
+		case lease.HandoverTo == d.Agent && lease.Owner == "":
 			waitMs = 0
-		case lease.Wanted != "" && lease.Wanted != d.Agent:
+		case lease.HandoverTo != "" && lease.HandoverTo != d.Agent:
 			waitMs += 2 * d.TermMs
 		}
 		if now < change.seenAt+waitMs {
 			continue
 		}
 		d.claimedAt[name] = now
-		return Command{Do: "claim", Matter: name, Owner: d.Owner, Fence: lease.Fence, Renewed: lease.Renewed,
-			Term: d.TermMs, By: d.Agent}, true
+		return Command{Verb: "claim", Lease: name, Owner: d.Owner, Fence: lease.Fence, Expected: lease.Renewed,
+			TermMs: d.TermMs, By: d.Agent}, true
 	}
 	return Command{}, false
 }
 
-// NextPass returns the next request to hand a lease of this agent over, if any: to a more preferred agent that has been
+// NextHandover returns the next request to hand a lease of this agent over, if any: to a more preferred agent that has been
 // present for handoverDelayTerms.
-func (d *Duty) NextPass(now float64, r *Record, absent map[string]bool) (Command, bool) {
+func (d *LeaseClaimer) NextHandover(now float64, r *Record, absent map[string]bool) (Command, bool) {
 	for _, needed := range r.neededLeases() {
 		name := needed.lease
-		lease := r.Matters[name]
+		lease := r.Leases[name]
 		_, first := d.rank(needed.orderKey, r, absent)
-		if lease.Owner != d.Owner || lease.Wanted != "" || first == d.Agent || first == "" {
+		if lease.Owner != d.Owner || lease.HandoverTo != "" || first == d.Agent || first == "" {
 			delete(d.preferredSince, name)
 			continue
 		}
@@ -165,7 +166,7 @@
 		}
 		if now >= d.preferredSince[name]+handoverDelayTerms*d.TermMs {
 			delete(d.preferredSince, name)
-			return Command{Do: "want", Matter: name, Owner: first, By: d.Agent, Why: "comes first"}, true
+			return Command{Verb: "want", Lease: name, Owner: first, By: d.Agent, Reason: "comes first"}, true
 		}
 	}
 	return Command{}, false
--- a/fleet/lease_terms.go
+++ b/fleet/lease_terms.go
@@ -11,8 +11,8 @@
 	urgentRenewalGapMs = 50.0 // least time between two renewals
 )
 
-// Hold is a lease from the view of its owner.
-type Hold struct {
+// HeldLease is a lease from the view of its owner.
+type HeldLease struct {
 	Fence          uint64
 	TermMs         float64
 	heldUntil      float64
@@ -20,21 +20,21 @@
 	renewalPending bool    // a renewal is under way
 }
 
-// Held returns the Hold for a claim that was sent at sentAt and carried out.
-func Held(sentAt float64, fence uint64, termMs float64) *Hold {
-	return &Hold{Fence: fence, TermMs: termMs, heldUntil: sentAt + ownerTermFraction*termMs, renewalSentAt: sentAt}
+// NewHeldLease returns the HeldLease for a claim that was sent at sentAt and carried out.
+func NewHeldLease(sentAt float64, fence uint64, termMs float64) *HeldLease {
+	return &HeldLease{Fence: fence, TermMs: termMs, heldUntil: sentAt + ownerTermFraction*termMs, renewalSentAt: sentAt}
 }
 
-// Holds reports whether the owner may act now. It has to be checked before each action, and again after each wait.
-func (h *Hold) Holds(now float64) bool { return h != nil && now < h.heldUntil }
+// Valid reports whether the owner may act now. It has to be checked before each action, and again after each wait.
+func (h *HeldLease) Valid(now float64) bool { return h != nil && now < h.heldUntil }
 
-// Until returns when the owner has to stop, unless a renewal is carried out before.
-func (h *Hold) Until() float64 { return h.heldUntil }
+// ValidUntil returns when the owner has to stop, unless a renewal is carried out before.
+func (h *HeldLease) ValidUntil() float64 { return h.heldUntil }
 
 // NextRenewal reports whether the owner has to send a renewal now, and assumes that it does. A renewal is due after each
 // quarter of a term, so that the loss of one doesn't lose the lease; after urgentRenewalGapMs if it is urgent, because an
 // operation waits for the health report that it carries.
-func (h *Hold) NextRenewal(now float64, urgent bool) bool {
+func (h *HeldLease) NextRenewal(now float64, urgent bool) bool {
 	if h.renewalPending || now < h.renewalSentAt+h.TermMs/4 && !(urgent && now >= h.renewalSentAt+urgentRenewalGapMs) {
 		return false
 	}
@@ -44,79 +44,79 @@
 
 // Renewed takes the result of the renewal under way. The lease is extended from when the renewal was sent, however late the
 // answer came.
-func (h *Hold) Renewed(done bool) {
+func (h *HeldLease) Renewed(done bool) {
 	if h.renewalPending = false; done {
 		h.heldUntil = max(h.heldUntil, h.renewalSentAt+ownerTermFraction*h.TermMs)
 	}
 }
 
-// Whole in Command.To marks a renewal by an owner that has called every scheduler since it got the zone's lease.
-const Whole = "whole"
+// AllReported in Command.To marks a renewal by an owner that has called every scheduler since it got the zone's lease.
+const AllReported = "whole"
 
-// Keeper measures, at the quorum's leader, the age of each lease. It only knows what was applied while this process was the
+// LeaseTerms measures, at the quorum's leader, the age of each lease. It only knows what was applied while this process was the
 // leader. A new leader waits for a whole term before it lets a lease change owners, as it can't know when its predecessor
 // last accepted a renewal.
-type Keeper struct {
-	isLeader     bool
-	leaderSince  float64
-	appliedAt    map[string]float64 // by lease name: when the last claim or renewal was applied
-	fullReportAt map[string]float64 // by lease name: when the last renewal marked Whole was applied
-	Hurry        bool               // a fault that a test injects: a new leader does not wait
+type LeaseTerms struct {
+	isLeader      bool
+	leaderSince   float64
+	appliedAt     map[string]float64 // by lease name: when the last claim or renewal was applied
+	fullReportAt  map[string]float64 // by lease name: when the last renewal marked AllReported was applied
+	NoInitialWait bool               // a fault that a test injects: a new leader does not wait
 }
 
-// Leads takes note that this process is the leader from now on.
-func (k *Keeper) Leads(now float64) {
-	*k = Keeper{isLeader: true, leaderSince: now, appliedAt: map[string]float64{}, fullReportAt: map[string]float64{}, Hurry: k.Hurry}
+// BecomeLeader takes note that this process is the leader from now on.
+func (k *LeaseTerms) BecomeLeader(now float64) {
+	*k = LeaseTerms{isLeader: true, leaderSince: now, appliedAt: map[string]float64{}, fullReportAt: map[string]float64{}, NoInitialWait: k.NoInitialWait}
 }
 
-// Follows takes note that this process is no longer the leader.
-func (k *Keeper) Follows() { *k = Keeper{Hurry: k.Hurry} }
+// StepDown takes note that this process is no longer the leader.
+func (k *LeaseTerms) StepDown() { *k = LeaseTerms{NoInitialWait: k.NoInitialWait} }
 
 // Applied takes note that a claim or renewal of a lease was carried out.
-func (k *Keeper) Applied(now float64, c *Command) {
+func (k *LeaseTerms) Applied(now float64, c *Command) {
 	if k.isLeader {
-		if k.appliedAt[c.Matter] = now; c.Do == "renew" && c.To == Whole {
-			k.fullReportAt[c.Matter] = now
+		if k.appliedAt[c.Lease] = now; c.Verb == "renew" && c.To == AllReported {
+			k.fullReportAt[c.Lease] = now
 		}
 	}
 }
 
 // staleReportReason returns why the health on record of a zone's members may be out of date, "" if the zone's owner reported
 // on it within a term.
-func (k *Keeper) staleReportReason(now float64, r *Record, zone string) string {
-	lease := r.Matters[MatterOf(zone)]
-	if at, reported := k.fullReportAt[MatterOf(zone)]; !reported || now > at+lease.TermMs {
+func (k *LeaseTerms) staleReportReason(now float64, r *Record, zone string) string {
+	lease := r.Leases[ZoneLease(zone)]
+	if at, reported := k.fullReportAt[ZoneLease(zone)]; !reported || now > at+lease.TermMs {
 		return "the health of the members of zone " + zone + " was not fully reported within the term of its lease"
 	}
 	return ""
 }
 
 // OwnerTermExpired reports whether the term of a lease's owner has expired, so that another agent may claim the lease.
-func (k *Keeper) OwnerTermExpired(now float64, matter string, lease Lease) bool {
+func (k *LeaseTerms) OwnerTermExpired(now float64, leaseName string, lease Lease) bool {
 	if !k.isLeader {
 		return false
 	}
-	if _, applied := k.appliedAt[matter]; lease.Owner == "" || k.Hurry && !applied {
+	if _, applied := k.appliedAt[leaseName]; lease.Owner == "" || k.NoInitialWait && !applied {
 		return true
 	}
-	return now >= max(k.leaderSince, k.appliedAt[matter])+leaderTermFraction*lease.TermMs
+	return now >= max(k.leaderSince, k.appliedAt[leaseName])+leaderTermFraction*lease.TermMs
 }
 
-// MayPropose returns why the leader refuses a command before it is replicated, "" if it accepts it. It refuses a claim of a
+// ProposalRefusal returns why the leader refuses a command before it is replicated, "" if it accepts it. It refuses a claim of a
 // lease whose owner's term has not expired, and a command that takes a member out while the health that the limits count by
 // may be out of date. These depend on the leader's clock; everything else is decided when the record applies the command.
-func (k *Keeper) MayPropose(now float64, r *Record, c *Command) string {
-	if c.Do == "step" && c.To == Granted || c.Do == "out" && r.Members[c.ID].Kind == "worker" && !c.Force {
+func (k *LeaseTerms) ProposalRefusal(now float64, r *Record, c *Command) string {
+	if c.Verb == "step" && c.To == StepGranted || c.Verb == "out" && r.Members[c.ID].Kind == "worker" && !c.Force {
 		for _, zone := range r.zonesCountedWith(c.ID) {
 			if why := k.staleReportReason(now, r, zone); why != "" {
 				return why
 			}
 		}
 	}
-	if c.Do != "claim" {
+	if c.Verb != "claim" {
 		return ""
 	}
-	if lease := r.Matters[c.Matter]; lease.Owner != "" && !k.OwnerTermExpired(now, c.Matter, lease) {
+	if lease := r.Leases[c.Lease]; lease.Owner != "" && !k.OwnerTermExpired(now, c.Lease, lease) {
 		return "the term of " + lease.Owner + " has not expired"
 	}
 	return ""
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -10,13 +10,13 @@
 // Limit bounds how many members of a kind may be out of service at the same time. Members to which no limit applies share a
 // default: one of their kind may be out.
 type Limit struct {
-	Kind     string  `json:"kind" toml:"kind"`                             // scheduler or worker
-	Zone     string  `json:"zone,omitempty" toml:"zone,omitempty"`         // a zone; "each" for each zone separately; "" for the whole fleet
-	Label    string  `json:"label,omitempty" toml:"label,omitempty"`       // key=value, or key=each for each value separately; "" for all members
-	Most     *int    `json:"most,omitempty" toml:"most,omitempty"`         // members that may be out
-	Share    float64 `json:"share,omitempty" toml:"share,omitempty"`       // the same as a share of the members counted, rounded down; 0: no bound
-	Capacity float64 `json:"capacity,omitempty" toml:"capacity,omitempty"` // the share of the workers' capacity that may be out; 0: no bound
-	Least    int     `json:"least,omitempty" toml:"least,omitempty"`       // members that must stay in service
+	Kind           string  `json:"kind" toml:"kind"`                             // scheduler or worker
+	Zone           string  `json:"zone,omitempty" toml:"zone,omitempty"`         // a zone; "each" for each zone separately; "" for the whole fleet
+	Label          string  `json:"label,omitempty" toml:"label,omitempty"`       // key=value, or key=each for each value separately; "" for all members
+	MaxOut         *int    `json:"most,omitempty" toml:"most,omitempty"`         // members that may be out
+	MaxOutShare    float64 `json:"share,omitempty" toml:"share,omitempty"`       // the same as a share of the members counted, rounded down; 0: no bound
+	MaxOutCapacity float64 `json:"capacity,omitempty" toml:"capacity,omitempty"` // the share of the workers' capacity that may be out; 0: no bound
+	MinInService   int     `json:"least,omitempty" toml:"least,omitempty"`       // members that must stay in service
 }
 
 // eachValue, as a zone or as the value of a label, applies a limit to each zone or value separately.
@@ -32,13 +32,13 @@
 	if l.Label != "" {
 		text += " " + l.Label
 	}
-	if l.Most != nil {
-		text += fmt.Sprint(" most=", *l.Most)
+	if l.MaxOut != nil {
+		text += fmt.Sprint(" most=", *l.MaxOut)
 	}
 	for _, x := range []struct {
 		name  string
 		value float64
-	}{{"share", l.Share}, {"capacity", l.Capacity}, {"least", float64(l.Least)}} {
+	}{{"share", l.MaxOutShare}, {"capacity", l.MaxOutCapacity}, {"least", float64(l.MinInService)}} {
 		if x.value > 0 {
 			text += fmt.Sprint(" ", x.name, "=", x.value)
 		}
@@ -54,13 +54,13 @@
 		return fmt.Sprintf("kind: %q is not scheduler or worker", l.Kind)
 	case l.Label != "" && (key == "" || value == ""):
 		return fmt.Sprintf("label: %q is not key=value", l.Label)
-	case l.Most != nil && *l.Most < 0, l.Least < 0:
+	case l.MaxOut != nil && *l.MaxOut < 0, l.MinInService < 0:
 		return "most and least are not below 0"
-	case l.Share < 0 || l.Share > 1 || l.Capacity < 0 || l.Capacity > 1:
+	case l.MaxOutShare < 0 || l.MaxOutShare > 1 || l.MaxOutCapacity < 0 || l.MaxOutCapacity > 1:
 		return "share and capacity are from 0 to 1"
-	case l.Capacity > 0 && l.Kind != "worker":
+	case l.MaxOutCapacity > 0 && l.Kind != "worker":
 		return "capacity: schedulers have none"
-	case l.Most == nil && l.Share == 0 && l.Capacity == 0 && l.Least == 0:
+	case l.MaxOut == nil && l.MaxOutShare == 0 && l.MaxOutCapacity == 0 && l.MinInService == 0:
 		return "it says neither most, share, capacity nor least"
 	}
 	return ""
@@ -104,13 +104,13 @@
 	return memberValue != "" && memberValue == other.labelValue(key) && (value == eachValue || value == memberValue)
 }
 
-// Count is the state of one limit if one further member were out.
-type Count struct {
+// LimitCount is the state of one limit if one further member were out.
+type LimitCount struct {
 	Limit   Limit    `json:"limit"`
-	Of      int      `json:"of"`            // members that count together with it, itself included
+	Members int      `json:"of"`            // members that count together with it, itself included
 	Out     []string `json:"out"`           // ids of those of them that are out, with the member in question
 	Allowed int      `json:"allowed"`       // how many of them may be out, math.MaxInt if only their capacity is bounded
-	Why     string   `json:"why,omitempty"` // why the limit forbids it, "" if it doesn't
+	Reason  string   `json:"why,omitempty"` // why the limit forbids it, "" if it doesn't
 }
 
 // IsOut reports whether a member counts as out under the limits, and why. Every member that isn't known to be in service
@@ -119,13 +119,13 @@
 	if permit, ok := r.Permits[id]; ok {
 		return "permit of " + permit.Op, true
 	}
-	if r.Workers[id].Out && r.Members[id].Kind == "worker" {
-		return "taken out by " + r.Workers[id].By, true
+	if r.Intents[id].Out && r.Members[id].Kind == "worker" {
+		return "taken out by " + r.Intents[id].By, true
 	}
 	switch health, ok := r.Health[id]; {
 	case !ok:
 		return "nobody has looked at it", true
-	case health.State != InService:
+	case health.State != HealthInService:
 		return health.State, true
 	}
 	return "", false
@@ -140,27 +140,27 @@
 	}
 	if len(applicable) == 0 {
 		defaultMost := 1
-		applicable = []Limit{{Kind: member.Kind, Most: &defaultMost}}
+		applicable = []Limit{{Kind: member.Kind, MaxOut: &defaultMost}}
 	}
 	return applicable
 }
 
-// Room returns, for each limit that applies to a member, its state if the member were taken out.
-func (r *Record) Room(id string) []Count { return r.countsIfOut(id, nil) }
+// LimitCounts returns, for each limit that applies to a member, its state if the member were taken out.
+func (r *Record) LimitCounts(id string) []LimitCount { return r.countsIfOut(id, nil) }
 
-// countsIfOut is Room with the members in alsoOut taken as out.
-func (r *Record) countsIfOut(id string, alsoOut map[string]bool) (counts []Count) {
+// countsIfOut is LimitCounts with the members in alsoOut taken as out.
+func (r *Record) countsIfOut(id string, alsoOut map[string]bool) (counts []LimitCount) {
 	member := r.Members[id]
 	for _, limit := range r.limitsFor(member) {
-		count := Count{Limit: limit, Allowed: math.MaxInt}
+		count := LimitCount{Limit: limit, Allowed: math.MaxInt}
 		totalCapacity, outCapacity := 0.0, 0.0
 		for _, other := range r.Members { // count.Out is sorted below, as the iteration order varies
 			if !limit.countsTogether(member, other) {
 				continue
 			}
-			count.Of++
+			count.Members++
 			totalCapacity += other.Capacity
-			if r.Bug == "zones-alone" && other.Zone != member.Zone {
+			if r.InjectedFault == "zones-alone" && other.Zone != member.Zone {
 				continue
 			}
 			if _, out := r.IsOut(other.ID); out || other.ID == id || alsoOut[other.ID] {
@@ -169,20 +169,20 @@
 			}
 		}
 		slices.Sort(count.Out)
-		if limit.Most != nil {
-			count.Allowed = *limit.Most
+		if limit.MaxOut != nil {
+			count.Allowed = *limit.MaxOut
 		}
-		if limit.Share > 0 {
-			count.Allowed = min(count.Allowed, int(math.Floor(limit.Share*float64(count.Of)+1e-9)))
+		if limit.MaxOutShare > 0 {
+			count.Allowed = min(count.Allowed, int(math.Floor(limit.MaxOutShare*float64(count.Members)+1e-9)))
 		}
-		if limit.Least > 0 {
-			count.Allowed = min(count.Allowed, max(count.Of-limit.Least, 0))
+		if limit.MinInService > 0 {
+			count.Allowed = min(count.Allowed, max(count.Members-limit.MinInService, 0))
 		}
 		switch {
 		case len(count.Out) > count.Allowed:
-			count.Why = fmt.Sprintf("%s: %d of %d would be out, %d may be", limit, len(count.Out), count.Of, count.Allowed)
-		case limit.Capacity > 0 && outCapacity > limit.Capacity*totalCapacity+1e-9:
-			count.Why = fmt.Sprintf("%s: %g of capacity %g would be out", limit, outCapacity, totalCapacity)
+			count.Reason = fmt.Sprintf("%s: %d of %d would be out, %d may be", limit, len(count.Out), count.Members, count.Allowed)
+		case limit.MaxOutCapacity > 0 && outCapacity > limit.MaxOutCapacity*totalCapacity+1e-9:
+			count.Reason = fmt.Sprintf("%s: %g of capacity %g would be out", limit, outCapacity, totalCapacity)
 		}
 		counts = append(counts, count)
 	}
@@ -192,8 +192,8 @@
 // limitRefusal returns why the limits forbid to take a member out now, "" if they allow it.
 func (r *Record) limitRefusal(id string, alsoOut map[string]bool) string {
 	for _, count := range r.countsIfOut(id, alsoOut) {
-		if count.Why != "" {
-			return count.Why
+		if count.Reason != "" {
+			return count.Reason
 		}
 	}
 	return ""
@@ -202,7 +202,7 @@
 // maxOut returns how many members may be out at most under the limits that apply to a member, and the limit that decides.
 func (r *Record) maxOut(id string) (most int, limit Limit) {
 	most = math.MaxInt
-	for _, count := range r.Room(id) {
+	for _, count := range r.LimitCounts(id) {
 		if count.Allowed < most {
 			most, limit = count.Allowed, count.Limit
 		}
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -44,12 +44,12 @@
 	Blocks  []string       `json:"blocks"`  // what would keep it from beginning now; permits are only checked for waves of one member
 }
 
-// Plan forecasts an operation, given how many seconds each member takes.
-func (r *Record) Plan(op *Op, secondsEach float64) (forecast Forecast) {
+// Forecast estimates the waves and the duration of an operation, given how many seconds each member takes.
+func (r *Record) Forecast(op *Operation, secondsEach float64) (forecast Forecast) {
 	forecast.Waves, forecast.Most = op.Waves, map[string]int{}
 	for _, scope := range []string{"all", op.ID} {
 		if halt, ok := r.Halts[scope]; ok {
-			forecast.Blocks = append(forecast.Blocks, fmt.Sprintf("halted (%s) by %s: %s", scope, halt.By, halt.Why))
+			forecast.Blocks = append(forecast.Blocks, fmt.Sprintf("halted (%s) by %s: %s", scope, halt.By, halt.Reason))
 		}
 	}
 	for _, wave := range op.Waves {
@@ -64,8 +64,8 @@
 		}
 		for _, id := range wave {
 			maxOut, limit := r.maxOut(id)
-			if op.Together > 0 {
-				maxOut = min(maxOut, op.Together)
+			if op.MaxOut > 0 {
+				maxOut = min(maxOut, op.MaxOut)
 			}
 			if maxOut < 1 {
 				forecast.Blocks = append(forecast.Blocks, fmt.Sprintf("%s can never go out: %s", id, limit))
@@ -74,11 +74,11 @@
 			zone := r.Members[id].Zone
 			forecast.Most[zone] = max(forecast.Most[zone], min(maxOut, inZone[zone]))
 			rounds = max(rounds, math.Ceil(float64(len(wave))/float64(maxOut)))
-			if why := r.Grant(op, id); why != "" && len(forecast.Blocks) < 20 && len(wave) == 1 {
+			if why := r.GrantRefusal(op, id); why != "" && len(forecast.Blocks) < 20 && len(wave) == 1 {
 				forecast.Blocks = append(forecast.Blocks, id+": "+why)
 			}
 		}
-		forecast.Seconds += rounds*secondsEach + op.Watch/1000
+		forecast.Seconds += rounds*secondsEach + op.WatchMs/1000
 	}
 	return forecast
 }
--- a/fleet/process_supervisor.go
+++ b/fleet/process_supervisor.go
@@ -9,38 +9,39 @@
 	crashLoopWindowMs       = 60000.0
 )
 
-// Proc is one process of a scheduler.
-type Proc struct {
+// Process is one process of a scheduler.
+type Process struct {
 	Slot       int     // 0 or 1; each slot has its own management address
-	Gen        uint64  // the generation: Step.No of the step that wanted the process, 0 for the first one
+	Generation uint64  // the generation: Step.No of the step that wanted the process, 0 for the first one
 	Since      float64 // when it was started or adopted
 	Ready      bool
 	termSentAt float64 // when it was told to end by SIGTERM, 0 if it was not
 	killSentAt float64 // when it was killed, 0 if it was not
 }
 
-// Deed is an action on a process.
-type Deed struct {
-	Do   string // start, term (send SIGTERM) or kill (send SIGKILL)
-	Slot int
-	Gen  uint64
+// ProcessAction is an action on a process.
+type ProcessAction struct {
+	Action     string // start, term (send SIGTERM) or kill (send SIGKILL)
+	Slot       int
+	Generation uint64
 }
 
-// Minder supervises the processes of one scheduler. There are at most two, of which the newer one takes over from the other.
-type Minder struct {
-	ReadyMost    float64 // ms that a new process may take to be ready
-	KillAfter    float64 // ms between SIGTERM and SIGKILL; longer than any txn may be open
-	shouldRun    bool
-	wantedGen    uint64
-	lastReadyGen uint64 // the last generation that was ready; it serves if a newer one fails
-	processes    []*Proc
-	failure      string    // why wantedGen can't run, "" if it may
-	crashedAt    []float64 // failures of wantedGen within crashLoopWindowMs
-	nextStartAt  float64   // the earliest time of the next start
+// ProcessSupervisor supervises the processes of one scheduler. There are at most two, of which the newer one takes over
+// from the other.
+type ProcessSupervisor struct {
+	ReadyTimeoutMs float64 // ms that a new process may take to be ready
+	KillDelayMs    float64 // ms between SIGTERM and SIGKILL; longer than any txn may be open
+	shouldRun      bool
+	wantedGen      uint64
+	lastReadyGen   uint64 // the last generation that was ready; it serves if a newer one fails
+	processes      []*Process
+	failure        string    // why wantedGen can't run, "" if it may
+	crashedAt      []float64 // failures of wantedGen within crashLoopWindowMs
+	nextStartAt    float64   // the earliest time of the next start
 }
 
-// Wants sets what should run: a process of the generation gen, or none. A change ends any backoff.
-func (m *Minder) Wants(now float64, run bool, gen uint64) {
+// SetWanted sets what should run: a process of the generation gen, or none. A change ends any backoff.
+func (m *ProcessSupervisor) SetWanted(now float64, run bool, gen uint64) {
 	if m.shouldRun == run && m.wantedGen == gen {
 		return
 	}
@@ -48,15 +49,15 @@
 }
 
 // Adopt adds a process that an earlier start of the agent left running.
-func (m *Minder) Adopt(p Proc) { m.processes = append(m.processes, &p) }
+func (m *ProcessSupervisor) Adopt(p Process) { m.processes = append(m.processes, &p) }
 
 // Procs lists the processes that have not ended.
-func (m *Minder) Procs() []*Proc { return m.processes }
+func (m *ProcessSupervisor) Procs() []*Process { return m.processes }
 
 // currentProcess returns the process of a generation that was not told to end, nil if there is none.
-func (m *Minder) currentProcess(gen uint64) *Proc {
+func (m *ProcessSupervisor) currentProcess(gen uint64) *Process {
 	for _, process := range m.processes {
-		if process.Gen == gen && process.termSentAt == 0 && process.killSentAt == 0 {
+		if process.Generation == gen && process.termSentAt == 0 && process.killSentAt == 0 {
 			return process
 		}
 	}
@@ -64,7 +65,7 @@
 }
 
 // targetGen returns the generation that should run now: the wanted one or, if that has failed, the last one that was ready.
-func (m *Minder) targetGen() uint64 {
+func (m *ProcessSupervisor) targetGen() uint64 {
 	if m.failure != "" {
 		return m.lastReadyGen
 	}
@@ -72,39 +73,39 @@
 }
 
 // Next returns the next action, if any, and assumes that the host carries it out.
-func (m *Minder) Next(now float64) (Deed, bool) {
+func (m *ProcessSupervisor) Next(now float64) (ProcessAction, bool) {
 	current := m.currentProcess(m.targetGen())
 	for _, process := range m.processes {
 		switch {
 		case process.killSentAt > 0:
-		case process.termSentAt > 0 && now >= process.termSentAt+m.KillAfter:
+		case process.termSentAt > 0 && now >= process.termSentAt+m.KillDelayMs:
 			process.killSentAt = now
-			return Deed{"kill", process.Slot, process.Gen}, true
+			return ProcessAction{"kill", process.Slot, process.Generation}, true
 		// A process that is not wanted any more is ended: at once if it isn't ready, else once the current one serves.
 		case process.termSentAt == 0 && (!m.shouldRun || process != current && (!process.Ready || current != nil && current.Ready)):
 			process.termSentAt = now
-			return Deed{"term", process.Slot, process.Gen}, true
-		case m.shouldRun && process == current && !process.Ready && now >= process.Since+m.ReadyMost:
+			return ProcessAction{"term", process.Slot, process.Generation}, true
+		case m.shouldRun && process == current && !process.Ready && now >= process.Since+m.ReadyTimeoutMs:
 			process.killSentAt = now
 			m.recordFailure(now, "the process was not ready in time")
-			return Deed{"kill", process.Slot, process.Gen}, true
+			return ProcessAction{"kill", process.Slot, process.Generation}, true
 		}
 	}
 	if !m.shouldRun || current != nil || len(m.processes) > 1 || now < m.nextStartAt || m.failure != "" && m.targetGen() == m.wantedGen {
-		return Deed{}, false
+		return ProcessAction{}, false
 	}
-	process := &Proc{Gen: m.targetGen(), Since: now}
+	process := &Process{Generation: m.targetGen(), Since: now}
 	if len(m.processes) == 1 {
 		process.Slot = 1 - m.processes[0].Slot
 	}
 	m.processes = append(m.processes, process)
-	return Deed{"start", process.Slot, process.Gen}, true
+	return ProcessAction{"start", process.Slot, process.Generation}, true
 }
 
 // recordFailure takes note that the current process ended, was not ready in time or could not be started. It decides
 // whether to give the generation up, and when to start a process again.
-func (m *Minder) recordFailure(now float64, why string) {
-	otherServes := slices.ContainsFunc(m.processes, func(p *Proc) bool { return p.Ready && p.termSentAt == 0 && p.Gen != m.targetGen() })
+func (m *ProcessSupervisor) recordFailure(now float64, why string) {
+	otherServes := slices.ContainsFunc(m.processes, func(p *Process) bool { return p.Ready && p.termSentAt == 0 && p.Generation != m.targetGen() })
 	m.crashedAt = append(slices.DeleteFunc(m.crashedAt, func(at float64) bool { return at < now-crashLoopWindowMs }), now)
 	switch {
 	case m.failure != "":
@@ -118,18 +119,18 @@
 	m.nextStartAt = now + min(initialRestartBackoffMs*float64(int(1)<<min(max(len(m.crashedAt)-1, 0), 10)), maxRestartBackoffMs)
 }
 
-// Started takes note that a process could not be started.
-func (m *Minder) Started(now float64, slot int, why string) {
+// StartFailed takes note that a process could not be started.
+func (m *ProcessSupervisor) StartFailed(now float64, slot int, why string) {
 	m.removeProcess(slot)
 	m.recordFailure(now, why)
 }
 
 // Ready takes note that the process in a slot is ready.
-func (m *Minder) Ready(slot int) {
+func (m *ProcessSupervisor) Ready(slot int) {
 	for _, process := range m.processes {
 		if process.Slot == slot && process.killSentAt == 0 {
 			process.Ready = true
-			if process.Gen == m.wantedGen && m.failure == "" {
+			if process.Generation == m.wantedGen && m.failure == "" {
 				m.lastReadyGen = m.wantedGen
 			}
 		}
@@ -137,15 +138,15 @@
 }
 
 // Ended takes note that the process in a slot has ended.
-func (m *Minder) Ended(now float64, slot int) {
+func (m *ProcessSupervisor) Ended(now float64, slot int) {
 	process := m.removeProcess(slot)
-	if process != nil && process.termSentAt == 0 && process.killSentAt == 0 && m.shouldRun && process.Gen == m.targetGen() {
+	if process != nil && process.termSentAt == 0 && process.killSentAt == 0 && m.shouldRun && process.Generation == m.targetGen() {
 		m.recordFailure(now, "the process ended by itself")
 	}
 }
 
-func (m *Minder) removeProcess(slot int) (removed *Proc) {
-	m.processes = slices.DeleteFunc(m.processes, func(p *Proc) bool {
+func (m *ProcessSupervisor) removeProcess(slot int) (removed *Process) {
+	m.processes = slices.DeleteFunc(m.processes, func(p *Process) bool {
 		if p.Slot == slot {
 			removed = p
 		}
@@ -155,7 +156,7 @@
 }
 
 // State returns how far the wanted state is reached: done, going (under way), or failed with the reason.
-func (m *Minder) State() (state, why string) {
+func (m *ProcessSupervisor) State() (state, why string) {
 	switch process := m.currentProcess(m.wantedGen); {
 	case m.failure != "":
 		return "failed", m.failure
@@ -165,25 +166,25 @@
 	return "going", ""
 }
 
-// Serves returns the slot of the process that serves: the one of the target generation if it is ready, else the newest that
+// ServingSlot returns the slot of the process that serves: the one of the target generation if it is ready, else the newest that
 // is ready and was not told to end. If a new process was ready and then told to end, that is the former one's slot again.
-func (m *Minder) Serves() (slot int, ok bool) {
+func (m *ProcessSupervisor) ServingSlot() (slot int, ok bool) {
 	if process := m.currentProcess(m.targetGen()); process != nil && process.Ready {
 		return process.Slot, true
 	}
 	gen := uint64(0)
 	for _, process := range m.processes {
-		if process.Ready && process.termSentAt == 0 && process.killSentAt == 0 && process.Gen >= gen {
-			slot, ok, gen = process.Slot, true, process.Gen
+		if process.Ready && process.termSentAt == 0 && process.killSentAt == 0 && process.Generation >= gen {
+			slot, ok, gen = process.Slot, true, process.Generation
 		}
 	}
 	return slot, ok
 }
 
-// Down reports whether no process serves.
-func (m *Minder) Down() bool {
-	return !slices.ContainsFunc(m.processes, func(p *Proc) bool { return p.Ready && p.termSentAt == 0 && p.killSentAt == 0 })
+// IsDown reports whether no process serves.
+func (m *ProcessSupervisor) IsDown() bool {
+	return !slices.ContainsFunc(m.processes, func(p *Process) bool { return p.Ready && p.termSentAt == 0 && p.killSentAt == 0 })
 }
 
-// Good sets the last generation that was ready, as an earlier start of the agent stored it.
-func (m *Minder) Good(gen uint64) { m.lastReadyGen = gen }
+// SetLastReady sets the last generation that was ready, as an earlier start of the agent stored it.
+func (m *ProcessSupervisor) SetLastReady(gen uint64) { m.lastReadyGen = gen }
--- a/fleet/record_test.go
+++ b/fleet/record_test.go
@@ -8,13 +8,13 @@
 )
 
 // applyCommand applies a command as the next one in the log. A command without a caller gets one of its own.
-func applyCommand(t *testing.T, r *Record, command Command) Answer {
+func applyCommand(t *testing.T, r *Record, command Command) CommandResult {
 	t.Helper()
 	if command.Caller == "" {
 		command.Caller, command.Number = fmt.Sprint("c", r.No), 1
 	}
-	if command.V == 0 {
-		command.V = Form
+	if command.FormatVersion == 0 {
+		command.FormatVersion = FormatVersion
 	}
 	raw, err := json.Marshal(command)
 	if err != nil {
@@ -37,43 +37,43 @@
 		done  bool
 		fence uint64
 	}{
-		{Command{Do: "member", Member: &agent}, true, 0},
-		{Command{Do: "member", Member: &Member{ID: "s1", Kind: "scheduler", Zone: "a", Addr: "x:1"}}, false, 0}, // the address of another member
-		{Command{Do: "claim", Matter: "zone/a", Owner: "a1#1", Term: 3000}, true, 1},
-		{Command{Do: "claim", Matter: "zone/a", Owner: "a2#1", Term: 3000}, false, 1}, // the claimant read the lease before the first claim
-		{Command{Do: "renew", Matter: "zone/a", Owner: "a1#1", Fence: 1}, true, 1},
-		{Command{Do: "claim", Matter: "zone/a", Owner: "a2#1", Term: 3000, Fence: 1, Renewed: 3}, false, 1}, // renewed since the claimant read it
-		{Command{Do: "claim", Matter: "zone/a", Owner: "a2#1", Term: 3000, Fence: 1, Renewed: 5}, true, 2},
-		{Command{Do: "renew", Matter: "zone/a", Owner: "a1#1", Fence: 1}, false, 2},
-		{Command{Do: "leave", Matter: "zone/a", Owner: "a2#1", Fence: 2}, true, 2},
-		{Command{Do: "claim", Matter: "zone/a", Owner: "a1#2", Term: 3000, Fence: 2, Renewed: 9}, true, 3}, // a fencing token is not reused after a release
-		{Command{Do: "out", ID: "w1", By: "ann"}, false, 0},
-		{Command{Do: "out", ID: "w1", Zone: "a", By: "ann"}, true, 0},
-		{Command{Do: "out", ID: "w1", Zone: "b", By: "bob"}, false, 0},
-		{Command{Do: "in", ID: "w1", By: "bob"}, false, 0}, // ann took it out
-		{Command{Do: "in", ID: "w1", By: "bob", Force: true}, true, 0},
-		{Command{Do: "nonsense"}, false, 0},
+		{Command{Verb: "member", Member: &agent}, true, 0},
+		{Command{Verb: "member", Member: &Member{ID: "s1", Kind: "scheduler", Zone: "a", Addr: "x:1"}}, false, 0}, // the address of another member
+		{Command{Verb: "claim", Lease: "zone/a", Owner: "a1#1", TermMs: 3000}, true, 1},
+		{Command{Verb: "claim", Lease: "zone/a", Owner: "a2#1", TermMs: 3000}, false, 1}, // the claimant read the lease before the first claim
+		{Command{Verb: "renew", Lease: "zone/a", Owner: "a1#1", Fence: 1}, true, 1},
+		{Command{Verb: "claim", Lease: "zone/a", Owner: "a2#1", TermMs: 3000, Fence: 1, Expected: 3}, false, 1}, // renewed since the claimant read it
+		{Command{Verb: "claim", Lease: "zone/a", Owner: "a2#1", TermMs: 3000, Fence: 1, Expected: 5}, true, 2},
+		{Command{Verb: "renew", Lease: "zone/a", Owner: "a1#1", Fence: 1}, false, 2},
+		{Command{Verb: "leave", Lease: "zone/a", Owner: "a2#1", Fence: 2}, true, 2},
+		{Command{Verb: "claim", Lease: "zone/a", Owner: "a1#2", TermMs: 3000, Fence: 2, Expected: 9}, true, 3}, // a fencing token is not reused after a release
+		{Command{Verb: "out", ID: "w1", By: "ann"}, false, 0},
+		{Command{Verb: "out", ID: "w1", Zone: "a", By: "ann"}, true, 0},
+		{Command{Verb: "out", ID: "w1", Zone: "b", By: "bob"}, false, 0},
+		{Command{Verb: "in", ID: "w1", By: "bob"}, false, 0}, // ann took it out
+		{Command{Verb: "in", ID: "w1", By: "bob", Force: true}, true, 0},
+		{Command{Verb: "nonsense"}, false, 0},
 	} {
-		if answer := applyCommand(t, r, test.do); answer.Done != test.done || answer.Fence != test.fence {
-			t.Errorf("case %d, %s: got %+v, want done %t, fence %d", i, test.do.Do, answer, test.done, test.fence)
+		if answer := applyCommand(t, r, test.do); answer.Applied != test.done || answer.Fence != test.fence {
+			t.Errorf("case %d, %s: got %+v, want done %t, fence %d", i, test.do.Verb, answer, test.done, test.fence)
 		}
 	}
 	// A retry gets the former answer and is not carried out again.
-	command := Command{Do: "out", ID: "w2", Zone: "a", By: "ann", Caller: "x", Number: 7}
+	command := Command{Verb: "out", ID: "w2", Zone: "a", By: "ann", Caller: "x", Number: 7}
 	first := applyCommand(t, r, command)
-	applyCommand(t, r, Command{Do: "in", ID: "w2", By: "ann"})
-	if again := applyCommand(t, r, command); again != first || r.Workers["w2"].Out || r.Retries != 1 {
-		t.Errorf("retry: got %+v, and worker %+v", again, r.Workers["w2"])
+	applyCommand(t, r, Command{Verb: "in", ID: "w2", By: "ann"})
+	if again := applyCommand(t, r, command); again != first || r.Intents["w2"].Out || r.Retries != 1 {
+		t.Errorf("retry: got %+v, and worker %+v", again, r.Intents["w2"])
 	}
-	if answer := applyCommand(t, r, Command{Do: "out", ID: "w2", Zone: "a", By: "ann", Caller: "x", Number: 6}); answer.Done {
+	if answer := applyCommand(t, r, Command{Verb: "out", ID: "w2", Zone: "a", By: "ann", Caller: "x", Number: 6}); answer.Applied {
 		t.Error("a command with a lower number than the caller's last one was carried out")
 	}
 	// A command of a newer format version is neither applied nor skipped.
 	before := string(r.Snapshot())
-	if _, err := r.Apply(r.No+1, []byte(`{"v":3,"do":"new"}`)); !errors.Is(err, ErrNewer) || string(r.Snapshot()) != before {
+	if _, err := r.Apply(r.No+1, []byte(`{"v":3,"do":"new"}`)); !errors.Is(err, ErrNewerFormat) || string(r.Snapshot()) != before {
 		t.Errorf("command of a newer format version: %v, or the record changed", err)
 	}
-	if err := r.Restore([]byte(`{"v":3}`)); !errors.Is(err, ErrNewer) || string(r.Snapshot()) != before {
+	if err := r.Restore([]byte(`{"v":3}`)); !errors.Is(err, ErrNewerFormat) || string(r.Snapshot()) != before {
 		t.Errorf("snapshot of a newer format version: %v, or the record changed", err)
 	}
 	restored := NewRecord()
@@ -81,10 +81,10 @@
 		t.Errorf("restored snapshot: %v, or not the same bytes", err)
 	}
 	for i := range maxSessions + 10 {
-		applyCommand(t, r, Command{Do: "out", ID: "w3", Zone: "a", By: "ann", Caller: fmt.Sprint("many", i), Number: 1})
+		applyCommand(t, r, Command{Verb: "out", ID: "w3", Zone: "a", By: "ann", Caller: fmt.Sprint("many", i), Number: 1})
 	}
-	if len(r.Sessions) != maxSessions || len(r.Rows) > maxAuditEntries {
-		t.Errorf("%d sessions, %d audit entries", len(r.Sessions), len(r.Rows))
+	if len(r.Sessions) != maxSessions || len(r.Audit) > maxAuditEntries {
+		t.Errorf("%d sessions, %d audit entries", len(r.Sessions), len(r.Audit))
 	}
 }
 
@@ -94,28 +94,28 @@
 	const term = 3000.0
 	for _, ownerRate := range []float64{0.9, 1, 1.1} {
 		for _, leaderRate := range []float64{0.9, 1, 1.1} {
-			hold := Held(1000*ownerRate, 1, term)
-			var keeper Keeper
-			keeper.Leads(0)
-			keeper.Applied(1000*leaderRate, &Command{Do: "renew", Matter: "m"}) // the earliest time at which the renewal can be applied
+			lease := NewHeldLease(1000*ownerRate, 1, term)
+			var terms LeaseTerms
+			terms.BecomeLeader(0)
+			terms.Applied(1000*leaderRate, &Command{Verb: "renew", Lease: "m"}) // the earliest time at which the renewal can be applied
 			for at := 1000.0; at < 6000; at++ {
-				if hold.Holds(at*ownerRate) && keeper.OwnerTermExpired(at*leaderRate, "m", Lease{Owner: "a#1", TermMs: term}) {
+				if lease.Valid(at*ownerRate) && terms.OwnerTermExpired(at*leaderRate, "m", Lease{Owner: "a#1", TermMs: term}) {
 					t.Fatalf("clock rates %g (owner) and %g (leader): the owner still holds the lease at %g ms, and its term has expired", ownerRate, leaderRate, at)
 				}
 			}
 		}
 	}
-	var keeper Keeper
-	keeper.Leads(50000)
-	if r := NewRecord(); keeper.OwnerTermExpired(50000+term, "m", Lease{Owner: "a#1", TermMs: term}) ||
-		!keeper.OwnerTermExpired(50000+1.2*term, "m", Lease{Owner: "a#1", TermMs: term}) || keeper.MayPropose(50000, r, &Command{Do: "renew"}) != "" {
+	var terms LeaseTerms
+	terms.BecomeLeader(50000)
+	if r := NewRecord(); terms.OwnerTermExpired(50000+term, "m", Lease{Owner: "a#1", TermMs: term}) ||
+		!terms.OwnerTermExpired(50000+1.2*term, "m", Lease{Owner: "a#1", TermMs: term}) || terms.ProposalRefusal(50000, r, &Command{Verb: "renew"}) != "" {
 		t.Error("a new leader doesn't wait for 1.2 terms, or refuses a renewal")
 	}
-	hold := Held(0, 1, term)
-	if hold.NextRenewal(100, false) || !hold.NextRenewal(800, false) || hold.NextRenewal(801, true) {
+	lease := NewHeldLease(0, 1, term)
+	if lease.NextRenewal(100, false) || !lease.NextRenewal(800, false) || lease.NextRenewal(801, true) {
 		t.Error("renewals are not due after a quarter of a term, one at a time")
 	}
-	if hold.Renewed(true); !hold.Holds(800+0.8*term-1) || hold.Holds(800+0.8*term) {
+	if lease.Renewed(true); !lease.Valid(800+0.8*term-1) || lease.Valid(800+0.8*term) {
 		t.Error("a renewal does not extend the lease from when it was sent")
 	}
 }
@@ -124,57 +124,57 @@
 // again, one that doesn't answer counts as not reached, and a higher token at a scheduler ends the ownership.
 func TestSchedulersAreToldOfIntents(t *testing.T) {
 	scheduler := Member{ID: "s1", Kind: "scheduler", Zone: "a", Addr: "x:1"}
-	teller := NewTeller("zone/a", 5)
+	controller := NewZoneController("zone/a", 5)
 	record := NewRecord()
 	record.Members["s1"] = scheduler
-	record.Workers = map[string]Intent{"w1": {Zone: "a", Out: true, Since: 9}, "w2": {Zone: "b", Out: true, Since: 8}}
-	teller.Follow(0, record, "a")
+	record.Intents = map[string]Intent{"w1": {Zone: "a", Out: true, Since: 9}, "w2": {Zone: "b", Out: true, Since: 8}}
+	controller.Follow(0, record, "a")
 	now := 0.0
-	step := func(want CallKind, reply Reply) Call {
+	step := func(want CallKind, reply SchedulerReply) SchedulerCall {
 		t.Helper()
 		now += 10
-		call, ok := teller.Next(now)
-		if !ok || call.Act != want || call.Fence != 5 {
+		call, ok := controller.Next(now)
+		if !ok || call.Kind != want || call.Fence != 5 {
 			t.Fatalf("at %g: %+v %v, want act %d", now, call, ok, want)
 		}
-		if _, second := teller.Next(now); second {
+		if _, second := controller.Next(now); second {
 			t.Fatal("two calls to one scheduler at the same time")
 		}
-		teller.Answered(now, call, reply)
+		controller.Answered(now, call, reply)
 		return call
 	}
-	expectState := func(want State) {
+	expectState := func(want AckState) {
 		t.Helper()
-		if standings := teller.Told("w1"); len(standings) != 1 || standings[0].State != want {
+		if standings := controller.Acknowledgements("w1"); len(standings) != 1 || standings[0].State != want {
 			t.Fatalf("%+v, want %s", standings, want)
 		}
 	}
-	expectState(NotReached)
-	step(Look, Reply{Reached: true, Done: true, Start: "x", Fence: 4})
-	expectState(Unknown)
-	step(Close, Reply{Reached: true, Done: true, Start: "x", Fence: 5})
-	call := step(Tell, Reply{Why: "timeout"})
-	expectState(NotReached)
+	expectState(AckNotReached)
+	step(CallStatus, SchedulerReply{Reached: true, Done: true, Start: "x", Fence: 4})
+	expectState(AckPending)
+	step(CallRaiseFence, SchedulerReply{Reached: true, Done: true, Start: "x", Fence: 5})
+	call := step(CallSetWorker, SchedulerReply{Reason: "timeout"})
+	expectState(AckNotReached)
 	now += initialBackoffMs
-	if again := step(Tell, Reply{Reached: true, Done: true, Start: "x", Fence: 5}); again != call {
+	if again := step(CallSetWorker, SchedulerReply{Reached: true, Done: true, Start: "x", Fence: 5}); again != call {
 		t.Errorf("the retry is %+v", again)
 	}
-	expectState(Obeyed)
-	if call, ok := teller.Next(now); ok {
+	expectState(AckDone)
+	if call, ok := controller.Next(now); ok {
 		t.Fatalf("everything is confirmed, and the next call is %+v", call)
 	}
 	now += statusIntervalMs
-	step(Look, Reply{Reached: true, Done: true, Start: "y"})
-	expectState(Unknown)
-	step(Close, Reply{Reached: true, Why: "start z", Start: "z"})
+	step(CallStatus, SchedulerReply{Reached: true, Done: true, Start: "y"})
+	expectState(AckPending)
+	step(CallRaiseFence, SchedulerReply{Reached: true, Reason: "start z", Start: "z"})
 	now += initialBackoffMs
-	step(Look, Reply{Reached: true, Done: true, Start: "z"})
-	step(Close, Reply{Reached: true, Done: true, Start: "z", Fence: 5})
-	step(Tell, Reply{Reached: true, Done: true, Start: "z", Fence: 5})
-	expectState(Obeyed)
+	step(CallStatus, SchedulerReply{Reached: true, Done: true, Start: "z"})
+	step(CallRaiseFence, SchedulerReply{Reached: true, Done: true, Start: "z", Fence: 5})
+	step(CallSetWorker, SchedulerReply{Reached: true, Done: true, Start: "z", Fence: 5})
+	expectState(AckDone)
 	now += statusIntervalMs
-	step(Look, Reply{Reached: true, Done: true, Start: "z", Fence: 6})
-	if _, ok := teller.Next(now + 9000); ok || teller.Passed != 6 {
+	step(CallStatus, SchedulerReply{Reached: true, Done: true, Start: "z", Fence: 6})
+	if _, ok := controller.Next(now + 9000); ok || controller.SupersededBy != 6 {
 		t.Error("the owner continues to act after it has seen a higher fencing token")
 	}
 }
@@ -186,15 +186,15 @@
 	for _, m := range []Member{{ID: "a1", Kind: "agent", Zone: "a", Addr: "x:1"}, {ID: "a2", Kind: "agent", Zone: "a", Addr: "x:2"},
 		{ID: "b1", Kind: "agent", Zone: "b", Addr: "x:3"}, {ID: "s1", Kind: "scheduler", Zone: "a", Addr: "x:4"},
 		{ID: "s2", Kind: "scheduler", Zone: "b", Addr: "x:5"}} {
-		applyCommand(t, r, Command{Do: "member", Member: &m})
+		applyCommand(t, r, Command{Verb: "member", Member: &m})
 	}
-	order := AgentOrder("a", r.Of("agent"))
-	if order[2].ID != "b1" || len(r.Zones()) != 2 {
+	order := AgentOrder("a", r.MembersOfKind("agent"))
+	if order[2].ID != "b1" || len(r.ZonesWithWork()) != 2 {
 		t.Fatalf("order of preference %v", order)
 	}
-	first, second := NewDuty(order[0].ID, "1", 3000), NewDuty(order[1].ID, "1", 3000)
+	first, second := NewLeaseClaimer(order[0].ID, "1", 3000), NewLeaseClaimer(order[1].ID, "1", 3000)
 	claim, ok := first.NextClaim(0, r, nil)
-	if !ok || claim.Matter != "zone/a" {
+	if !ok || claim.Lease != "zone/a" {
 		t.Fatalf("%+v", claim)
 	}
 	if claim, ok := second.NextClaim(0, r, nil); ok {
@@ -203,24 +203,24 @@
 	applyCommand(t, r, claim)
 	firstAbsent := map[string]bool{first.Agent: true}
 	second.NextClaim(1000, r, firstAbsent)
-	if claim, ok := second.NextClaim(4000, r, firstAbsent); ok && claim.Matter == "zone/a" {
+	if claim, ok := second.NextClaim(4000, r, firstAbsent); ok && claim.Lease == "zone/a" {
 		t.Error("the second agent claims before the term has expired")
 	}
 	claim, ok = second.NextClaim(1000+1.2*3000+3000, r, firstAbsent)
-	if !ok || claim.Matter != "zone/a" || claim.Fence != 1 {
+	if !ok || claim.Lease != "zone/a" || claim.Fence != 1 {
 		t.Fatalf("%+v %v", claim, ok)
 	}
 	applyCommand(t, r, claim)
-	if claim, ok := second.NextPass(10000, r, nil); ok {
+	if claim, ok := second.NextHandover(10000, r, nil); ok {
 		t.Fatalf("handed back at once: %+v", claim)
 	}
-	second.NextPass(20000, r, firstAbsent)
-	second.NextPass(25000, r, nil)
-	if _, ok := second.NextPass(25000+handoverDelayTerms*3000-1, r, nil); ok {
+	second.NextHandover(20000, r, firstAbsent)
+	second.NextHandover(25000, r, nil)
+	if _, ok := second.NextHandover(25000+handoverDelayTerms*3000-1, r, nil); ok {
 		t.Error("handed back before the first agent was present for long")
 	}
-	claim, ok = second.NextPass(25000+handoverDelayTerms*3000, r, nil)
-	if answer := applyCommand(t, r, claim); !ok || !answer.Done || r.Matters["zone/a"].Wanted != first.Agent {
+	claim, ok = second.NextHandover(25000+handoverDelayTerms*3000, r, nil)
+	if answer := applyCommand(t, r, claim); !ok || !answer.Applied || r.Leases["zone/a"].HandoverTo != first.Agent {
 		t.Errorf("%+v %+v", claim, answer)
 	}
 }
--- a/fleet/stored_test.go
+++ b/fleet/stored_test.go
@@ -55,14 +55,14 @@
 			"watch":127.5,"pause":128.5,"wave_ms":129.5,"auto_back":true},
 		"to":"t130","start":"t131","then":"t132",
 		"limits":[{"kind":"t133","zone":"t134","label":"t135","most":136,"share":137.5,"capacity":138.5,"least":139}]}`)
-	keepsNames[Answer](t, `{"no":140,"done":true,"why":"t141","fence":142}`)
-	keepsNames[Do](t, `{"op":"t143","member":"t144","call":"t145","no":146,"fence":147,"start":"t148"}`)
-	keepsNames[Did](t, `{"state":"t156","why":"t157","start":"t158","down":true}`)
+	keepsNames[CommandResult](t, `{"no":140,"done":true,"why":"t141","fence":142}`)
+	keepsNames[AgentCall](t, `{"op":"t143","member":"t144","call":"t145","no":146,"fence":147,"start":"t148"}`)
+	keepsNames[AgentResult](t, `{"state":"t156","why":"t157","start":"t158","down":true}`)
 	keepsNames[Txns](t, `{"settled":159,"declined":160,"reversed":161}`)
-	keepsNames[Doer](t, `{"notes":{"t164":{"no":165,"op":"t166","call":"t167","state":"t168","why":"t169"}},
+	keepsNames[StepExecutor](t, `{"notes":{"t164":{"no":165,"op":"t166","call":"t167","state":"t168","why":"t169"}},
 		"halts":{"t170":{"of":"t171","by":"t172","why":"t173","no":174,"then":"t175"}}}`)
-	keepsNames[Count](t, `{"limit":{"kind":"t176","zone":"t177","label":"t178","most":179,"share":180.5,"capacity":181.5,"least":182},
+	keepsNames[LimitCount](t, `{"limit":{"kind":"t176","zone":"t177","label":"t178","most":179,"share":180.5,"capacity":181.5,"least":182},
 		"of":183,"out":["t184"],"allowed":185,"why":"t186"}`)
 	keepsNames[Forecast](t, `{"waves":[["t187"]],"most":{"t188":189},"seconds":190.5,"blocks":["t191"]}`)
-	keepsNames[Standing](t, `{"id":"t192","state":"t193","why":"t194"}`)
+	keepsNames[Acknowledgement](t, `{"id":"t192","state":"t193","why":"t194"}`)
 }
--- a/fleet/zone_controller.go
+++ b/fleet/zone_controller.go
@@ -17,34 +17,35 @@
 type CallKind int
 
 const (
-	Look  CallKind = iota // status: which start of the process answers, its fencing token, its phase and its workers
-	Close                 // raise the fencing token, so that the scheduler refuses calls of former owners
-	Tell                  // set one worker's state: out, or back in service
+	CallStatus     CallKind = iota // status: which start of the process answers, its fencing token, its phase and its workers
+	CallRaiseFence                 // raise the fencing token, so that the scheduler refuses calls of former owners
+	CallSetWorker                  // set one worker's state: out, or back in service
 )
 
-// Call is a call to make to a scheduler's management address. All but a Look are meant for one start of the scheduler's
-// process and carry the owner's fencing token; a scheduler refuses a call that names another start or a lower token.
-type Call struct {
+// SchedulerCall is a call to make to a scheduler's management address. All but a CallStatus are meant for one start of the
+// scheduler's process and carry the owner's fencing token; a scheduler refuses a call that names another start or a lower
+// token.
+type SchedulerCall struct {
 	To     Member
-	Act    CallKind
-	Matter string // name of the zone's lease
+	Kind   CallKind
+	Lease  string // name of the zone's lease
 	Fence  uint64 // fencing token of the lease
-	Start  string // the start of the scheduler's process, "" in a Look
-	Worker string // the worker's id, in a Tell; so are Out and Since
+	Start  string // the start of the scheduler's process, "" in a CallStatus
+	Worker string // the worker's id, in a CallSetWorker; so are Out and Since
 	Out    bool
 	Since  uint64 // Intent.Since
 }
 
-// Reply is the result of a Call.
-type Reply struct {
+// SchedulerReply is the result of a SchedulerCall.
+type SchedulerReply struct {
 	Reached bool              // the scheduler answered; if it did not, the call may have taken effect nevertheless
 	Done    bool              // the scheduler carried out the call
 	Start   string            // the start of the process that answered
 	Fence   uint64            // the fencing token that the scheduler has for the lease
-	Out     []string          // ids of the workers that the scheduler has as out under the lease, of a Look
-	Why     string            // why there was no answer, or a refusal
-	Phase   string            // the scheduler's own phase, of a Look: serving, starting, draining, ...
-	Workers map[string]string // the zone's workers by id, of a Look: warm, cold or busy
+	Out     []string          // ids of the workers that the scheduler has as out under the lease, of a CallStatus
+	Reason  string            // why there was no answer, or a refusal
+	Phase   string            // the scheduler's own phase, of a CallStatus: serving, starting, draining, ...
+	Workers map[string]string // the zone's workers by id, of a CallStatus: warm, cold or busy
 	Txns    Txns
 }
 
@@ -54,7 +55,7 @@
 	processStart          string            // the start of its process that answered last, "" before any answer
 	fenceAccepted         bool              // it has the owner's fencing token
 	acknowledged          map[string]uint64 // by worker id: the Intent.Since that it confirmed last
-	reportedOut           map[string]bool   // worker ids: out at the scheduler by its last status, and by Tells since
+	reportedOut           map[string]bool   // worker ids: out at the scheduler by its last status, and by calls of CallSetWorker since
 	callPending           bool
 	nextCallAt            float64 // the earliest time of the next call of any kind
 	nextStatusAt          float64
@@ -62,41 +63,41 @@
 	reason                string // why it refused the last call or did not answer it, "" if it carried it out
 	answered              bool   // it has answered this owner at least once
 	phase                 string
-	workerStates          map[string]string // Reply.Workers of the last status
+	workerStates          map[string]string // SchedulerReply.Workers of the last status
 	statusRecordNo        uint64            // Record.No when the last status call that was answered began
 	pendingStatusRecordNo uint64            // Record.No when the status call under way began
 }
 
-// Teller keeps all schedulers informed of which workers of a zone are out, on behalf of the agent that holds the zone's
+// ZoneController keeps all schedulers informed of which workers of a zone are out, on behalf of the agent that holds the zone's
 // lease, and collects the health of the zone's members from them.
-type Teller struct {
-	Matter     string                     // name of the zone's lease
-	Fence      uint64                     // fencing token of the lease
-	Passed     uint64                     // a higher fencing token that a scheduler reported: the lease has another owner by now; 0 for none
-	Bug        string                     // a fault that a test injects, see Record.Bug
-	schedulers map[string]*schedulerState // by id
-	intents    map[string]Intent          // of the zone's workers, by id
-	// Holds reports whether a halt that was set at this agent keeps a worker from being taken out. Schedulers that don't
+type ZoneController struct {
+	Lease         string                     // name of the zone's lease
+	Fence         uint64                     // fencing token of the lease
+	SupersededBy  uint64                     // a higher fencing token that a scheduler reported: the lease has another owner by now; 0 for none
+	InjectedFault string                     // a fault that a test injects, see Record.InjectedFault
+	schedulers    map[string]*schedulerState // by id
+	intents       map[string]Intent          // of the zone's workers, by id
+	// Halted reports whether a halt that was set at this agent keeps a worker from being taken out. Schedulers that don't
 	// have the worker as out yet are then not told.
-	Holds     func(Intent) bool
+	Halted    func(Intent) bool
 	record    *Record
 	zone      string
 	startedAt float64 // when the first record was taken over; negative before
 }
 
-// NewTeller returns the Teller of a new owner of a zone's lease. It knows nothing: what a former owner told each scheduler
-// is found out by a status call.
-func NewTeller(matter string, fence uint64) *Teller {
-	return &Teller{Matter: matter, Fence: fence, schedulers: map[string]*schedulerState{}, intents: map[string]Intent{}, startedAt: -1}
+// NewZoneController returns the ZoneController of a new owner of a zone's lease. It knows nothing: what a former owner told
+// each scheduler is found out by a status call.
+func NewZoneController(leaseName string, fence uint64) *ZoneController {
+	return &ZoneController{Lease: leaseName, Fence: fence, schedulers: map[string]*schedulerState{}, intents: map[string]Intent{}, startedAt: -1}
 }
 
 // Follow takes over the current record: the schedulers and the intents of the zone's workers.
-func (t *Teller) Follow(now float64, r *Record, zone string) {
+func (t *ZoneController) Follow(now float64, r *Record, zone string) {
 	if t.record, t.zone = r, zone; t.startedAt < 0 {
 		t.startedAt = now
 	}
 	isMember := map[string]bool{}
-	for _, member := range r.Of("scheduler") {
+	for _, member := range r.MembersOfKind("scheduler") {
 		isMember[member.ID] = true
 		if scheduler := t.schedulers[member.ID]; scheduler == nil || scheduler.Member != member {
 			t.schedulers[member.ID] = &schedulerState{Member: member, acknowledged: map[string]uint64{}}
@@ -104,7 +105,7 @@
 	}
 	maps.DeleteFunc(t.schedulers, func(id string, _ *schedulerState) bool { return !isMember[id] })
 	clear(t.intents)
-	for id, intent := range r.Workers {
+	for id, intent := range r.Intents {
 		if intent.Zone == zone {
 			t.intents[id] = intent
 		}
@@ -135,12 +136,12 @@
 }
 
 // nextUnacknowledged returns the first worker, by id, whose intent a scheduler has yet to confirm.
-func (t *Teller) nextUnacknowledged(scheduler *schedulerState) (string, bool) {
+func (t *ZoneController) nextUnacknowledged(scheduler *schedulerState) (string, bool) {
 	for _, id := range slices.Sorted(maps.Keys(t.intents)) {
 		intent := t.intents[id]
 		// A scheduler that was never told that a worker is out need not be told that it is in service.
 		if scheduler.acknowledged[id] != intent.Since && (intent.Out || scheduler.acknowledged[id] > 0 || scheduler.reportedOut[id]) {
-			if t.Holds != nil && !scheduler.reportedOut[id] && t.Holds(intent) {
+			if t.Halted != nil && !scheduler.reportedOut[id] && t.Halted(intent) {
 				continue
 			}
 			return id, true
@@ -151,35 +152,35 @@
 
 // Next returns the next call to make, if any; its result goes to Answered. A scheduler gets one call at a time, so that none
 // can arrive after a later one.
-func (t *Teller) Next(now float64) (Call, bool) {
-	if t.Passed > 0 {
-		return Call{}, false
+func (t *ZoneController) Next(now float64) (SchedulerCall, bool) {
+	if t.SupersededBy > 0 {
+		return SchedulerCall{}, false
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.schedulers)) {
 		scheduler := t.schedulers[id]
 		if scheduler.callPending || now < scheduler.nextCallAt {
 			continue
 		}
-		call := Call{To: scheduler.Member, Matter: t.Matter, Fence: t.Fence, Start: scheduler.processStart}
+		call := SchedulerCall{To: scheduler.Member, Lease: t.Lease, Fence: t.Fence, Start: scheduler.processStart}
 		switch worker, owes := t.nextUnacknowledged(scheduler); {
 		case scheduler.processStart == "" || now >= scheduler.nextStatusAt:
-			call.Act, call.Start, scheduler.pendingStatusRecordNo = Look, "", t.record.No
-		case !scheduler.fenceAccepted && t.Bug != "not-closed":
-			call.Act = Close
+			call.Kind, call.Start, scheduler.pendingStatusRecordNo = CallStatus, "", t.record.No
+		case !scheduler.fenceAccepted && t.InjectedFault != "not-closed":
+			call.Kind = CallRaiseFence
 		case owes:
 			intent := t.intents[worker]
-			call.Act, call.Worker, call.Out, call.Since = Tell, worker, intent.Out, intent.Since
+			call.Kind, call.Worker, call.Out, call.Since = CallSetWorker, worker, intent.Out, intent.Since
 		default:
 			continue
 		}
 		scheduler.callPending = true
 		return call, true
 	}
-	return Call{}, false
+	return SchedulerCall{}, false
 }
 
 // Answered takes the result of a call that Next returned.
-func (t *Teller) Answered(now float64, call Call, reply Reply) {
+func (t *ZoneController) Answered(now float64, call SchedulerCall, reply SchedulerReply) {
 	scheduler := t.schedulers[call.To.ID]
 	if scheduler == nil || scheduler.Member != call.To {
 		return
@@ -189,23 +190,23 @@
 		// The call may have taken effect. It is idempotent and is sent again unchanged.
 		scheduler.failures++
 		scheduler.nextCallAt = now + min(initialBackoffMs*float64(int(1)<<min(scheduler.failures-1, 10)), maxBackoffMs)
-		scheduler.reason = reply.Why
+		scheduler.reason = reply.Reason
 		return
 	}
 	scheduler.failures, scheduler.nextCallAt, scheduler.reason, scheduler.answered = 0, now, "", true
 	if reply.Fence > t.Fence {
-		t.Passed = reply.Fence
+		t.SupersededBy = reply.Fence
 		return
 	}
-	if reply.Start != scheduler.processStart && (scheduler.processStart == "" || t.Bug != "restart-untold") {
+	if reply.Start != scheduler.processStart && (scheduler.processStart == "" || t.InjectedFault != "restart-untold") {
 		// The scheduler was restarted and has lost what it had confirmed.
 		scheduler.processStart, scheduler.fenceAccepted = reply.Start, false
 		clear(scheduler.acknowledged)
 	}
 	switch {
 	case !reply.Done:
-		scheduler.reason, scheduler.nextStatusAt, scheduler.nextCallAt = reply.Why, now, now+initialBackoffMs
-	case call.Act == Look:
+		scheduler.reason, scheduler.nextStatusAt, scheduler.nextCallAt = reply.Reason, now, now+initialBackoffMs
+	case call.Kind == CallStatus:
 		scheduler.nextStatusAt, scheduler.reportedOut = now+statusIntervalMs, map[string]bool{}
 		scheduler.phase, scheduler.workerStates, scheduler.statusRecordNo = reply.Phase, reply.Workers, scheduler.pendingStatusRecordNo
 		for _, id := range reply.Out {
@@ -215,16 +216,16 @@
 			scheduler.fenceAccepted = false
 		}
 	case call.Start != scheduler.processStart:
-	case call.Act == Close:
+	case call.Kind == CallRaiseFence:
 		scheduler.fenceAccepted = true
-	case call.Act == Tell:
+	case call.Kind == CallSetWorker:
 		scheduler.acknowledged[call.Worker] = call.Since
 		scheduler.reportedOut[call.Worker] = call.Out
 	}
 }
 
 // NextWakeAt returns when to call Next again if nothing happens before.
-func (t *Teller) NextWakeAt(now float64) float64 {
+func (t *ZoneController) NextWakeAt(now float64) float64 {
 	at := now + statusIntervalMs
 	for _, scheduler := range t.schedulers {
 		if !scheduler.callPending {
@@ -234,30 +235,30 @@
 	return at
 }
 
-// State says whether a scheduler has applied a worker's current intent.
-type State string
+// AckState says whether a scheduler has applied a worker's current intent.
+type AckState string
 
 const (
-	Obeyed     State = "obeyed"
-	Refused    State = "refused"
-	NotReached State = "not reached"
-	Unknown    State = "unknown" // it answers, and has not confirmed the intent yet
+	AckDone       AckState = "obeyed"
+	AckRefused    AckState = "refused"
+	AckNotReached AckState = "not reached"
+	AckPending    AckState = "unknown" // it answers, and has not confirmed the intent yet
 )
 
-// Standing is the State of one scheduler.
-type Standing struct {
-	ID    string `json:"id"`
-	State State  `json:"state"`
-	Why   string `json:"why,omitempty"`
+// Acknowledgement is the AckState of one scheduler.
+type Acknowledgement struct {
+	ID     string   `json:"id"`
+	State  AckState `json:"state"`
+	Reason string   `json:"why,omitempty"`
 }
 
-// health returns a scheduler's health as a value of Seen.State, by its last status.
+// health returns a scheduler's health as a value of Health.State, by its last status.
 func (s *schedulerState) health() string {
 	switch {
 	case s.failures > 0 || !s.answered:
 		return HealthNotReached
 	case s.phase == "serving":
-		return InService
+		return HealthInService
 	case s.phase == "":
 		return "unknown"
 	}
@@ -267,20 +268,20 @@
 // workerHealth combines what the schedulers report about one worker. If its intent is out, the worker is out once every
 // scheduler has confirmed that and doesn't report it as busy; until then it is draining. Otherwise it is in service once
 // every serving scheduler lists it and none has it as cold or out; else it is cold or unlisted.
-func (t *Teller) workerHealth(id string) Seen {
-	health := Seen{State: HealthNotReached, RecordNo: t.record.No}
+func (t *ZoneController) workerHealth(id string) Health {
+	health := Health{State: HealthNotReached, RecordNo: t.record.No}
 	if intent := t.intents[id]; intent.Out {
 		health.State = "out"
-		for _, standing := range t.Told(id) {
+		for _, standing := range t.Acknowledgements(id) {
 			scheduler := t.schedulers[standing.ID]
-			if standing.State != Obeyed || scheduler.workerStates[id] == "busy" || scheduler.statusRecordNo < intent.Since {
+			if standing.State != AckDone || scheduler.workerStates[id] == "busy" || scheduler.statusRecordNo < intent.Since {
 				health.State = "draining"
 			}
 		}
 		return health
 	}
 	for _, scheduler := range t.schedulers { // the iteration order decides at most between cold and unlisted
-		if scheduler.health() != InService {
+		if scheduler.health() != HealthInService {
 			continue
 		}
 		switch health.RecordNo = min(health.RecordNo, scheduler.statusRecordNo); {
@@ -289,7 +290,7 @@
 		case scheduler.workerStates[id] == "":
 			health.State = "unlisted"
 		case health.State == HealthNotReached:
-			health.State = InService
+			health.State = HealthInService
 		}
 	}
 	return health
@@ -298,12 +299,12 @@
 // Report returns the health of those members of the zone for which it has changed, to be sent with the next lease renewal,
 // and whether every scheduler has been called since this ownership began (whole). An unchanged state is reported again if
 // an operation waits for an observation that began after its last step.
-func (t *Teller) Report(now float64) (changed map[string]Seen, whole bool) {
-	if t.record == nil || t.record.V < 2 {
+func (t *ZoneController) Report(now float64) (changed map[string]Health, whole bool) {
+	if t.record == nil || t.record.FormatVersion < 2 {
 		return nil, false // format version 1 of the record has no health
 	}
 	whole = true
-	for _, member := range t.record.Of("scheduler") {
+	for _, member := range t.record.MembersOfKind("scheduler") {
 		scheduler := t.schedulers[member.ID]
 		whole = whole && (scheduler.answered || scheduler.failures > 0)
 	}
@@ -326,7 +327,7 @@
 			continue
 		}
 		if changed == nil {
-			changed = map[string]Seen{}
+			changed = map[string]Health{}
 		}
 		if changed[id] = health; len(changed) >= maxReportedMembers {
 			break // the rest is sent with the next renewal
@@ -336,19 +337,19 @@
 }
 
 // memberHealth returns the current health of a member of the zone.
-func (t *Teller) memberHealth(member Member) (health Seen) {
+func (t *ZoneController) memberHealth(member Member) (health Health) {
 	if member.Kind == "worker" {
 		return t.workerHealth(member.ID)
 	}
 	if scheduler := t.schedulers[member.ID]; scheduler != nil {
-		return Seen{scheduler.health(), scheduler.statusRecordNo}
+		return Health{scheduler.health(), scheduler.statusRecordNo}
 	}
 	return health
 }
 
 // Urgent reports whether an operation waits for an observation that has been made and isn't on record yet. The next renewal
 // should then be sent early.
-func (t *Teller) Urgent() bool {
+func (t *ZoneController) Urgent() bool {
 	if t.record == nil {
 		return false
 	}
@@ -357,15 +358,15 @@
 		if member.Zone != t.zone || t.record.Health[id].RecordNo >= t.requiredRecordNo(id) {
 			continue
 		}
-		if health := t.memberHealth(member); health.RecordNo >= t.requiredRecordNo(id) && (health.State == InService || health.State == "out") {
+		if health := t.memberHealth(member); health.RecordNo >= t.requiredRecordNo(id) && (health.State == HealthInService || health.State == "out") {
 			return true
 		}
 	}
 	return false
 }
 
-// requiredRecordNo returns the lowest Seen.RecordNo that tells about a member with a permit after its last step.
-func (t *Teller) requiredRecordNo(id string) uint64 {
+// requiredRecordNo returns the lowest Health.RecordNo that tells about a member with a permit after its last step.
+func (t *ZoneController) requiredRecordNo(id string) uint64 {
 	permit := t.record.Permits[id]
 	if op := t.record.Ops[permit.Op]; op != nil {
 		return max(permit.No, op.Steps[id].No)
@@ -373,21 +374,21 @@
 	return permit.No
 }
 
-// Told returns, by scheduler id, whether each scheduler has applied a worker's current intent. A scheduler on record that
-// doesn't answer may still be running and act on an earlier intent, so it is listed as not reached.
-func (t *Teller) Told(worker string) (standings []Standing) {
+// Acknowledgements returns, by scheduler id, whether each scheduler has applied a worker's current intent. A scheduler on
+// record that doesn't answer may still be running and act on an earlier intent, so it is listed as not reached.
+func (t *ZoneController) Acknowledgements(worker string) (standings []Acknowledgement) {
 	intent := t.intents[worker]
 	for _, id := range slices.Sorted(maps.Keys(t.schedulers)) {
 		scheduler := t.schedulers[id]
-		standing := Standing{ID: id, State: Unknown, Why: scheduler.reason}
+		standing := Acknowledgement{ID: id, State: AckPending, Reason: scheduler.reason}
 		switch {
-		case (scheduler.fenceAccepted || t.Bug == "not-closed") && scheduler.failures == 0 &&
+		case (scheduler.fenceAccepted || t.InjectedFault == "not-closed") && scheduler.failures == 0 &&
 			(scheduler.acknowledged[worker] == intent.Since || !intent.Out && scheduler.acknowledged[worker] == 0 && !scheduler.reportedOut[worker]):
-			standing.State = Obeyed
+			standing.State = AckDone
 		case scheduler.failures > 0 || !scheduler.answered:
-			standing.State = NotReached
+			standing.State = AckNotReached
 		case scheduler.reason != "":
-			standing.State = Refused
+			standing.State = AckRefused
 		}
 		standings = append(standings, standing)
 	}
--- a/lab/cluster/checks.go
+++ b/lab/cluster/checks.go
@@ -142,10 +142,10 @@
 		d.reportBreak("%d calls and answers are of no single record", n)
 	}
 	applied := map[string]int{} // by the command's reason, which names its caller and number: how many times it was applied
-	for _, row := range r.Rows {
-		if (row.What == "out" || row.What == "in") && strings.HasPrefix(row.Why, "caller") {
-			if applied[row.Why]++; applied[row.Why] == 2 {
-				d.reportBreak("a change was carried out twice: %s %s, %s", row.What, row.Of, row.Why)
+	for _, row := range r.Audit {
+		if (row.What == "out" || row.What == "in") && strings.HasPrefix(row.Reason, "caller") {
+			if applied[row.Reason]++; applied[row.Reason] == 2 {
+				d.reportBreak("a change was carried out twice: %s %s, %s", row.What, row.Of, row.Reason)
 			}
 		}
 	}
@@ -272,7 +272,7 @@
 		at        time.Time
 		p         *agentProcess
 		fence     uint64
-		kind      string // the number of a fleet.Act: 0 look, 1 close, 2 tell
+		kind      string // a fleet.CallKind: 0 CallStatus, 1 CallRaiseFence, 2 CallSetWorker
 		scheduler string
 	}
 	calls := map[string][]ownerCall{} // by matter
@@ -354,7 +354,7 @@
 
 // passedOn reports whether an agent ever passed a matter on, which frees it before its lease expires.
 func passedOn(r *fleet.Record, matter, agent string) bool {
-	for _, row := range r.Rows {
+	for _, row := range r.Audit {
 		if row.What == "left" && strings.HasPrefix(row.Of, matter+" "+agent+"#") {
 			return true
 		}
--- a/lab/cluster/cluster_test.go
+++ b/lab/cluster/cluster_test.go
@@ -120,27 +120,27 @@
 			return leader >= 0
 		})
 		d.SetLinks(leader, LinkReset, LinkReset)
-		c := fleet.Command{Caller: "both", Number: 1, Do: "out", ID: "x5", Zone: "a", By: "ann", Why: "caller both"}
-		if a, err := d.SendCommand(leader, c); err == nil && a.Done {
+		c := fleet.Command{Caller: "both", Number: 1, Verb: "out", ID: "x5", Zone: "a", By: "ann", Reason: "caller both"}
+		if a, err := d.SendCommand(leader, c); err == nil && a.Applied {
 			d.ReportBreak("a leader that is cut off applied a command")
 		}
 		d.WaitUntil("the old leader refuses within 1 s", func() bool {
 			began := time.Now()
-			_, err := d.SendCommand(leader, fleet.Command{Caller: "late", Number: 1, Do: "out", ID: "x6", Zone: "a", By: "ann"})
+			_, err := d.SendCommand(leader, fleet.Command{Caller: "late", Number: 1, Verb: "out", ID: "x6", Zone: "a", By: "ann"})
 			var refusal *agent.Refusal
 			return errors.As(err, &refusal) && refusal.Status == 503 && time.Since(began) < time.Second
 		})
 		other := (leader + 1) % len(d.agents)
 		d.WaitUntil("the others go on", func() bool {
 			a, err := d.SendCommand(other, c)
-			return err == nil && a.Done
+			return err == nil && a.Applied
 		})
 		d.SetWorkerOut(0, d.WorkerIn("b"), true, d.AddrOf(other), 5*time.Second)
 		time.Sleep(time.Second)
 		d.SetLinks(leader, LinkUp, LinkUp)
 		d.WaitUntil("the old leader follows", func() bool {
 			a, err := d.SendCommand(leader, c)
-			return err == nil && a.Done
+			return err == nil && a.Applied
 		})
 	}})
 	requireNoBreaks(t, r)
@@ -189,8 +189,8 @@
 			p.setFaults(map[string]any{"LieSync": true})
 		}
 		d.WaitUntil("the change is on record", func() bool {
-			a, err := d.sendAsOperator(fleet.Command{Do: "out", ID: "x7", Zone: "a", By: "ann"})
-			return err == nil && a.Done
+			a, err := d.sendAsOperator(fleet.Command{Verb: "out", ID: "x7", Zone: "a", By: "ann"})
+			return err == nil && a.Applied
 		})
 		d.Kill(0)
 		d.Kill(1)
@@ -200,7 +200,7 @@
 			_ = p.start()
 		}
 		found := func() bool {
-			if rec, err := d.readRecord(d.ctx); err == nil && !rec.Workers["x7"].Out {
+			if rec, err := d.readRecord(d.ctx); err == nil && !rec.Intents["x7"].Out {
 				d.ReportBreak("a read shows the record without an acknowledged change")
 				return true
 			}
--- a/lab/cluster/day.go
+++ b/lab/cluster/day.go
@@ -358,11 +358,11 @@
 		if err != nil {
 			return err
 		}
-		if n := len(r.Of("scheduler")); n < d.opt.Schedulers {
+		if n := len(r.MembersOfKind("scheduler")); n < d.opt.Schedulers {
 			return fmt.Errorf("%d schedulers on record", n)
 		}
-		for _, z := range r.Zones() {
-			if r.Matters[fleet.MatterOf(z)].Owner == "" {
+		for _, z := range r.ZonesWithWork() {
+			if r.Leases[fleet.ZoneLease(z)].Owner == "" {
 				return fmt.Errorf("zone %s has no owner", z)
 			}
 		}
@@ -458,7 +458,7 @@
 	if err != nil {
 		return err
 	}
-	want := r.OutIn("")
+	want := r.WorkersOut("")
 	for i, m := range d.live.Schedulers() {
 		state, err := d.schedulerState(i)
 		if got := slices.Sorted(maps.Keys(state.Out)); err != nil || !slices.Equal(got, want) {
@@ -512,15 +512,15 @@
 // ChangeIntent writes the intent "out" or "in" for a worker to the record. It retries the same command (the same caller and
 // number, so it is applied once) at the agents of addrs in turn for up to recoveryTimeout, and returns false if it was never
 // answered.
-func (d *day) ChangeIntent(caller int, worker, zone, do string, addrs []string) (fleet.Answer, bool) {
+func (d *day) ChangeIntent(caller int, worker, zone, do string, addrs []string) (fleet.CommandResult, bool) {
 	d.mu.Lock()
 	name := fmt.Sprint("caller", caller)
 	d.commandNumbers[name]++
-	c := fleet.Command{V: 1, Caller: name, Number: d.commandNumbers[name], Do: do, ID: worker, Zone: zone, By: name,
-		Why: fmt.Sprint(name, " ", d.commandNumbers[name]), Force: true}
+	c := fleet.Command{FormatVersion: 1, Caller: name, Number: d.commandNumbers[name], Verb: do, ID: worker, Zone: zone, By: name,
+		Reason: fmt.Sprint(name, " ", d.commandNumbers[name]), Force: true}
 	d.mu.Unlock()
 	call := d.history.startCall(caller, worker, do)
-	var a fleet.Answer
+	var a fleet.CommandResult
 	err := errors.New("not asked")
 	for end := time.Now().Add(recoveryTimeout); err != nil && time.Now().Before(end) && d.ctx.Err() == nil; {
 		ctx, stop := context.WithTimeout(d.ctx, 2*time.Second)
@@ -538,7 +538,7 @@
 		return a, false
 	}
 	d.report.Ops++
-	call.finish(a.Done, false)
+	call.finish(a.Applied, false)
 	return a, true
 }
 
@@ -554,7 +554,7 @@
 		return ok
 	}
 	a, ok := d.ChangeIntent(caller, worker, d.live.Workers()[worker], "out", addrs)
-	if !ok || !a.Done {
+	if !ok || !a.Applied {
 		return false
 	}
 	for end := time.Now().Add(timeout); time.Now().Before(end) && d.ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
@@ -579,7 +579,7 @@
 		return false
 	}
 	for _, row := range told.Rows {
-		if row.State != fleet.Obeyed {
+		if row.State != fleet.AckDone {
 			return false
 		}
 	}
@@ -601,7 +601,7 @@
 	d.mu.Lock()
 	d.report.Ops++
 	d.mu.Unlock()
-	call.finish(true, r.Workers[worker].Out)
+	call.finish(true, r.Intents[worker].Out)
 }
 
 // ---- faults ----
@@ -851,7 +851,7 @@
 	}
 	defer d.exclusiveFault.Store(false)
 	zone := d.agents[last].file.Zone
-	_, _ = d.SendCommand(leader, fleet.Command{Caller: fmt.Sprint("lab", time.Now().UnixNano()), Number: 1, Do: "want", Matter: fleet.MatterOf(zone),
+	_, _ = d.SendCommand(leader, fleet.Command{Caller: fmt.Sprint("lab", time.Now().UnixNano()), Number: 1, Verb: "want", Lease: fleet.ZoneLease(zone),
 		Owner: d.agents[last].file.Name, By: "lab"})
 	if d.waitFor(2*d.leaseTerm(), "", func() error {
 		if owner, _ := d.Owner(zone); owner != last {
@@ -1082,9 +1082,9 @@
 	if err != nil {
 		return -1, 0
 	}
-	m := r.Matters[fleet.MatterOf(zone)]
+	m := r.Leases[fleet.ZoneLease(zone)]
 	for i, p := range d.agents {
-		if fleet.AgentOf(m.Owner) == p.file.Name {
+		if fleet.AgentOfOwner(m.Owner) == p.file.Name {
 			return i, m.Fence
 		}
 	}
@@ -1130,9 +1130,9 @@
 }
 
 // SendCommand sends one command to one agent, with a timeout of 4 s.
-func (d *day) SendCommand(to int, c fleet.Command) (a fleet.Answer, err error) {
+func (d *day) SendCommand(to int, c fleet.Command) (a fleet.CommandResult, err error) {
 	ctx, stop := context.WithTimeout(d.ctx, 4*time.Second)
 	defer stop()
-	c.V = fleet.FormOf(&c)
+	c.FormatVersion = fleet.FormatVersionOf(&c)
 	return (&agent.Caller{HTTP: agent.NewHTTP(nil, 3*time.Second), Addrs: d.AddrOf(to)}).Do(ctx, c)
 }
--- a/lab/cluster/demo.go
+++ b/lab/cluster/demo.go
@@ -188,7 +188,7 @@
 		all.Go(func() {
 			h := agent.NewHTTP(nil, 2*time.Second)
 			for n := uint64(1); time.Now().Before(end); n++ {
-				c := fleet.Command{V: 1, Caller: fmt.Sprint("m", callers, "/", i), Number: n, Do: []string{"out", "in"}[n%2],
+				c := fleet.Command{FormatVersion: 1, Caller: fmt.Sprint("m", callers, "/", i), Number: n, Verb: []string{"out", "in"}[n%2],
 					ID: fmt.Sprint("m", i), Zone: "a", By: "m"}
 				if a, err := (&agent.Caller{HTTP: h, Addrs: d.agentAddrs(nil)}).Do(d.ctx, c); err == nil && a.No > 0 {
 					done[i]++
--- a/lab/cluster/operators.go
+++ b/lab/cluster/operators.go
@@ -27,7 +27,7 @@
 func (d *day) runOperators(ctx context.Context) {
 	r := rand.New(rand.NewPCG(d.opt.Seed, 77))
 	two, one := max(2, d.opt.Schedulers/10), max(1, d.opt.Schedulers/20)
-	limits := []fleet.Limit{{Kind: "scheduler", Most: &two}, {Kind: "scheduler", Zone: "each", Most: &one}, {Kind: "worker", Share: 0.25}}
+	limits := []fleet.Limit{{Kind: "scheduler", MaxOut: &two}, {Kind: "scheduler", Zone: "each", MaxOut: &one}, {Kind: "worker", MaxOutShare: 0.25}}
 	for ctx.Err() == nil && !d.SetLimits(limits) {
 		d.sleep(200 * time.Millisecond)
 	}
@@ -46,24 +46,24 @@
 		}
 		switch r.IntN(10) {
 		case 0, 1:
-			d.startOperation(fleet.Op{Kind: "restart", Waves: [][]string{targets}})
+			d.startOperation(fleet.Operation{Kind: "restart", Waves: [][]string{targets}})
 		case 2:
-			d.startOperation(fleet.Op{Kind: "drain", Waves: [][]string{targets[:1]}})
+			d.startOperation(fleet.Operation{Kind: "drain", Waves: [][]string{targets[:1]}})
 		case 3:
 			if rec, err := d.readRecord(ctx); err == nil {
 				for id, p := range rec.Permits {
 					if op := rec.Ops[p.Op]; op != nil && op.Kind == "drain" && op.Done {
-						d.startOperation(fleet.Op{Kind: "undrain", Waves: [][]string{{id}}})
+						d.startOperation(fleet.Operation{Kind: "undrain", Waves: [][]string{{id}}})
 						break
 					}
 				}
 			}
 		case 4:
-			d.startOperation(fleet.Op{Kind: "maintain", Pause: 200, Waves: [][]string{{workers[r.IntN(len(workers))]}}})
+			d.startOperation(fleet.Operation{Kind: "maintain", PauseMs: 200, Waves: [][]string{{workers[r.IntN(len(workers))]}}})
 		case 5, 6:
 			bug := bugs[r.IntN(len(bugs))]
-			d.startOperation(fleet.Op{Kind: "release", Waves: fleet.Waves(all), Version: d.buildRelease(bug), Watch: 2500, WaveMost: 20000, AutoBack: r.IntN(2) == 0,
-				Gates: fleet.Gates{Settled: 0.3, Txns: 60}})
+			d.startOperation(fleet.Operation{Kind: "release", Waves: fleet.Waves(all), Version: d.buildRelease(bug), WatchMs: 2500, MaxWaveMs: 20000, AutoRollBack: r.IntN(2) == 0,
+				Gates: fleet.Gates{Settled: 0.3, MinTxns: 60}})
 		case 9:
 			d.logEvent("70%% of all workers' answers fail for 1.5 s")
 			d.live.Bad(0.7)
@@ -74,9 +74,9 @@
 		case 8:
 			if rec, err := d.readRecord(ctx); err == nil {
 				for _, id := range sortedKeys(rec.Ops) {
-					if op := rec.Ops[id]; op.Kind == "release" && !op.Closed && !op.Back && r.IntN(2) == 0 {
-						a, err := d.sendAsOperator(fleet.Command{Do: "turn", Matter: fleet.OpOf(id)})
-						d.logEvent("rollback of %s: done %t %s %v", id, a.Done, a.Why, err)
+					if op := rec.Ops[id]; op.Kind == "release" && !op.Closed && !op.RollingBack && r.IntN(2) == 0 {
+						a, err := d.sendAsOperator(fleet.Command{Verb: "turn", Lease: fleet.OperationLease(id)})
+						d.logEvent("rollback of %s: done %t %s %v", id, a.Applied, a.Reason, err)
 					}
 				}
 			}
@@ -108,7 +108,7 @@
 	index, _ := d.Owner("a")
 	if rec, err := d.readRecord(d.ctx); err == nil {
 		for _, id := range sortedKeys(rec.Ops) {
-			if o := d.OwnerOf(fleet.OpOf(id)); rec.Ops[id].Open() && o >= 0 {
+			if o := d.OwnerOf(fleet.OperationLease(id)); rec.Ops[id].Open() && o >= 0 {
 				index = o
 			}
 		}
@@ -126,7 +126,7 @@
 }
 
 // startOperation begins an operation and logs its id, or why it was refused.
-func (d *day) startOperation(op fleet.Op) {
+func (d *day) startOperation(op fleet.Operation) {
 	id, why := d.BeginOperation(op)
 	d.logEvent("%s of %v: %s%s", op.Kind, op.Waves, id, why)
 }
@@ -139,7 +139,7 @@
 			if rec, err := d.readRecord(ctx); err == nil {
 				for _, op := range rec.Ops {
 					for _, s := range op.Steps {
-						if fleet.Takes(s) {
+						if fleet.TakesOut(s) {
 							return nil
 						}
 					}
@@ -153,8 +153,8 @@
 			window.agents[a.file.Name] = true
 		}
 	}
-	a, err := d.sendAsOperator(fleet.Command{Do: "halt", ID: "all", Why: "a look"})
-	if err != nil || !a.Done {
+	a, err := d.sendAsOperator(fleet.Command{Verb: "halt", ID: "all", Reason: "a look"})
+	if err != nil || !a.Applied {
 		return
 	}
 	window.from = time.Now()
@@ -164,8 +164,8 @@
 	d.mu.Lock()
 	d.haltWindows = append(d.haltWindows, window)
 	d.mu.Unlock()
-	a, err = d.sendAsOperator(fleet.Command{Do: "lift", ID: "all"})
-	d.logEvent("halt lifted: done %t %s %v", a.Done, a.Why, err)
+	a, err = d.sendAsOperator(fleet.Command{Verb: "lift", ID: "all"})
+	d.logEvent("halt lifted: done %t %s %v", a.Applied, a.Reason, err)
 }
 
 // restoreService acts as an operator who brings every member back once faults are over: it lifts halts, returns drained members
@@ -187,11 +187,11 @@
 		}
 		for _, of := range sortedKeys(rec.Halts) {
 			if _, isOp := rec.Ops[of]; !isOp && retryDue(of) {
-				_, _ = d.sendAsOperator(fleet.Command{Do: "lift", ID: of})
+				_, _ = d.sendAsOperator(fleet.Command{Verb: "lift", ID: of})
 			}
 		}
-		for _, id := range sortedKeys(rec.Workers) { // those that callers took out count against the limits
-			if w := rec.Workers[id]; w.Out && rec.Permits[id].Op == "" && rec.Members[id].Kind == "worker" && retryDue(id) {
+		for _, id := range sortedKeys(rec.Intents) { // those that callers took out count against the limits
+			if w := rec.Intents[id]; w.Out && rec.Permits[id].Op == "" && rec.Members[id].Kind == "worker" && retryDue(id) {
 				d.SetWorkerOut(950, id, false, d.agentAddrs(nil), 0)
 			}
 		}
@@ -199,13 +199,13 @@
 		for _, id := range sortedKeys(rec.Permits) {
 			open = fmt.Sprintf("%s has a permit of %s", id, rec.Permits[id].Op)
 			if op := rec.Ops[rec.Permits[id].Op]; (op == nil || !op.Open()) && retryDue(id) {
-				_, _ = d.BeginOperation(fleet.Op{Kind: "undrain", Waves: [][]string{{id}}})
+				_, _ = d.BeginOperation(fleet.Operation{Kind: "undrain", Waves: [][]string{{id}}})
 			}
 		}
 		for _, id := range sortedKeys(rec.Ops) {
 			op := rec.Ops[id]
-			if _, halted := rec.Halts[id]; halted && !op.Back && !op.Closed && retryDue(id) {
-				_, _ = d.sendAsOperator(fleet.Command{Do: "turn", Matter: fleet.OpOf(id)})
+			if _, halted := rec.Halts[id]; halted && !op.RollingBack && !op.Closed && retryDue(id) {
+				_, _ = d.sendAsOperator(fleet.Command{Verb: "turn", Lease: fleet.OperationLease(id)})
 			}
 			if op.Open() {
 				open = fmt.Sprintf("%s is open: %s", id, d.operationStatus(rec, op))
@@ -218,7 +218,7 @@
 			if s.Out {
 				return fmt.Errorf("%s does not serve; on record %+v", s.ID, rec.Health[s.ID])
 			}
-			if h := rec.Health[s.ID]; h.State != fleet.InService {
+			if h := rec.Health[s.ID]; h.State != fleet.HealthInService {
 				return fmt.Errorf("%s serves, and is on record as %s", s.ID, h.State)
 			}
 		}
@@ -252,25 +252,25 @@
 	for _, opID := range sortedKeys(rec.Ops) {
 		op := rec.Ops[opID]
 		for _, id := range sortedKeys(op.Steps) {
-			if s := op.Steps[id]; op.Kind == "drain" && op.Done && !op.Back && s.At == fleet.Gone && lastUndrain[id] < s.No && serves[id] {
+			if s := op.Steps[id]; op.Kind == "drain" && op.Done && !op.RollingBack && s.State == fleet.StepOut && lastUndrain[id] < s.No && serves[id] {
 				d.reportBreak("%s was drained by %s, was not brought back, and serves", id, opID)
 			}
 		}
 		good := strings.HasSuffix(op.Version.Program, "-none") || strings.HasSuffix(op.Version.Program, "-again")
-		if h := rec.Halts[opID]; good && strings.HasPrefix(h.Why, "gate: ") {
-			d.reportBreak("%s brought a program that is well, and was halted: %s", opID, h.Why)
+		if h := rec.Halts[opID]; good && strings.HasPrefix(h.Reason, "gate: ") {
+			d.reportBreak("%s brought a program that is well, and was halted: %s", opID, h.Reason)
 		}
 	}
 }
 
 // operationStatus describes how far an operation is, with the members that have not arrived.
-func (d *day) operationStatus(rec *fleet.Record, op *fleet.Op) (text string) {
+func (d *day) operationStatus(rec *fleet.Record, op *fleet.Operation) (text string) {
 	for _, id := range sortedKeys(op.Steps) {
 		if s := op.Steps[id]; !op.Arrived(s) && len(text) < 400 {
-			text += fmt.Sprintf("%s at %s (%s), seen %s; ", id, s.At, s.Why, rec.Health[id].State)
+			text += fmt.Sprintf("%s at %s (%s), seen %s; ", id, s.State, s.Reason, rec.Health[id].State)
 		}
 	}
-	return fmt.Sprintf("back %t, wave %d of %d, halts %d: %s", op.Back, op.Wave+1, len(op.Waves), len(rec.Halts), text)
+	return fmt.Sprintf("back %t, wave %d of %d, halts %d: %s", op.RollingBack, op.Wave+1, len(op.Waves), len(rec.Halts), text)
 }
 
 // agentsMatchProcesses checks that each agent reports exactly the scheduler processes that exist, one for each scheduler.
--- a/lab/cluster/ops.go
+++ b/lab/cluster/ops.go
@@ -122,18 +122,18 @@
 		outOnPurpose := []string{}
 		for _, s := range d.live.Truth() {
 			rec.Members[s.ID] = fleet.Member{ID: s.ID, Kind: "scheduler", Zone: s.Zone}
-			rec.Health[s.ID] = fleet.Seen{State: fleet.InService}
+			rec.Health[s.ID] = fleet.Health{State: fleet.HealthInService}
 			if s.Out && !s.Fell {
-				rec.Health[s.ID] = fleet.Seen{State: "out"}
+				rec.Health[s.ID] = fleet.Health{State: "out"}
 				outOnPurpose = append(outOnPurpose, s.ID)
 			}
 		}
 		rec.Limits = limits
 		for _, id := range outOnPurpose { // each counts together with all the others
-			for _, c := range rec.Room(id) {
-				if c.Why != "" && !reported[c.Why] {
-					reported[c.Why] = true
-					d.reportBreak("by truth: %s: %v", c.Why, c.Out)
+			for _, c := range rec.LimitCounts(id) {
+				if c.Reason != "" && !reported[c.Reason] {
+					reported[c.Reason] = true
+					d.reportBreak("by truth: %s: %v", c.Reason, c.Out)
 				}
 			}
 		}
@@ -153,8 +153,8 @@
 // SetLimits sets how many members may be out, and returns whether the record accepted the limits. checkLimitsContinuously uses
 // them from the acknowledgement on: tighter limits bind only members that go out after it.
 func (d *day) SetLimits(all []fleet.Limit) bool {
-	a, err := d.sendAsOperator(fleet.Command{Do: "limits", Limits: all})
-	if err == nil && a.Done {
+	a, err := d.sendAsOperator(fleet.Command{Verb: "limits", Limits: all})
+	if err == nil && a.Applied {
 		d.mu.Lock()
 		d.limits = all
 		d.mu.Unlock()
@@ -164,10 +164,10 @@
 }
 
 // sendAsOperator sends a command as an operator does, who retries it until it is answered, for up to recoveryTimeout.
-func (d *day) sendAsOperator(c fleet.Command) (a fleet.Answer, err error) {
+func (d *day) sendAsOperator(c fleet.Command) (a fleet.CommandResult, err error) {
 	d.mu.Lock()
 	d.operatorCommands++
-	c.Caller, c.Number, c.V = fmt.Sprint("person", d.operatorCommands), 1, fleet.FormOf(&c)
+	c.Caller, c.Number, c.FormatVersion = fmt.Sprint("person", d.operatorCommands), 1, fleet.FormatVersionOf(&c)
 	d.mu.Unlock()
 	if c.By == "" {
 		c.By = "ann"
@@ -181,16 +181,16 @@
 }
 
 // BeginOperation begins an operation and returns its id, or "" and why it was refused.
-func (d *day) BeginOperation(op fleet.Op) (id, why string) {
-	a, err := d.sendAsOperator(fleet.Command{Do: "begin", Op: &op})
-	if err != nil || !a.Done {
-		return "", fmt.Sprint(a.Why, err)
+func (d *day) BeginOperation(op fleet.Operation) (id, why string) {
+	a, err := d.sendAsOperator(fleet.Command{Verb: "begin", Op: &op})
+	if err != nil || !a.Applied {
+		return "", fmt.Sprint(a.Reason, err)
 	}
 	return fmt.Sprintf("%s-%d", op.Kind, a.No), ""
 }
 
 // Operation returns an operation from the record, nil if there is none or the record can't be read.
-func (d *day) Operation(id string) *fleet.Op {
+func (d *day) Operation(id string) *fleet.Operation {
 	r, err := d.readRecord(d.ctx)
 	if err != nil {
 		return nil
@@ -240,12 +240,12 @@
 	if err != nil {
 		return -1
 	}
-	return slices.IndexFunc(d.agents, func(p *agentProcess) bool { return p.file.Name == fleet.AgentOf(r.Matters[matter].Owner) })
+	return slices.IndexFunc(d.agents, func(p *agentProcess) bool { return p.file.Name == fleet.AgentOfOwner(r.Leases[matter].Owner) })
 }
 
 // HaltAgent sends a halt of an operation, a zone or "all" to one agent and returns whether the agent acknowledged it.
 func (d *day) HaltAgent(index int, of string) bool {
-	raw, _ := json.Marshal(fleet.Halt{Of: of, By: "ann", Why: "a look"})
+	raw, _ := json.Marshal(fleet.Halt{Scope: of, By: "ann", Reason: "a look"})
 	response, err := d.http.Post("http://"+d.agents[index].file.Listen+"/v1/halt", "application/json", bytes.NewReader(raw))
 	if err != nil {
 		return false
@@ -296,9 +296,9 @@
 	for _, m := range d.live.Schedulers() {
 		all = append(all, m.ID)
 	}
-	d.SetLimits([]fleet.Limit{{Kind: "scheduler", Share: 0.5}})
+	d.SetLimits([]fleet.Limit{{Kind: "scheduler", MaxOutShare: 0.5}})
 	for i := range times {
-		id, _ := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{all}})
+		id, _ := d.BeginOperation(fleet.Operation{Kind: "restart", Waves: [][]string{all}})
 		d.WaitUntil("it has begun", func() bool { return id != "" && len(d.begunSteps("", true)) > 0 })
 		d.sleep(time.Duration(100+37*(i%20)) * time.Millisecond)
 		agents := d.agents
@@ -312,7 +312,7 @@
 			calls.Go(func() { d.HaltAgent(n, "all") })
 		}
 		if !minority {
-			calls.Go(func() { _, _ = d.sendAsOperator(fleet.Command{Do: "halt", ID: "all", Why: "a look"}) })
+			calls.Go(func() { _, _ = d.sendAsOperator(fleet.Command{Verb: "halt", ID: "all", Reason: "a look"}) })
 		}
 		calls.Wait()
 		ackMs = append(ackMs, float64(time.Since(began))/1e6)
@@ -331,7 +331,7 @@
 				return err == nil && rec.Halts["all"].By != ""
 			})
 		}
-		_, _ = d.sendAsOperator(fleet.Command{Do: "lift", ID: "all"})
+		_, _ = d.sendAsOperator(fleet.Command{Verb: "lift", ID: "all"})
 		d.WaitUntil("it is over", func() bool { op := d.Operation(id); return op != nil && op.Done })
 	}
 	slices.Sort(lastMs)
@@ -346,11 +346,11 @@
 	for _, m := range d.live.Schedulers() {
 		all = append(all, fleet.Member{ID: m.ID, Zone: m.Zone})
 	}
-	d.SetLimits([]fleet.Limit{{Kind: "scheduler", Share: 0.5}})
+	d.SetLimits([]fleet.Limit{{Kind: "scheduler", MaxOutShare: 0.5}})
 	for range times {
 		began := time.Now()
-		id, why := d.BeginOperation(fleet.Op{Kind: "release", Waves: fleet.Waves(all), Version: d.buildRelease("declines-all"), Watch: 4000, AutoBack: true,
-			Gates: fleet.Gates{Settled: 0.3, Txns: 30}})
+		id, why := d.BeginOperation(fleet.Operation{Kind: "release", Waves: fleet.Waves(all), Version: d.buildRelease("declines-all"), WatchMs: 4000, AutoRollBack: true,
+			Gates: fleet.Gates{Settled: 0.3, MinTxns: 30}})
 		if id == "" {
 			d.ReportBreak("refused: %s", why)
 			return
@@ -363,10 +363,10 @@
 			}
 			return !halted.IsZero()
 		})
-		d.WaitUntil("all have what ran before", func() bool { op := d.Operation(id); return op != nil && op.Back && op.Done })
+		d.WaitUntil("all have what ran before", func() bool { op := d.Operation(id); return op != nil && op.RollingBack && op.Done })
 		haltsMs = append(haltsMs, float64(halted.Sub(began))/1e6)
 		backsMs = append(backsMs, float64(time.Since(halted))/1e6)
-		_, _ = d.sendAsOperator(fleet.Command{Do: "close", Matter: fleet.OpOf(id)})
+		_, _ = d.sendAsOperator(fleet.Command{Verb: "close", Lease: fleet.OperationLease(id)})
 	}
 	slices.Sort(haltsMs)
 	slices.Sort(backsMs)
@@ -406,9 +406,9 @@
 	for _, m := range d.live.Schedulers() {
 		all = append(all, m.ID)
 	}
-	d.SetLimits([]fleet.Limit{{Kind: "scheduler", Share: share}})
+	d.SetLimits([]fleet.Limit{{Kind: "scheduler", MaxOutShare: share}})
 	began := time.Now()
-	id, why := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{all}})
+	id, why := d.BeginOperation(fleet.Operation{Kind: "restart", Waves: [][]string{all}})
 	if id == "" {
 		d.ReportBreak("refused: %s", why)
 		return
--- a/lab/cluster/ops_test.go
+++ b/lab/cluster/ops_test.go
@@ -15,7 +15,7 @@
 func intPtr(n int) *int { return &n }
 
 // oneSchedulerOut allows one scheduler, and a quarter of the workers, to be out at once.
-var oneSchedulerOut = []fleet.Limit{{Kind: "scheduler", Most: intPtr(1)}, {Kind: "worker", Share: 0.25}}
+var oneSchedulerOut = []fleet.Limit{{Kind: "scheduler", MaxOut: intPtr(1)}, {Kind: "worker", MaxOutShare: 0.25}}
 
 // All schedulers are restarted one after the other under load, within the limit. The owner of the operation is killed twice
 // between a granted permit and the step that follows from it; a successor must go on at the recorded step.
@@ -23,7 +23,7 @@
 	t.Parallel()
 	r := playDay(t, Options{Seed: 21, Runs: true, Agents: 5, Act: func(d *Day) {
 		d.SetLimits(oneSchedulerOut)
-		id, why := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}})
+		id, why := d.BeginOperation(fleet.Operation{Kind: "restart", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}})
 		if id == "" {
 			d.ReportBreak("refused: %s", why)
 			return
@@ -36,11 +36,11 @@
 			}
 			granted := 0
 			for _, s := range op.Steps {
-				if s.At == fleet.Granted {
+				if s.State == fleet.StepGranted {
 					granted++
 				}
 			}
-			if index := d.OwnerOf(fleet.OpOf(id)); granted > 0 && index >= 0 && kills < 2 {
+			if index := d.OwnerOf(fleet.OperationLease(id)); granted > 0 && index >= 0 && kills < 2 {
 				kills++
 				d.Kill(index)
 				time.Sleep(300 * time.Millisecond)
@@ -67,7 +67,7 @@
 		var both sync.WaitGroup
 		ids := make([]string, 2)
 		for i, id := range []string{"s0", "s1"} { // of zones a and b
-			both.Go(func() { ids[i], _ = d.BeginOperation(fleet.Op{Kind: "drain", Waves: [][]string{{id}}}) })
+			both.Go(func() { ids[i], _ = d.BeginOperation(fleet.Operation{Kind: "drain", Waves: [][]string{{id}}}) })
 		}
 		both.Wait()
 		first := -1
@@ -83,12 +83,12 @@
 		if op := d.Operation(ids[1-first]); op == nil || op.Done {
 			d.ReportBreak("both schedulers are out, or the second drain can't be read")
 		}
-		back, why := d.BeginOperation(fleet.Op{Kind: "undrain", Waves: [][]string{{fmt.Sprint("s", first)}}})
+		back, why := d.BeginOperation(fleet.Operation{Kind: "undrain", Waves: [][]string{{fmt.Sprint("s", first)}}})
 		if back == "" {
 			d.ReportBreak("refused: %s", why)
 		}
 		d.WaitUntil("the other scheduler is out", func() bool { op := d.Operation(ids[1-first]); return op != nil && op.Done })
-		last, why := d.BeginOperation(fleet.Op{Kind: "undrain", Waves: [][]string{{fmt.Sprint("s", 1-first)}}})
+		last, why := d.BeginOperation(fleet.Operation{Kind: "undrain", Waves: [][]string{{fmt.Sprint("s", 1-first)}}})
 		if last == "" {
 			d.ReportBreak("refused: %s", why)
 		}
@@ -110,21 +110,21 @@
 			t.Parallel()
 			r := playDay(t, Options{Seed: 23, Runs: true, Load: 0.5, Act: func(d *Day) {
 				d.SetLimits(oneSchedulerOut)
-				op := fleet.Op{Kind: "release", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}, Version: d.buildRelease(x.bug), Watch: 6000, AutoBack: true,
-					Gates: fleet.Gates{Settled: 0.3, Txns: 30, Lost: 1}}
+				op := fleet.Operation{Kind: "release", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}, Version: d.buildRelease(x.bug), WatchMs: 6000, AutoRollBack: true,
+					Gates: fleet.Gates{Settled: 0.3, MinTxns: 30, MaxLost: 1}}
 				id, why := d.BeginOperation(op)
 				if id == "" {
 					d.ReportBreak("refused: %s", why)
 					return
 				}
-				d.WaitUntil("it has gone back", func() bool { op := d.Operation(id); return op != nil && op.Back && op.Done })
+				d.WaitUntil("it has gone back", func() bool { op := d.Operation(id); return op != nil && op.RollingBack && op.Done })
 				rec, err := d.readRecord(d.ctx)
-				if err != nil || !strings.Contains(rec.Halts[id].Why, x.why) {
-					d.ReportBreak("halted for %q, %v", rec.Halts[id].Why, err)
+				if err != nil || !strings.Contains(rec.Halts[id].Reason, x.why) {
+					d.ReportBreak("halted for %q, %v", rec.Halts[id].Reason, err)
 				}
 				d.WaitUntil("the former program runs everywhere", func() bool { return d.runningPrograms() == 1 })
-				if a, err := d.sendAsOperator(fleet.Command{Do: "close", Matter: fleet.OpOf(id)}); err != nil || !a.Done {
-					d.ReportBreak("not closed: %v %v", a.Why, err)
+				if a, err := d.sendAsOperator(fleet.Command{Verb: "close", Lease: fleet.OperationLease(id)}); err != nil || !a.Applied {
+					d.ReportBreak("not closed: %v %v", a.Reason, err)
 				}
 			}, For: 35 * time.Second})
 			requireNoBreaks(t, r)
@@ -132,8 +132,9 @@
 	}
 }
 
-// A halt is sent only to an agent that is cut off from the others, so no majority knows of it. The agent must start nothing on its
-// machine from then on, keep the halt over a restart and put it on record once it is connected again. Only an operator lifts it.
+// A halt is sent only to an agent that is cut off from the others, so no majority knows of it. The agent must start nothing
+// on its machine from then on, keep the halt over a restart and put it on record once it is connected again. Only an
+// operator lifts it.
 func TestHaltSentToMinority(t *testing.T) {
 	t.Parallel()
 	r := playDay(t, Options{Seed: 24, Runs: true, Act: func(d *Day) {
@@ -145,7 +146,7 @@
 		}
 		d.Kill(index)
 		d.Start(index)
-		id, why := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{{"s0"}}}) // of that agent
+		id, why := d.BeginOperation(fleet.Operation{Kind: "restart", Waves: [][]string{{"s0"}}}) // of that agent
 		if id == "" {
 			d.ReportBreak("refused: %s", why)
 			return
@@ -160,41 +161,41 @@
 		if n := len(d.begunSteps("s0", true)); n > 0 {
 			d.ReportBreak("%d steps were begun at s0 during a halt, expected none", n)
 		}
-		if a, err := d.sendAsOperator(fleet.Command{Do: "lift", ID: "all"}); err != nil || !a.Done {
-			d.ReportBreak("not lifted: %v %v", a.Why, err)
+		if a, err := d.sendAsOperator(fleet.Command{Verb: "lift", ID: "all"}); err != nil || !a.Applied {
+			d.ReportBreak("not lifted: %v %v", a.Reason, err)
 		}
 		d.WaitUntil("it is restarted", func() bool { op := d.Operation(id); return op != nil && op.Done })
 	}, For: 20 * time.Second})
 	requireNoBreaks(t, r)
 }
 
-// The owner of a release is paused for longer than its lease; its successor goes on and the release is halted and rolled back. When
-// the old owner wakes up, its calls must be refused. The agent of another machine is cut off during the release and must roll back
-// once it is connected again.
+// The owner of a release is paused for longer than its lease; its successor goes on and the release is halted and rolled
+// back. When the old owner wakes up, its calls must be refused. The agent of another machine is cut off during the release
+// and must roll back once it is connected again.
 func TestOwnerPausedDuringHalt(t *testing.T) {
 	t.Parallel()
 	r := playDay(t, Options{Seed: 25, Runs: true, Agents: 5, Act: func(d *Day) {
 		d.SetLimits(oneSchedulerOut)
-		id, why := d.BeginOperation(fleet.Op{Kind: "release", Waves: [][]string{{"s0", "s1", "s2", "s3"}}, Version: d.buildRelease("none")})
+		id, why := d.BeginOperation(fleet.Operation{Kind: "release", Waves: [][]string{{"s0", "s1", "s2", "s3"}}, Version: d.buildRelease("none")})
 		if id == "" {
 			d.ReportBreak("refused: %s", why)
 			return
 		}
 		oldOwner := -1
 		d.WaitUntil("it has begun", func() bool {
-			oldOwner = d.OwnerOf(fleet.OpOf(id))
+			oldOwner = d.OwnerOf(fleet.OperationLease(id))
 			return oldOwner >= 0 && len(d.begunSteps("", true)) > 0
 		})
 		d.Pause(oldOwner, 5*time.Second)
-		d.WaitUntil("a successor", func() bool { index := d.OwnerOf(fleet.OpOf(id)); return index >= 0 && index != oldOwner })
+		d.WaitUntil("a successor", func() bool { index := d.OwnerOf(fleet.OperationLease(id)); return index >= 0 && index != oldOwner })
 		cutOff := (oldOwner + 1) % 4 // runs one of s0 to s3
 		d.SetLinks(cutOff, LinkReset, LinkReset)
-		if a, err := d.sendAsOperator(fleet.Command{Do: "halt", ID: id, Then: "back"}); err != nil || !a.Done {
-			d.ReportBreak("not halted: %v %v", a.Why, err)
+		if a, err := d.sendAsOperator(fleet.Command{Verb: "halt", ID: id, Then: "back"}); err != nil || !a.Applied {
+			d.ReportBreak("not halted: %v %v", a.Reason, err)
 		}
 		time.Sleep(3 * time.Second)
 		d.SetLinks(cutOff, LinkUp, LinkUp)
-		d.WaitUntil("it has gone back", func() bool { op := d.Operation(id); return op != nil && op.Back && op.Done })
+		d.WaitUntil("it has gone back", func() bool { op := d.Operation(id); return op != nil && op.RollingBack && op.Done })
 		d.WaitUntil("the former program runs everywhere", func() bool { return d.runningPrograms() == 1 })
 	}, For: 30 * time.Second})
 	requireNoBreaks(t, r)
@@ -208,21 +209,21 @@
 func TestWorkersAreRenewed(t *testing.T) {
 	t.Parallel()
 	r := playDay(t, Options{Seed: 26, Runs: true, Agents: 5, Workers: 8, Act: func(d *Day) {
-		d.SetLimits([]fleet.Limit{{Kind: "worker", Capacity: 0.3}, {Kind: "worker", Zone: "each", Least: 2}})
-		id, why := d.BeginOperation(fleet.Op{Kind: "restart", Waves: [][]string{{"w0", "w1", "w2"}}})
+		d.SetLimits([]fleet.Limit{{Kind: "worker", MaxOutCapacity: 0.3}, {Kind: "worker", Zone: "each", MinInService: 2}})
+		id, why := d.BeginOperation(fleet.Operation{Kind: "restart", Waves: [][]string{{"w0", "w1", "w2"}}})
 		if id == "" {
 			d.ReportBreak("refused: %s", why)
 			return
 		}
 		time.Sleep(1500 * time.Millisecond)
-		if index := d.OwnerOf(fleet.OpOf(id)); index >= 0 {
+		if index := d.OwnerOf(fleet.OperationLease(id)); index >= 0 {
 			d.Kill(index)
 			time.Sleep(200 * time.Millisecond)
 			d.Start(index)
 		}
 		d.WaitUntil("all workers are renewed, or the outcome of one is unknown", func() bool {
 			rec, err := d.readRecord(d.ctx)
-			return err == nil && (rec.Ops[id].Done || strings.Contains(rec.Halts[id].Why, "unknown"))
+			return err == nil && (rec.Ops[id].Done || strings.Contains(rec.Halts[id].Reason, "unknown"))
 		})
 	}, For: 25 * time.Second})
 	requireNoBreaks(t, r)
@@ -257,7 +258,7 @@
 			t.Parallel()
 			r := playDay(t, Options{Seed: 27, Runs: true, Agents: 5, Load: 0.1, Act: func(d *Day) {
 				d.SetLimits(oneSchedulerOut)
-				over := func(op fleet.Op, begun func(d *Day)) {
+				over := func(op fleet.Operation, begun func(d *Day)) {
 					id, why := d.BeginOperation(op)
 					if id == "" {
 						d.ReportBreak("refused: %s", why)
@@ -276,9 +277,9 @@
 				}
 				waves := [][]string{{"s0", "s1", "s2", "s3"}}
 				if name == "ignores SIGTERM" {
-					over(fleet.Op{Kind: "release", Waves: waves[:1], Version: d.buildRelease("ignores-term")}, func(*Day) {})
+					over(fleet.Operation{Kind: "release", Waves: waves[:1], Version: d.buildRelease("ignores-term")}, func(*Day) {})
 				}
-				over(fleet.Op{Kind: "restart", Waves: waves}, fails)
+				over(fleet.Operation{Kind: "restart", Waves: waves}, fails)
 				d.restoreService()
 			}, For: 35 * time.Second})
 			if name == "ignores SIGTERM" { // a killed process loses its open txns, as any killed process does
