--- a/lab/council/operations.go
+++ b/lab/council/operations.go
@@ -35,12 +35,12 @@
 	hosts                  []*schedulerHost
 	hostByScheduler        map[string]*schedulerHost
 	workers                map[string]*simWorker
-	agentDisks             map[string][]byte      // by agent: JSON of the steps that it has begun and of its schedulers' savedRun
-	lyingDisks             map[string]bool        // by agent: its disk acknowledges writes without keeping them
-	stepExecutors          map[string]*fleet.Doer // by agent: decides which steps begin there
+	agentDisks             map[string][]byte              // by agent: JSON of the steps that it has begun and of its schedulers' savedRun
+	lyingDisks             map[string]bool                // by agent: its disk acknowledges writes without keeping them
+	stepExecutors          map[string]*fleet.StepExecutor // by agent: decides which steps begin there
 	limits                 []fleet.Limit
 	currentID              string // of the operation under way, "" until one is on record
-	requested              fleet.Op
+	requested              fleet.Operation
 	releasedProgram        string  // how the released program fails, see simProcess.program; "" for one that works
 	haltAtMS               float64 // simulated time of the halt, 0 if none was requested
 	haltOnGrant            bool    // the halt is still to be requested, shortly after a step was granted
@@ -74,7 +74,7 @@
 type schedulerHost struct {
 	scheduler     *simScheduler
 	agent         *simAgent
-	supervisor    *fleet.Minder
+	supervisor    *fleet.ProcessSupervisor
 	processes     [2]*simProcess
 	failedByFault bool    // it was taken down by a fault and has not served since
 	lastServedMS  float64 // simulated time at which it last served
@@ -104,7 +104,7 @@
 
 func newOperations(sim *simulation) *operations {
 	ops := &operations{sim: sim, hostByScheduler: map[string]*schedulerHost{}, workers: map[string]*simWorker{},
-		agentDisks: map[string][]byte{}, lyingDisks: map[string]bool{}, stepExecutors: map[string]*fleet.Doer{},
+		agentDisks: map[string][]byte{}, lyingDisks: map[string]bool{}, stepExecutors: map[string]*fleet.StepExecutor{},
 		savedRuns: map[string]savedRun{}, reconciled: map[string]bool{}, steppedMembers: map[string]map[string]bool{},
 		waitingCalls: map[string][]func(){}}
 	return ops
@@ -132,11 +132,11 @@
 	}
 	allowedOut := 1 + sim.random.IntN(2)
 	schedulerCount := len(sim.schedulers)
-	ops.limits = []fleet.Limit{{Kind: "scheduler", Share: max(0.05, float64(allowedOut)/float64(schedulerCount))},
-		{Kind: "scheduler", Zone: "each", Share: max(0.04, 1.01/float64(schedulerCount/2))},
-		{Kind: "worker", Share: 0.3}}
+	ops.limits = []fleet.Limit{{Kind: "scheduler", MaxOutShare: max(0.05, float64(allowedOut)/float64(schedulerCount))},
+		{Kind: "scheduler", Zone: "each", MaxOutShare: max(0.04, 1.01/float64(schedulerCount/2))},
+		{Kind: "worker", MaxOutShare: 0.3}}
 	kinds := []string{"release", "release", "restart", "drain", "maintain"}
-	ops.requested = fleet.Op{Kind: kinds[sim.random.IntN(len(kinds))], WaveMost: 60000, Pause: 300}
+	ops.requested = fleet.Operation{Kind: kinds[sim.random.IntN(len(kinds))], MaxWaveMs: 60000, PauseMs: 300}
 	var ids []string
 	for _, scheduler := range sim.schedulers {
 		ids = append(ids, scheduler.ID)
@@ -154,11 +154,11 @@
 	}
 	if ops.requested.Kind == "release" {
 		ops.releasedProgram = []string{"", "", "never", "crash", "early"}[sim.random.IntN(5)]
-		ops.requested.Watch, ops.requested.AutoBack = 400, sim.random.IntN(2) == 0
+		ops.requested.WatchMs, ops.requested.AutoRollBack = 400, sim.random.IntN(2) == 0
 		ops.requested.Version = fleet.Version{Program: "/new", Digest: "new", Name: "new"}
 	}
 	if sim.options.Calm {
-		ops.releasedProgram, ops.requested.Kind, ops.requested.Watch, ops.requested.WaveMost = "", "release", 0, 0
+		ops.releasedProgram, ops.requested.Kind, ops.requested.WatchMs, ops.requested.MaxWaveMs = "", "release", 0, 0
 		// One wave, so that only the limits bound how many members are out.
 		ops.requested.Waves = [][]string{slices.Concat(ops.requested.Waves...)}
 		ops.requested.Version = fleet.Version{Program: "/new", Digest: "new", Name: "new"}
@@ -178,11 +178,11 @@
 	record, maxOut := fleet.NewRecord(), 0.0
 	record.Limits = ops.limits
 	for _, host := range ops.hosts {
-		record.Members[host.scheduler.ID], record.Health[host.scheduler.ID] = host.scheduler.Member, fleet.Seen{State: fleet.InService}
+		record.Members[host.scheduler.ID], record.Health[host.scheduler.ID] = host.scheduler.Member, fleet.Health{State: fleet.HealthInService}
 	}
 	for _, host := range ops.hosts {
-		if !slices.ContainsFunc(record.Room(host.scheduler.ID), func(count fleet.Count) bool { return count.Why != "" }) {
-			record.Health[host.scheduler.ID] = fleet.Seen{State: "out"}
+		if !slices.ContainsFunc(record.LimitCounts(host.scheduler.ID), func(count fleet.LimitCount) bool { return count.Reason != "" }) {
+			record.Health[host.scheduler.ID] = fleet.Health{State: "out"}
 			maxOut++
 		}
 	}
@@ -196,7 +196,7 @@
 	}
 	executor := ops.stepExecutors[agent.id]
 	if executor == nil {
-		executor = fleet.NewDoer("")
+		executor = fleet.NewStepExecutor("")
 	}
 	runs := map[string]savedRun{}
 	for _, host := range ops.hosts {
@@ -205,21 +205,21 @@
 		}
 	}
 	ops.agentDisks[agent.id], _ = json.Marshal(struct {
-		Doer *fleet.Doer
-		Runs map[string]savedRun
+		Executor *fleet.StepExecutor
+		Runs     map[string]savedRun
 	}{executor, runs})
 }
 
 // restoreAgent starts an agent from its disk: it reads the steps it had begun, and adopts the processes that still run.
 func (ops *operations) restoreAgent(agent *simAgent) {
 	var disk struct {
-		Doer *fleet.Doer
-		Runs map[string]savedRun
+		Executor *fleet.StepExecutor
+		Runs     map[string]savedRun
 	}
 	_ = json.Unmarshal(ops.agentDisks[agent.id], &disk)
 	ops.lyingDisks[agent.id] = false
-	executor := disk.Doer
-	executor.Start, executor.Bug = fmt.Sprint(agent.startCount), ops.sim.options.Bug
+	executor := disk.Executor
+	executor.Start, executor.InjectedFault = fmt.Sprint(agent.startCount), ops.sim.options.Bug
 	for id, note := range executor.Notes {
 		if note.Call == "command" && note.State == "going" {
 			note.State = "unknown"
@@ -251,12 +251,12 @@
 			saved.Gen, saved.Good, serves = newest, oldest, oldest != newest
 		}
 		ops.savedRuns[host.scheduler.ID] = saved
-		host.supervisor = &fleet.Minder{ReadyMost: readyTimeoutMS, KillAfter: killAfterMS}
-		host.supervisor.Good(saved.Good)
-		host.supervisor.Wants(localNowMS, saved.Run, saved.Gen)
+		host.supervisor = &fleet.ProcessSupervisor{ReadyTimeoutMs: readyTimeoutMS, KillDelayMs: killAfterMS}
+		host.supervisor.SetLastReady(saved.Good)
+		host.supervisor.SetWanted(localNowMS, saved.Run, saved.Gen)
 		for slot, process := range host.processes {
 			if process != nil {
-				host.supervisor.Adopt(fleet.Proc{Slot: slot, Gen: process.generation, Since: localNowMS,
+				host.supervisor.Adopt(fleet.Process{Slot: slot, Generation: process.generation, Since: localNowMS,
 					Ready: process.generation == saved.Good && serves})
 			}
 		}
@@ -278,7 +278,7 @@
 			!ops.steppedMembers[agent.id][host.scheduler.ID] && shouldRun != saved.Run {
 			saved.Run = shouldRun
 			ops.savedRuns[host.scheduler.ID] = saved
-			host.supervisor.Wants(agent.clock.read(ops.sim.nowMS), saved.Run, saved.Gen)
+			host.supervisor.SetWanted(agent.clock.read(ops.sim.nowMS), saved.Run, saved.Gen)
 		}
 	}
 	ops.saveDisk(agent)
@@ -302,7 +302,7 @@
 	if leader := ops.sim.leader(); ops.haltOnGrant && leader != nil && ops.sim.random.IntN(4) == 0 {
 		if op := leader.node.Record.Ops[ops.currentID]; op != nil {
 			for _, step := range op.Steps { // whether a granted step is found does not depend on the map's order
-				if fleet.Takes(step) {
+				if fleet.TakesOut(step) {
 					ops.haltOnGrant, ops.haltAtMS = false, nowMS
 					ops.sim.schedule(60*ops.sim.random.Float64(), ops.requestHalt)
 					break
@@ -330,9 +330,9 @@
 		}
 		if ops.limits != nil {
 			record.Members[host.scheduler.ID] = host.scheduler.Member
-			record.Health[host.scheduler.ID] = fleet.Seen{State: fleet.InService}
+			record.Health[host.scheduler.ID] = fleet.Health{State: fleet.HealthInService}
 			if !serves && !host.failedByFault {
-				record.Health[host.scheduler.ID] = fleet.Seen{State: "out"}
+				record.Health[host.scheduler.ID] = fleet.Health{State: "out"}
 				outOnPurpose = append(outOnPurpose, host.scheduler.ID)
 			}
 		}
@@ -341,9 +341,9 @@
 		for _, id := range slices.Sorted(maps.Keys(ops.workers)) {
 			worker := ops.workers[id]
 			record.Members[id] = fleet.Member{ID: id, Kind: "worker", Zone: worker.zone, Capacity: 1}
-			record.Health[id] = fleet.Seen{State: fleet.InService}
+			record.Health[id] = fleet.Health{State: fleet.HealthInService}
 			if nowMS < worker.warmAtMS {
-				record.Health[id] = fleet.Seen{State: "cold"}
+				record.Health[id] = fleet.Health{State: "cold"}
 				outOnPurpose = append(outOnPurpose, id)
 			}
 		}
@@ -355,10 +355,10 @@
 		for _, id := range outOnPurpose { // members of the same kind and zone count against the same limits: one is enough
 			if key := record.Members[id].Kind + record.Members[id].Zone; !checkedZones[key] {
 				checkedZones[key] = true
-				for _, count := range record.Room(id) {
-					if count.Why != "" && !ops.limitViolationReported {
+				for _, count := range record.LimitCounts(id) {
+					if count.Reason != "" && !ops.limitViolationReported {
 						ops.limitViolationReported = true
-						ops.sim.reportViolation("by truth: %s: %v", count.Why, count.Out)
+						ops.sim.reportViolation("by truth: %s: %v", count.Reason, count.Out)
 					}
 				}
 			}
@@ -372,7 +372,7 @@
 	localNowMS := agent.clock.read(ops.sim.nowMS)
 	executor := ops.stepExecutors[agent.id]
 	ops.reconcile(agent)
-	if executor.Lifted(agent.record) {
+	if executor.DropLiftedHalts(agent.record) {
 		ops.saveDisk(agent)
 	}
 	for _, host := range ops.hosts {
@@ -382,7 +382,7 @@
 		for _, process := range slices.Clone(host.supervisor.Procs()) {
 			actual := host.processes[process.Slot]
 			switch {
-			case actual == nil || actual.generation != process.Gen || actual.endAtMS > 0 && ops.sim.nowMS >= actual.endAtMS:
+			case actual == nil || actual.generation != process.Generation || actual.endAtMS > 0 && ops.sim.nowMS >= actual.endAtMS:
 				host.supervisor.Ended(localNowMS, process.Slot)
 			case !process.Ready && ops.sim.nowMS >= actual.readyAtMS:
 				host.supervisor.Ready(process.Slot)
@@ -405,15 +405,15 @@
 }
 
 // applyAction starts or ends a model process.
-func (ops *operations) applyAction(host *schedulerHost, action fleet.Deed) {
+func (ops *operations) applyAction(host *schedulerHost, action fleet.ProcessAction) {
 	sim := ops.sim
 	process := host.processes[action.Slot]
 	switch {
-	case action.Do == "start":
+	case action.Action == "start":
 		host.lastStartMS = sim.nowMS
-		process = &simProcess{generation: action.Gen, program: ops.savedRuns[host.scheduler.ID].Pairs[action.Gen],
+		process = &simProcess{generation: action.Generation, program: ops.savedRuns[host.scheduler.ID].Pairs[action.Generation],
 			readyAtMS: sim.nowMS + 100 + 500*sim.random.Float64()}
-		switch ops.savedRuns[host.scheduler.ID].Pairs[action.Gen] {
+		switch ops.savedRuns[host.scheduler.ID].Pairs[action.Generation] {
 		case "never":
 			process.readyAtMS = neverMS
 		case "crash":
@@ -424,13 +424,13 @@
 		}
 		host.processes[action.Slot] = process
 	case process == nil:
-	case action.Do == "term":
+	case action.Action == "term":
 		if process.terminating = true; process.endAtMS == 0 {
 			process.endAtMS = sim.nowMS + 100 + 900*sim.random.Float64()
 			ops.memberWorkMS += process.endAtMS - host.lastStartMS
 			sim.schedule(process.endAtMS-sim.nowMS, func() { sim.wakeAgent(host.agent) })
 		}
-	case action.Do == "kill":
+	case action.Action == "kill":
 		process.terminating, process.endAtMS = true, sim.nowMS
 	}
 }
@@ -438,9 +438,9 @@
 // driveOperation does the work of an operation's owner, as agent.Agent does: it calls agents and submits commands.
 func (ops *operations) driveOperation(agent *simAgent, localNowMS float64, matterName string, owned *ownership) {
 	for {
-		call, ok := owned.operationRunner.NextLook(localNowMS)
+		call, ok := owned.operationRunner.NextAgentStatusCall(localNowMS)
 		if !ok {
-			if call, ok = owned.operationRunner.NextDo(localNowMS); !ok {
+			if call, ok = owned.operationRunner.NextAgentCall(localNowMS); !ok {
 				break
 			}
 		}
@@ -451,22 +451,22 @@
 		if !ok {
 			return
 		}
-		ops.sim.sendCommand(agent, matterName+"/steps/"+command.ID, command, func(fleet.Answer) { owned.operationRunner.Commanded(command) })
+		ops.sim.sendCommand(agent, matterName+"/steps/"+command.ID, command, func(fleet.CommandResult) { owned.operationRunner.CommandAnswered(command) })
 	}
 }
 
 // callAgent makes a call of an operation's owner at the agent of a member.
-func (ops *operations) callAgent(agent *simAgent, owned *ownership, call fleet.Do) {
+func (ops *operations) callAgent(agent *simAgent, owned *ownership, call fleet.AgentCall) {
 	sim, startCount, answered := ops.sim, agent.startCount, false
 	ops.agentCalls++
-	answer := func(result fleet.Did) {
+	answer := func(result fleet.AgentResult) {
 		if !answered && agent.startCount == startCount && agent.up {
 			answered = true
-			owned.operationRunner.Did(agent.clock.read(sim.nowMS), call, result)
+			owned.operationRunner.AgentCalled(agent.clock.read(sim.nowMS), call, result)
 			sim.wakeAgent(agent)
 		}
 	}
-	sim.schedule(agentCallTimeoutMS, func() { answer(fleet.Did{}) })
+	sim.schedule(agentCallTimeoutMS, func() { answer(fleet.AgentResult{}) })
 	deliveries := 1
 	if sim.lossProbability > 0 && sim.random.IntN(10) == 0 {
 		deliveries = 2 // the call is delivered twice, the second time possibly seconds later
@@ -474,7 +474,7 @@
 	for range deliveries {
 		if delayMS, ok := sim.drawDelay(agent.id, call.Agent.ID); ok {
 			sim.schedule(delayMS, func() {
-				ops.handleAgentCall(call, func(result fleet.Did) {
+				ops.handleAgentCall(call, func(result fleet.AgentResult) {
 					if delayMS, ok := sim.drawDelay(call.Agent.ID, agent.id); ok {
 						sim.schedule(delayMS, func() { answer(result) })
 					}
@@ -486,7 +486,7 @@
 
 // handleAgentCall handles a call at an agent, after the agent's pause if it is paused. It is not answered if the agent is
 // down or was restarted.
-func (ops *operations) handleAgentCall(call fleet.Do, reply func(fleet.Did)) {
+func (ops *operations) handleAgentCall(call fleet.AgentCall, reply func(fleet.AgentResult)) {
 	sim := ops.sim
 	i := slices.IndexFunc(sim.agents, func(agent *simAgent) bool { return agent.id == call.Agent.ID })
 	if i < 0 || !sim.agents[i].up {
@@ -509,7 +509,7 @@
 		executor := ops.stepExecutors[agent.id]
 		if call.Call == "look" {
 			host := ops.hostByScheduler[call.Member]
-			reply(fleet.Did{Reached: true, State: "going", Start: executor.Start, Down: host != nil && host.supervisor.Down()})
+			reply(fleet.AgentResult{Reached: true, State: "going", Start: executor.Start, Down: host != nil && host.supervisor.IsDown()})
 			return
 		}
 		if ops.answerKnownStep(agent, call, sim.nowMS+agentCallTimeoutMS/2, reply) {
@@ -536,9 +536,9 @@
 
 // answerKnownStep answers a call for a step that the agent has begun before, once the step is over or at untilMS (simulated
 // time) at the latest. It returns false if the step has not begun.
-func (ops *operations) answerKnownStep(agent *simAgent, call fleet.Do, untilMS float64, reply func(fleet.Did)) bool {
+func (ops *operations) answerKnownStep(agent *simAgent, call fleet.AgentCall, untilMS float64, reply func(fleet.AgentResult)) bool {
 	ops.refreshNote(agent, call.Member)
-	result, known := ops.stepExecutors[agent.id].Known(call)
+	result, known := ops.stepExecutors[agent.id].KnownResult(call)
 	switch startCount := agent.startCount; {
 	case !known:
 	case result.State != "going" || ops.sim.nowMS >= untilMS:
@@ -576,7 +576,7 @@
 
 // beginStep has an agent begin a step, if the record (nil if it could not be read) allows that, and checks that steps begun
 // keep to the halts and limits and that no site's command is run twice for a step.
-func (ops *operations) beginStep(agent *simAgent, call fleet.Do, record *fleet.Record) fleet.Did {
+func (ops *operations) beginStep(agent *simAgent, call fleet.AgentCall, record *fleet.Record) fleet.AgentResult {
 	sim, executor := ops.sim, ops.stepExecutors[agent.id]
 	result, begins := executor.Begin(call, record)
 	if !begins {
@@ -587,24 +587,24 @@
 	}
 	op := record.Ops[call.Op]
 	step := op.Steps[call.Member]
-	if !ops.haltLifted && ops.haltAtMS > 0 && sim.nowMS > ops.haltAtMS && fleet.Takes(step) &&
-		executor.Halts["all"].Of != "" {
+	if !ops.haltLifted && ops.haltAtMS > 0 && sim.nowMS > ops.haltAtMS && fleet.TakesOut(step) &&
+		executor.Halts["all"].Scope != "" {
 		sim.reportViolation("%s began to take %s out after its yes to a halt", agent.id, call.Member)
 	}
-	if host := ops.hostByScheduler[call.Member]; host != nil && fleet.Takes(step) {
+	if host := ops.hostByScheduler[call.Member]; host != nil && fleet.TakesOut(step) {
 		// A scheduler that has been down for longer than longDownMS counts against the limits, whatever took it down.
 		actual := fleet.NewRecord()
 		actual.Limits = ops.limits
 		for _, other := range ops.hosts {
 			actual.Members[other.scheduler.ID] = other.scheduler.Member
-			actual.Health[other.scheduler.ID] = fleet.Seen{State: fleet.InService}
+			actual.Health[other.scheduler.ID] = fleet.Health{State: fleet.HealthInService}
 			if sim.nowMS-other.lastServedMS > longDownMS && other != host {
-				actual.Health[other.scheduler.ID] = fleet.Seen{State: "down"}
+				actual.Health[other.scheduler.ID] = fleet.Health{State: "down"}
 			}
 		}
-		for _, count := range actual.Room(call.Member) {
-			if count.Why != "" {
-				sim.reportViolation("%s was taken out while others were down for long: %s: %v", call.Member, count.Why, count.Out)
+		for _, count := range actual.LimitCounts(call.Member) {
+			if count.Reason != "" {
+				sim.reportViolation("%s was taken out while others were down for long: %s: %v", call.Member, count.Reason, count.Out)
 			}
 		}
 	}
@@ -633,18 +633,18 @@
 	if state, _ := host.supervisor.State(); saved.Good != saved.Gen && state == "failed" {
 		current = saved.Pairs[saved.Good]
 	}
-	wanted, restartSame := current, op.Kind == "restart" && !op.Back
+	wanted, restartSame := current, op.Kind == "restart" && !op.RollingBack
 	switch former, formerSaved := saved.Former[op.ID]; {
 	case call.Call == "stop":
-	case op.Kind == "release" && (op.Back || step.Undo):
+	case op.Kind == "release" && (op.RollingBack || step.Undo):
 		if formerSaved {
 			wanted = former
 		} else if current != "" {
 			note := executor.Notes[call.Member]
-			note.State, note.Why = "failed", "what ran before is not kept here"
+			note.State, note.Reason = "failed", "what ran before is not kept here"
 			executor.Notes[call.Member] = note
 			ops.saveDisk(agent)
-			result.State, result.Why = note.State, note.Why
+			result.State, result.Reason = note.State, note.Reason
 			return result
 		}
 	case op.Kind == "release":
@@ -669,7 +669,7 @@
 	ops.savedRuns[call.Member] = saved
 	ops.steppedMembers[agent.id][call.Member] = true
 	ops.saveDisk(agent)
-	host.supervisor.Wants(agent.clock.read(sim.nowMS), saved.Run, saved.Gen)
+	host.supervisor.SetWanted(agent.clock.read(sim.nowMS), saved.Run, saved.Gen)
 	return result
 }
 
@@ -680,7 +680,7 @@
 	if host == nil || note.State != "going" {
 		return
 	}
-	if note.State, note.Why = host.supervisor.State(); note.State != "going" {
+	if note.State, note.Reason = host.supervisor.State(); note.State != "going" {
 		executor.Notes[member] = note
 		ops.saveDisk(agent)
 	}
@@ -688,7 +688,7 @@
 
 // schedulerStatus fills in what a scheduler reports of itself and of its zone's workers. It returns false if no process of
 // the scheduler can answer.
-func (ops *operations) schedulerStatus(scheduler *simScheduler, zone string, reply *fleet.Reply) bool {
+func (ops *operations) schedulerStatus(scheduler *simScheduler, zone string, reply *fleet.SchedulerReply) bool {
 	host := ops.hostByScheduler[scheduler.ID]
 	running := false
 	for _, process := range host.processes {
@@ -720,11 +720,11 @@
 	sim := ops.sim
 	sim.sequence++
 	caller := fmt.Sprint("person", sim.sequence)
-	limits := fleet.Command{Caller: caller, Number: 1, Do: "limits", By: "ann", Limits: ops.limits}
-	sim.submit("client", limits, noTimeoutMS, func(fleet.Answer) {
-		begin := fleet.Command{Caller: caller, Number: 2, Do: "begin", By: "ann", Op: &ops.requested}
-		sim.submit("client", begin, noTimeoutMS, func(answer fleet.Answer) {
-			if !answer.Done { // not all members are on record yet, or a halt is in force
+	limits := fleet.Command{Caller: caller, Number: 1, Verb: "limits", By: "ann", Limits: ops.limits}
+	sim.submit("client", limits, noTimeoutMS, func(fleet.CommandResult) {
+		begin := fleet.Command{Caller: caller, Number: 2, Verb: "begin", By: "ann", Op: &ops.requested}
+		sim.submit("client", begin, noTimeoutMS, func(answer fleet.CommandResult) {
+			if !answer.Applied { // not all members are on record yet, or a halt is in force
 				sim.schedule(beginRetryMS, ops.requestOperation)
 				return
 			}
@@ -740,14 +740,14 @@
 	sim := ops.sim
 	sim.sequence++
 	sim.traceEvent("halt")
-	sim.submit("client", fleet.Command{Caller: fmt.Sprint("halt", sim.sequence), Number: 1, Do: "halt", ID: "all", By: "ann",
-		Why: "a look"}, noTimeoutMS, func(fleet.Answer) {})
+	sim.submit("client", fleet.Command{Caller: fmt.Sprint("halt", sim.sequence), Number: 1, Verb: "halt", ID: "all", By: "ann",
+		Reason: "a look"}, noTimeoutMS, func(fleet.CommandResult) {})
 	for _, agent := range sim.agents {
 		if delayMS, ok := sim.drawDelay("client", agent.id); ok {
 			sim.schedule(delayMS, func() {
 				if executor := ops.stepExecutors[agent.id]; agent.up && agent.pausedUntilMS <= sim.nowMS &&
-					executor.Halts["all"].Of == "" && !ops.haltLifted {
-					executor.Halts["all"] = fleet.Halt{Of: "all", By: "ann", No: 1}
+					executor.Halts["all"].Scope == "" && !ops.haltLifted {
+					executor.Halts["all"] = fleet.Halt{Scope: "all", By: "ann", No: 1}
 					ops.saveDisk(agent)
 				}
 			})
@@ -761,10 +761,10 @@
 	sim := ops.sim
 	sim.sequence++
 	caller := fmt.Sprint("lift", sim.sequence)
-	lift := fleet.Command{Caller: caller, Number: 1, Do: "lift", ID: "all", By: "ann"}
-	sim.submit("client", lift, noTimeoutMS, func(answer fleet.Answer) {
+	lift := fleet.Command{Caller: caller, Number: 1, Verb: "lift", ID: "all", By: "ann"}
+	sim.submit("client", lift, noTimeoutMS, func(answer fleet.CommandResult) {
 		ops.haltLifted = true
-		sim.traceEvent("lifted %t %s", answer.Done, answer.Why)
+		sim.traceEvent("lifted %t %s", answer.Applied, answer.Reason)
 	})
 }
 
@@ -783,16 +783,16 @@
 		ops.liftHalt()
 	}
 	switch {
-	case halted && !op.Back && !ops.rollbackRequested:
+	case halted && !op.RollingBack && !ops.rollbackRequested:
 		ops.rollbackRequested = true
 		sim.sequence++
-		sim.submit("client", fleet.Command{Caller: fmt.Sprint("turn", sim.sequence), Number: 1, Do: "turn",
-			Matter: fleet.OpOf(ops.currentID), By: "ann"}, noTimeoutMS, func(fleet.Answer) {})
+		sim.submit("client", fleet.Command{Caller: fmt.Sprint("turn", sim.sequence), Number: 1, Verb: "turn",
+			Lease: fleet.OperationLease(ops.currentID), By: "ann"}, noTimeoutMS, func(fleet.CommandResult) {})
 	case op.Done && op.Kind == "drain" && !ops.undrainRequested:
 		ops.undrainRequested = true
 		sim.sequence++
-		sim.submit("client", fleet.Command{Caller: fmt.Sprint("undrain", sim.sequence), Number: 1, Do: "begin", By: "ann",
-			Op: &fleet.Op{Kind: "undrain", Waves: op.Waves}}, noTimeoutMS, func(answer fleet.Answer) {
+		sim.submit("client", fleet.Command{Caller: fmt.Sprint("undrain", sim.sequence), Number: 1, Verb: "begin", By: "ann",
+			Op: &fleet.Operation{Kind: "undrain", Waves: op.Waves}}, noTimeoutMS, func(answer fleet.CommandResult) {
 			ops.currentID = fmt.Sprintf("undrain-%d", answer.No)
 		})
 	case op.Done && op.Kind != "drain" && ops.endedMS == 0:
@@ -807,9 +807,9 @@
 		}
 		ops.lastUndrainMS = sim.nowMS
 		sim.sequence++
-		sim.submit("client", fleet.Command{Caller: fmt.Sprint("undrain", sim.sequence), Number: 1, Do: "begin", By: "ann",
-			Op: &fleet.Op{Kind: "undrain", Waves: [][]string{out}}}, undrainTimeoutMS, func(answer fleet.Answer) {
-			if answer.Done {
+		sim.submit("client", fleet.Command{Caller: fmt.Sprint("undrain", sim.sequence), Number: 1, Verb: "begin", By: "ann",
+			Op: &fleet.Operation{Kind: "undrain", Waves: [][]string{out}}}, undrainTimeoutMS, func(answer fleet.CommandResult) {
+			if answer.Applied {
 				ops.currentID = fmt.Sprintf("undrain-%d", answer.No)
 			}
 		})
@@ -819,8 +819,8 @@
 // leftToOperator tells whether an operation has halted itself with a reason and can't go on without an operator: the
 // released program fails again and again, and the agent's disk has lost what ran before. Every member that has not finished
 // must run that program, and its agent must report it as failed.
-func (ops *operations) leftToOperator(record *fleet.Record, op *fleet.Op) bool {
-	if op == nil || record.Halts[op.ID].By != fleet.OpOf(op.ID) {
+func (ops *operations) leftToOperator(record *fleet.Record, op *fleet.Operation) bool {
+	if op == nil || record.Halts[op.ID].By != fleet.OperationLease(op.ID) {
 		return false
 	}
 	for id, step := range op.Steps {
@@ -839,7 +839,7 @@
 }
 
 // checkFinalState checks that the operation has ended or is left to an operator, that no member holds a permit to be out,
-// and that every scheduler serves. Members whose step has a reason (Why) for not going on are exempt from the last two.
+// and that every scheduler serves. Members whose step has a Reason for not going on are exempt from the last two.
 func (ops *operations) checkFinalState(record *fleet.Record) {
 	sim := ops.sim
 	op := record.Ops[ops.currentID]
@@ -856,29 +856,30 @@
 					if host := ops.hostByScheduler[id]; host != nil {
 						state, why = host.supervisor.State()
 					}
-					for _, count := range record.Room(id) {
+					for _, count := range record.LimitCounts(id) {
 						for _, other := range count.Out {
 							why, _ := record.IsOut(other)
 							details += other + " " + why + ", "
 						}
 					}
-					details += fmt.Sprintf("; [%s] ", record.Grant(op, id))
-					details += fmt.Sprintf("; %s at %s since %d undo %t (%s) seen %+v minder %s %s note %+v", id, step.At, step.No,
-						step.Undo, step.Why, record.Health[id], state, why, ops.stepExecutors[record.Members[id].Agent].Notes[id])
+					details += fmt.Sprintf("; [%s] ", record.GrantRefusal(op, id))
+					note := ops.stepExecutors[record.Members[id].Agent].Notes[id]
+					details += fmt.Sprintf("; %s at %s since %d undo %t (%s) seen %+v minder %s %s note {No:%d Op:%s Call:%s State:%s Why:%s}", id, step.State, step.No,
+						step.Undo, step.Reason, record.Health[id], state, why, note.No, note.Op, note.Call, note.State, note.Reason)
 				}
 			}
-			details = fmt.Sprintf("%s back %t wave %d of %d halts %v: %s", op.ID, op.Back, op.Wave, len(op.Waves), record.Halts, details)
+			details = fmt.Sprintf("%s back %t wave %d of %d halts %v: %s", op.ID, op.RollingBack, op.Wave, len(op.Waves), record.Halts, details)
 		}
 		sim.reportViolation("the operation has not ended: %s", details)
 		return
 	}
 	for id, permit := range record.Permits {
-		if step := op.Steps[id]; step.Why == "" {
+		if step := op.Steps[id]; step.Reason == "" {
 			sim.reportViolation("%s still has a permit of %s", id, permit.Op)
 		}
 	}
 	for _, host := range ops.hosts {
-		if !host.serves(sim.nowMS) && op.Steps[host.scheduler.ID].Why == "" {
+		if !host.serves(sim.nowMS) && op.Steps[host.scheduler.ID].Reason == "" {
 			state, why := host.supervisor.State()
 			sim.reportViolation("%s does not serve at the end: %s %s, kept %+v, procs %v %v, agent up %t", host.scheduler.ID, state, why,
 				ops.savedRuns[host.scheduler.ID], host.processes[0], host.processes[1], host.agent.up)
--- a/lab/council/simulation.go
+++ b/lab/council/simulation.go
@@ -90,13 +90,13 @@
 	node               *quorum.Node
 	disk               *quorum.Memory
 	clock              clock
-	pausedUntilMS      float64                       // simulated time; the process does nothing before it
-	joining            bool                          // it joins an existing group of voters
-	replacedID         uint64                        // the voter whose place it took, 0 for none
-	replacementPending bool                          // a new voter is about to take its place
-	lastCheckedCommand uint64                        // number of the command after which its record was last checked
-	pendingAnswers     map[string]func(fleet.Answer) // callbacks by "CALLER NUMBER" of a proposed command
-	heldMessages       []quorum.Letter               // messages that arrived during a pause
+	pausedUntilMS      float64                              // simulated time; the process does nothing before it
+	joining            bool                                 // it joins an existing group of voters
+	replacedID         uint64                               // the voter whose place it took, 0 for none
+	replacementPending bool                                 // a new voter is about to take its place
+	lastCheckedCommand uint64                               // number of the command after which its record was last checked
+	pendingAnswers     map[string]func(fleet.CommandResult) // callbacks by "CALLER NUMBER" of a proposed command
+	heldMessages       []quorum.Letter                      // messages that arrived during a pause
 }
 
 // simAgent is one agent: the production decisions of package fleet on a simulated process.
@@ -107,7 +107,7 @@
 	clock             clock
 	up                bool
 	pausedUntilMS     float64 // simulated time; the process does nothing before it
-	duty              *fleet.Duty
+	duty              *fleet.LeaseClaimer
 	owned             map[string]*ownership // by matter
 	record            *fleet.Record         // the record as it last read it; shared between agents, not to be changed
 	lastCommandNumber uint64
@@ -118,15 +118,15 @@
 // ownership is what an agent keeps for a matter that it owns. notifier and zone are set for a zone's matter,
 // operationRunner for an operation's.
 type ownership struct {
-	lease           *fleet.Hold
-	notifier        *fleet.Teller
-	operationRunner *fleet.Carrier
+	lease           *fleet.HeldLease
+	notifier        *fleet.ZoneController
+	operationRunner *fleet.OperationController
 	zone            string
 	openCalls       int // calls at schedulers that have neither been answered nor timed out
 }
 
 // superseded tells whether a scheduler has named a higher fence, so that another agent must own the matter by now.
-func (o *ownership) superseded() bool { return o.notifier != nil && o.notifier.Passed > 0 }
+func (o *ownership) superseded() bool { return o.notifier != nil && o.notifier.SupersededBy > 0 }
 
 // simScheduler models how a scheduler treats the calls of agents.
 type simScheduler struct {
@@ -202,7 +202,7 @@
 		sim.initialVoters[uint64(i+1)] = fmt.Sprint("v", i+1)
 	}
 	for i := range options.Voters {
-		v := &voter{id: uint64(i + 1), disk: quorum.NewMemory(), clock: sim.newClock(), pendingAnswers: map[string]func(fleet.Answer){}}
+		v := &voter{id: uint64(i + 1), disk: quorum.NewMemory(), clock: sim.newClock(), pendingAnswers: map[string]func(fleet.CommandResult){}}
 		sim.voters = append(sim.voters, v)
 		sim.openVoter(v)
 	}
@@ -252,7 +252,7 @@
 	maxMS := startupMS + 2*sim.options.For + recoveryMS
 	if sim.ops != nil {
 		// In the worst case members are taken out and brought back one after the other, after a wave has used up its time limit.
-		maxMS += memberStepsMS*float64(min(len(sim.schedulers), 40)+len(sim.ops.workers)) + sim.ops.requested.WaveMost
+		maxMS += memberStepsMS*float64(min(len(sim.schedulers), 40)+len(sim.ops.workers)) + sim.ops.requested.MaxWaveMs
 	}
 	return maxMS
 }
@@ -292,8 +292,8 @@
 func (sim *simulation) startAgent(agent *simAgent) {
 	agent.startCount++
 	agent.up, agent.record, agent.owned, agent.commandPending = true, fleet.NewRecord(), map[string]*ownership{}, map[string]bool{}
-	agent.duty = fleet.NewDuty(agent.id, fmt.Sprint(agent.startCount), sim.leaseTermMS)
-	agent.duty.Hurry = sim.options.Bug == "new-leader-hurries"
+	agent.duty = fleet.NewLeaseClaimer(agent.id, fmt.Sprint(agent.startCount), sim.leaseTermMS)
+	agent.duty.ClaimWithoutWaiting = sim.options.Bug == "new-leader-hurries"
 	if sim.ops != nil && len(sim.ops.hosts) > 0 {
 		sim.ops.restoreAgent(agent)
 	}
@@ -316,8 +316,8 @@
 		}
 	}
 	for _, member := range members {
-		sim.submit("lab", fleet.Command{Caller: "lab" + member.ID, Number: 1, Do: "member", Member: &member}, noTimeoutMS,
-			func(fleet.Answer) {})
+		sim.submit("lab", fleet.Command{Caller: "lab" + member.ID, Number: 1, Verb: "member", Member: &member}, noTimeoutMS,
+			func(fleet.CommandResult) {})
 	}
 }
 
@@ -335,8 +335,8 @@
 
 // submit sends a command to every voter that takes itself for the leader, and again every resubmitMS until an answer has
 // come or timeoutMS is over. onAnswer is called once, or never.
-func (sim *simulation) submit(from string, command fleet.Command, timeoutMS float64, onAnswer func(fleet.Answer)) {
-	command.V = fleet.FormOf(&command)
+func (sim *simulation) submit(from string, command fleet.Command, timeoutMS float64, onAnswer func(fleet.CommandResult)) {
+	command.FormatVersion = fleet.FormatVersionOf(&command)
 	raw, _ := json.Marshal(command)
 	key, answered, untilMS := fmt.Sprint(command.Caller, " ", command.Number), false, sim.nowMS+timeoutMS
 	var attempt func()
@@ -354,7 +354,7 @@
 					if v.node != node || v.pausedUntilMS > sim.nowMS {
 						return
 					}
-					v.pendingAnswers[key] = func(answer fleet.Answer) {
+					v.pendingAnswers[key] = func(answer fleet.CommandResult) {
 						if delayMS, ok := sim.drawDelay(fmt.Sprint("v", v.id), from); ok {
 							sim.schedule(delayMS, func() {
 								if !answered {
@@ -490,7 +490,7 @@
 			sim.advanceVoter(v)
 		case message.Ask != 0 && message.To == v.replacedID:
 			sim.deliver(quorum.Letter{From: message.To, To: message.From, Told: message.Ask, Behind: true, Voters: v.node.Record.Voters,
-				VotersNo: v.node.Record.VotersNo})
+				VotersNo: v.node.Record.VotersChangeNo})
 		}
 	}
 }
@@ -500,25 +500,25 @@
 	localNowMS := agent.clock.read(sim.nowMS)
 	for _, matterName := range slices.Sorted(maps.Keys(agent.owned)) {
 		owned := agent.owned[matterName]
-		if !owned.lease.Holds(localNowMS) || owned.superseded() || agent.record.Matters[matterName].Fence > owned.lease.Fence {
+		if !owned.lease.Valid(localNowMS) || owned.superseded() || agent.record.Leases[matterName].Fence > owned.lease.Fence {
 			sim.traceEvent("lost %s %s", agent.id, matterName)
 			delete(agent.owned, matterName)
 			continue
 		}
-		if matter := agent.record.Matters[matterName]; matter.Wanted != "" && matter.Wanted != agent.id && matter.Owner == agent.duty.Owner {
+		if matter := agent.record.Leases[matterName]; matter.HandoverTo != "" && matter.HandoverTo != agent.id && matter.Owner == agent.duty.Owner {
 			if owned.openCalls == 0 && !agent.commandPending[matterName] {
 				delete(agent.owned, matterName)
-				sim.sendCommand(agent, matterName, fleet.Command{Do: "leave", Matter: matterName, Owner: agent.duty.Owner,
+				sim.sendCommand(agent, matterName, fleet.Command{Verb: "leave", Lease: matterName, Owner: agent.duty.Owner,
 					Fence: owned.lease.Fence}, nil)
 			}
 			continue
 		}
 		if owned.operationRunner != nil {
-			if owned.operationRunner.Follow(localNowMS, agent.record); owned.operationRunner.Over() &&
-				agent.record.Matters[matterName].Owner == agent.duty.Owner {
+			if owned.operationRunner.Follow(localNowMS, agent.record); owned.operationRunner.Finished() &&
+				agent.record.Leases[matterName].Owner == agent.duty.Owner {
 				if !agent.commandPending[matterName] {
 					delete(agent.owned, matterName)
-					sim.sendCommand(agent, matterName, fleet.Command{Do: "leave", Matter: matterName, Owner: agent.duty.Owner,
+					sim.sendCommand(agent, matterName, fleet.Command{Verb: "leave", Lease: matterName, Owner: agent.duty.Owner,
 						Fence: owned.lease.Fence}, nil)
 				}
 				continue
@@ -527,15 +527,15 @@
 			owned.notifier.Follow(localNowMS, agent.record, owned.zone)
 		}
 		if !agent.commandPending[matterName] && owned.lease.NextRenewal(localNowMS, owned.notifier != nil && owned.notifier.Urgent()) {
-			renewal := fleet.Command{Do: "renew", Matter: matterName, Owner: agent.duty.Owner, Fence: owned.lease.Fence}
+			renewal := fleet.Command{Verb: "renew", Lease: matterName, Owner: agent.duty.Owner, Fence: owned.lease.Fence}
 			if owned.notifier != nil {
 				var complete bool
-				if renewal.Seen, complete = owned.notifier.Report(localNowMS); complete {
-					renewal.To = fleet.Whole
+				if renewal.Health, complete = owned.notifier.Report(localNowMS); complete {
+					renewal.To = fleet.AllReported
 				}
 			}
 			sim.sendCommand(agent, matterName, renewal,
-				func(answer fleet.Answer) { owned.lease.Renewed(answer.Done) })
+				func(answer fleet.CommandResult) { owned.lease.Renewed(answer.Applied) })
 		}
 		if owned.operationRunner != nil {
 			sim.ops.driveOperation(agent, localNowMS, matterName, owned)
@@ -545,42 +545,42 @@
 			sim.callScheduler(agent, owned, call)
 		}
 	}
-	if command, ok := agent.duty.NextClaim(localNowMS, agent.record, sim.absentAgents()); ok && agent.owned[command.Matter] == nil &&
-		!agent.commandPending[command.Matter] {
-		sim.sendCommand(agent, command.Matter, command, func(answer fleet.Answer) {
-			if answer.Done {
-				sim.traceEvent("owned %s %s %d", agent.id, command.Matter, answer.Fence)
+	if command, ok := agent.duty.NextClaim(localNowMS, agent.record, sim.absentAgents()); ok && agent.owned[command.Lease] == nil &&
+		!agent.commandPending[command.Lease] {
+		sim.sendCommand(agent, command.Lease, command, func(answer fleet.CommandResult) {
+			if answer.Applied {
+				sim.traceEvent("owned %s %s %d", agent.id, command.Lease, answer.Fence)
 				sim.result.Owners++
-				lease := fleet.Held(localNowMS, answer.Fence, sim.leaseTermMS)
+				lease := fleet.NewHeldLease(localNowMS, answer.Fence, sim.leaseTermMS)
 				for _, other := range sim.agents {
 					// An agent that was paused may learn that its claim succeeded only after the lease has run out: it
 					// holds nothing then, and there is no conflict.
-					if !lease.Holds(agent.clock.read(sim.nowMS)) {
+					if !lease.Valid(agent.clock.read(sim.nowMS)) {
 						break
 					}
-					if otherOwned := other.owned[command.Matter]; other != agent && other.up && other.pausedUntilMS <= sim.nowMS &&
-						otherOwned != nil && otherOwned.lease.Holds(other.clock.read(sim.nowMS)) {
-						sim.reportViolation("%s claimed %s, and %s still held it", agent.id, command.Matter, other.id)
+					if otherOwned := other.owned[command.Lease]; other != agent && other.up && other.pausedUntilMS <= sim.nowMS &&
+						otherOwned != nil && otherOwned.lease.Valid(other.clock.read(sim.nowMS)) {
+						sim.reportViolation("%s claimed %s, and %s still held it", agent.id, command.Lease, other.id)
 					}
 				}
 				newOwned := &ownership{lease: lease}
-				if id, isOp := strings.CutPrefix(command.Matter, "op/"); isOp {
-					newOwned.operationRunner = fleet.NewCarrier(id, agent.duty.Owner, answer.Fence)
-					newOwned.operationRunner.Bug = sim.options.Bug
+				if id, isOp := strings.CutPrefix(command.Lease, "op/"); isOp {
+					newOwned.operationRunner = fleet.NewOperationController(id, agent.duty.Owner, answer.Fence)
+					newOwned.operationRunner.InjectedFault = sim.options.Bug
 				} else {
-					newOwned.notifier, newOwned.zone = fleet.NewTeller(command.Matter, answer.Fence), command.Matter[len("zone/"):]
-					if newOwned.notifier.Bug = sim.options.Bug; sim.ops != nil {
-						newOwned.notifier.Holds = func(intent fleet.Intent) bool {
-							return sim.ops.stepExecutors[agent.id].Holds(agent.record, intent)
+					newOwned.notifier, newOwned.zone = fleet.NewZoneController(command.Lease, answer.Fence), command.Lease[len("zone/"):]
+					if newOwned.notifier.InjectedFault = sim.options.Bug; sim.ops != nil {
+						newOwned.notifier.Halted = func(intent fleet.Intent) bool {
+							return sim.ops.stepExecutors[agent.id].Halted(agent.record, intent)
 						}
 					}
 				}
-				agent.owned[command.Matter] = newOwned
+				agent.owned[command.Lease] = newOwned
 			}
 		})
 	}
-	if command, ok := agent.duty.NextPass(localNowMS, agent.record, sim.absentAgents()); ok && !agent.commandPending[command.Matter] {
-		sim.sendCommand(agent, command.Matter, command, nil)
+	if command, ok := agent.duty.NextHandover(localNowMS, agent.record, sim.absentAgents()); ok && !agent.commandPending[command.Lease] {
+		sim.sendCommand(agent, command.Lease, command, nil)
 	}
 }
 
@@ -598,7 +598,7 @@
 
 // sendCommand submits an agent's command. Until it is answered or has timed out, commandPending is true for matterName.
 // onAnswer may be nil; it is not called if the agent was restarted in between.
-func (sim *simulation) sendCommand(agent *simAgent, matterName string, command fleet.Command, onAnswer func(fleet.Answer)) {
+func (sim *simulation) sendCommand(agent *simAgent, matterName string, command fleet.Command, onAnswer func(fleet.CommandResult)) {
 	agent.lastCommandNumber++
 	startCount := agent.startCount
 	command.Caller, command.Number = fmt.Sprint(agent.duty.Owner, "/", matterName), agent.lastCommandNumber
@@ -608,7 +608,7 @@
 			delete(agent.commandPending, matterName) // no answer came: the command may or may not have been applied
 		}
 	})
-	sim.submit(agent.id, command, agentCommandTimeoutMS, func(answer fleet.Answer) {
+	sim.submit(agent.id, command, agentCommandTimeoutMS, func(answer fleet.CommandResult) {
 		if agent.startCount != startCount || !agent.up {
 			return
 		}
@@ -630,11 +630,11 @@
 }
 
 // callScheduler makes a call at a scheduler. The reply is decided when the call arrives there, however late that is.
-func (sim *simulation) callScheduler(agent *simAgent, owned *ownership, call fleet.Call) {
+func (sim *simulation) callScheduler(agent *simAgent, owned *ownership, call fleet.SchedulerCall) {
 	startCount := agent.startCount
 	owned.openCalls++
 	answered := false
-	answer := func(reply fleet.Reply) {
+	answer := func(reply fleet.SchedulerReply) {
 		if !answered && agent.startCount == startCount && agent.up {
 			answered = true
 			owned.openCalls--
@@ -642,7 +642,7 @@
 			sim.wakeAgent(agent)
 		}
 	}
-	sim.schedule(schedulerCallTimeoutMS, func() { answer(fleet.Reply{Why: "no answer"}) })
+	sim.schedule(schedulerCallTimeoutMS, func() { answer(fleet.SchedulerReply{Reason: "no answer"}) })
 	delayMS, ok := sim.drawDelay(agent.id, call.To.ID)
 	if !ok {
 		return
@@ -653,7 +653,7 @@
 				continue
 			}
 			reply := sim.handleSchedulerCall(scheduler, call)
-			if sim.ops != nil && !sim.ops.schedulerStatus(scheduler, strings.TrimPrefix(call.Matter, "zone/"), &reply) {
+			if sim.ops != nil && !sim.ops.schedulerStatus(scheduler, strings.TrimPrefix(call.Lease, "zone/"), &reply) {
 				continue
 			}
 			if delayMS, ok := sim.drawDelay(scheduler.ID, agent.id); ok {
@@ -665,14 +665,14 @@
 
 // handleSchedulerCall applies a call at a scheduler and returns the reply. A call is refused if it is meant for another
 // start of the scheduler, has a lower fence than one seen, or an older change of the worker than one seen.
-func (sim *simulation) handleSchedulerCall(scheduler *simScheduler, call fleet.Call) fleet.Reply {
+func (sim *simulation) handleSchedulerCall(scheduler *simScheduler, call fleet.SchedulerCall) fleet.SchedulerReply {
 	start := fmt.Sprint(scheduler.startCount)
-	reply := fleet.Reply{Reached: true, Start: start, Fence: scheduler.highestFence[call.Matter]}
+	reply := fleet.SchedulerReply{Reached: true, Start: start, Fence: scheduler.highestFence[call.Lease]}
 	switch {
-	case call.Act == fleet.Look:
+	case call.Kind == fleet.CallStatus:
 		reply.Done, reply.Phase = true, "serving"
 		for id, matter := range scheduler.outWorkers {
-			if matter == call.Matter {
+			if matter == call.Lease {
 				reply.Out = append(reply.Out, id)
 			}
 		}
@@ -680,24 +680,24 @@
 		return reply
 	case call.Start != start && sim.options.Bug != "former-start":
 		sim.result.Refused++
-		reply.Why = "start " + start
+		reply.Reason = "start " + start
 		return reply
-	case call.Fence < scheduler.highestFence[call.Matter]:
+	case call.Fence < scheduler.highestFence[call.Lease]:
 		if sim.result.Refused++; sim.options.Bug != "no-fence" {
-			reply.Why = "fence"
+			reply.Reason = "fence"
 			return reply
 		}
-		sim.reportViolation("%s took number %d of %s after %d", scheduler.ID, call.Fence, call.Matter, scheduler.highestFence[call.Matter])
+		sim.reportViolation("%s took number %d of %s after %d", scheduler.ID, call.Fence, call.Lease, scheduler.highestFence[call.Lease])
 	}
-	if call.Act == fleet.Tell && call.Since < scheduler.lastChange[call.Worker] && sim.options.Bug != "no-change" {
+	if call.Kind == fleet.CallSetWorker && call.Since < scheduler.lastChange[call.Worker] && sim.options.Bug != "no-change" {
 		sim.result.Refused++
-		reply.Why = "change"
+		reply.Reason = "change"
 		return reply
 	}
-	scheduler.highestFence[call.Matter] = max(call.Fence, scheduler.highestFence[call.Matter])
-	if reply.Done, reply.Fence = true, call.Fence; call.Act == fleet.Tell {
+	scheduler.highestFence[call.Lease] = max(call.Fence, scheduler.highestFence[call.Lease])
+	if reply.Done, reply.Fence = true, call.Fence; call.Kind == fleet.CallSetWorker {
 		scheduler.lastChange[call.Worker] = call.Since
-		if scheduler.outWorkers[call.Worker] = call.Matter; !call.Out {
+		if scheduler.outWorkers[call.Worker] = call.Lease; !call.Out {
 			delete(scheduler.outWorkers, call.Worker)
 		}
 		sim.traceEvent("told %s %s %v %d", scheduler.ID, call.Worker, call.Out, call.Fence)
@@ -712,10 +712,10 @@
 	}
 	verb := []string{"out", "in"}[sim.random.IntN(2)]
 	sim.sequence++
-	command := fleet.Command{Caller: fmt.Sprint("client", sim.sequence), Number: 1, Do: verb, ID: fmt.Sprint("w", sim.random.IntN(6)),
+	command := fleet.Command{Caller: fmt.Sprint("client", sim.sequence), Number: 1, Verb: verb, ID: fmt.Sprint("w", sim.random.IntN(6)),
 		Zone: "a", By: "ann", Force: true}
-	sim.submit("client", command, changeTimeoutMS, func(answer fleet.Answer) {
-		if answer.Done {
+	sim.submit("client", command, changeTimeoutMS, func(answer fleet.CommandResult) {
+		if answer.Applied {
 			sim.result.Changes++
 			sim.acknowledged[command.Caller] = answer.No
 			sim.traceEvent("yes %s %d", command.Caller, answer.No)
@@ -774,12 +774,12 @@
 		// A scheduler that starts first asks its agent, which makes a quorum read, for the fences and the workers that are
 		// out. If the record can't be read it starts without them; 1 in 4 starts stands for that.
 		if leader := sim.leader(); leader != nil && sim.random.IntN(4) > 0 {
-			for name, matter := range leader.node.Record.Matters {
+			for name, matter := range leader.node.Record.Leases {
 				scheduler.highestFence[name] = matter.Fence
 			}
-			for id, intent := range leader.node.Record.Workers {
+			for id, intent := range leader.node.Record.Intents {
 				if intent.Out {
-					scheduler.outWorkers[id] = fleet.MatterOf(intent.Zone)
+					scheduler.outWorkers[id] = fleet.ZoneLease(intent.Zone)
 				}
 			}
 		}
@@ -815,7 +815,7 @@
 	sim.traceEvent("kill %d", v.id)
 	v.disk.Crash(sim.random)
 	v.pausedUntilMS = 0
-	v.pendingAnswers = map[string]func(fleet.Answer){}
+	v.pendingAnswers = map[string]func(fleet.CommandResult){}
 	sim.openVoter(v)
 }
 
@@ -846,7 +846,7 @@
 	propose()
 	sim.schedule(replacementStartMS, func() {
 		v.id, v.joining, v.replacedID, v.disk, v.replacementPending = newID, true, oldID, quorum.NewMemory(), false
-		v.pendingAnswers = map[string]func(fleet.Answer){}
+		v.pendingAnswers = map[string]func(fleet.CommandResult){}
 		sim.openVoter(v)
 		sim.diskFaulty = false
 	})
@@ -879,7 +879,7 @@
 			continue
 		}
 		for name, owned := range agent.owned {
-			if owned.lease.Holds(agent.clock.read(sim.nowMS)) && !owned.superseded() {
+			if owned.lease.Valid(agent.clock.read(sim.nowMS)) && !owned.superseded() {
 				if other := owners[name]; other != "" {
 					sim.reportViolation("%s and %s both own %s", other, agent.id, name)
 				}
@@ -918,7 +918,7 @@
 	}
 	record := leader.node.Record
 	for _, caller := range slices.Sorted(maps.Keys(sim.acknowledged)) {
-		if session, ok := record.Sessions[caller]; !ok || session.Answer.No != sim.acknowledged[caller] {
+		if session, ok := record.Sessions[caller]; !ok || session.Result.No != sim.acknowledged[caller] {
 			sim.reportViolation("%s was answered yes as %d, and is not on record so", caller, sim.acknowledged[caller])
 		}
 	}
@@ -928,7 +928,7 @@
 	if sim.ops != nil {
 		sim.ops.checkFinalState(record)
 	}
-	wantOut := record.OutIn("")
+	wantOut := record.WorkersOut("")
 	for _, scheduler := range sim.schedulers {
 		if sim.ops != nil && !sim.ops.hostByScheduler[scheduler.ID].serves(sim.nowMS) {
 			continue // it needs an operator
--- a/quorum/host.go
+++ b/quorum/host.go
@@ -37,10 +37,10 @@
 	stopErr   error
 
 	mu              sync.Mutex
-	sendQueues      map[uint64]*sendQueue        // by voter
-	pendingCommands map[string]chan fleet.Answer // by caller and number
-	pendingReads    map[string]chan struct{}     // by the key given to Node.Read; closed when the read may be answered
-	lastReadNumber  uint64                       // makes these keys unique
+	sendQueues      map[uint64]*sendQueue               // by voter
+	pendingCommands map[string]chan fleet.CommandResult // by caller and number
+	pendingReads    map[string]chan struct{}            // by the key given to Node.Read; closed when the read may be answered
+	lastReadNumber  uint64                              // makes these keys unique
 	view            View
 	pastRecords     []PastRecord  // oldest first
 	viewChanged     chan struct{} // closed when the view changes, then replaced
@@ -101,7 +101,7 @@
 	}
 	h := &Host{ID: o.ID, ctx: ctx, clock: clock, client: client, logger: logger,
 		nodeCalls: make(chan func(*Node), maxQueuedCalls), stopped: make(chan struct{}),
-		sendQueues: map[uint64]*sendQueue{}, pendingCommands: map[string]chan fleet.Answer{},
+		sendQueues: map[uint64]*sendQueue{}, pendingCommands: map[string]chan fleet.CommandResult{},
 		pendingReads: map[string]chan struct{}{}, viewChanged: make(chan struct{})}
 	h.updateView(n)
 	go h.run(ctx, n)
@@ -211,7 +211,7 @@
 	}
 	if v.Raw == nil || v.No != n.Record.No {
 		v.Raw, v.No = n.Record.Snapshot(), n.Record.No
-		v.Lean = n.Record.Lean()
+		v.Lean = n.Record.SnapshotForAgents()
 		h.pastRecords = append(h.pastRecords, PastRecord{v.No, v.Lean})[max(0, len(h.pastRecords)+1-maxPastRecords):]
 	}
 	close(h.viewChanged)
@@ -275,7 +275,7 @@
 			} else if l.Ask != 0 && l.To == n.options.Replaces {
 				// A query to the voter that this one was put in the place of. That voter's disk is lost, so this one replies for it.
 				h.enqueue(h.ctx, Letter{From: l.To, To: l.From, Told: l.Ask, Behind: true, Voters: n.Record.Voters,
-					VotersNo: n.Record.VotersNo})
+					VotersNo: n.Record.VotersChangeNo})
 			}
 		}
 	})
@@ -283,12 +283,12 @@
 
 // Do proposes a command and waits for its result. After ErrNotLeader and ErrNotCounting the command was not proposed; after
 // any other error it may or may not be carried out, now or later, and may be sent again unchanged.
-func (h *Host) Do(ctx context.Context, c fleet.Command) (fleet.Answer, error) {
+func (h *Host) Do(ctx context.Context, c fleet.Command) (fleet.CommandResult, error) {
 	raw, err := json.Marshal(c)
 	if err != nil {
-		return fleet.Answer{}, err
+		return fleet.CommandResult{}, err
 	}
-	key, result := fmt.Sprint(c.Caller, " ", c.Number), make(chan fleet.Answer, 1)
+	key, result := fmt.Sprint(c.Caller, " ", c.Number), make(chan fleet.CommandResult, 1)
 	h.mu.Lock()
 	h.pendingCommands[key] = result
 	h.mu.Unlock()
@@ -301,23 +301,23 @@
 	}()
 	proposed := make(chan error, 1)
 	if err := h.onNode(ctx, func(n *Node) { proposed <- n.Propose(h.clock.Now(), raw) }); err != nil {
-		return fleet.Answer{}, err
+		return fleet.CommandResult{}, err
 	}
 	select {
 	case err := <-proposed:
 		if err != nil {
-			return fleet.Answer{}, err
+			return fleet.CommandResult{}, err
 		}
 	case <-ctx.Done():
-		return fleet.Answer{}, ctx.Err()
+		return fleet.CommandResult{}, ctx.Err()
 	}
 	select {
 	case answer := <-result:
 		return answer, nil
 	case <-ctx.Done():
-		return fleet.Answer{}, ctx.Err()
+		return fleet.CommandResult{}, ctx.Err()
 	case <-h.stopped:
-		return fleet.Answer{}, h.stopErr
+		return fleet.CommandResult{}, h.stopErr
 	}
 }
 
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -80,7 +80,7 @@
 type Done struct {
 	Caller string
 	Number uint64
-	Answer fleet.Answer
+	Answer fleet.CommandResult
 }
 
 // Options are what a voter is given at its start.
@@ -102,9 +102,9 @@
 	raft      *raft.RawNode // nil until this voter participates
 	storage   *raft.MemoryStorage
 	log       *diskLog
-	hardState *pb.HardState // as last persisted; nil before the first
-	Record    *fleet.Record // the replicated state, with all entries up to appliedIndex
-	Leases    fleet.Keeper  // the leader's knowledge of the age of each claim
+	hardState *pb.HardState    // as last persisted; nil before the first
+	Record    *fleet.Record    // the replicated state, with all entries up to appliedIndex
+	Leases    fleet.LeaseTerms // the leader's knowledge of the age of each claim
 
 	appliedIndex  uint64
 	snapshotIndex uint64 // of the last snapshot
@@ -143,7 +143,7 @@
 func Open(o Options) (n *Node, err error) {
 	n = &Node{options: o, storage: raft.NewMemoryStorage(), Record: fleet.NewRecord(), observed: map[uint64]LogPosition{},
 		reportedLast: map[uint64]LogPosition{}, repliedBy: map[uint64]bool{}}
-	n.Record.Bug = o.Bug
+	n.Record.InjectedFault = o.Bug
 	log, contents, err := openLog(o.Disk, o.Bug)
 	if errors.Is(err, ErrCorrupt) {
 		n.log, n.stopErr, n.diskBehind = &diskLog{disk: o.Disk}, err, true
@@ -157,7 +157,7 @@
 		contents = &logContents{positions: map[uint64]LogPosition{}}
 		if !o.Join {
 			for id, addr := range o.Voters {
-				n.Record.Voters[id], n.Record.VoterMax = addr, max(n.Record.VoterMax, id)
+				n.Record.Voters[id], n.Record.HighestVoterID = addr, max(n.Record.HighestVoterID, id)
 			}
 			contents.snapshot = &pb.Snapshot{Data: n.Record.Snapshot(), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1),
 				Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: slices.Sorted(maps.Keys(o.Voters))}}}
@@ -337,7 +337,7 @@
 		// the querying voter's is sound.
 		n.outbox = append(n.outbox, Letter{From: n.options.ID, To: l.From, Told: l.Ask, Observed: n.observed[l.From],
 			LastPosition: n.lastPosition(), Term: n.hardState.GetTerm(), Behind: n.diskBehind, IsLeader: n.isLeader,
-			Voters: n.Record.Voters, VotersNo: n.Record.VotersNo})
+			Voters: n.Record.Voters, VotersNo: n.Record.VotersChangeNo})
 	case n.stopErr != nil:
 		return n.stopErr
 	case l.Told != 0:
@@ -440,7 +440,7 @@
 	if n.repliedTerm = max(n.repliedTerm, l.Term); l.IsLeader {
 		n.leaderTerm = max(n.leaderTerm, l.Term)
 	}
-	if l.VotersNo > max(n.Record.VotersNo, n.newerVotersNo) {
+	if l.VotersNo > max(n.Record.VotersChangeNo, n.newerVotersNo) {
 		n.newerVoters, n.newerVotersNo = l.Voters, l.VotersNo
 		if _, isVoter := l.Voters[n.options.ID]; !isVoter && !n.options.Join {
 			n.stopErr = ErrReplaced
@@ -494,8 +494,8 @@
 	if err := c.Check(); err != nil {
 		return err
 	}
-	if why := n.Leases.MayPropose(now, n.Record, &c); why != "" {
-		n.results = append(n.results, Done{c.Caller, c.Number, fleet.Answer{Why: why}})
+	if why := n.Leases.ProposalRefusal(now, n.Record, &c); why != "" {
+		n.results = append(n.results, Done{c.Caller, c.Number, fleet.CommandResult{Reason: why}})
 		return nil
 	}
 	if err := n.raft.Propose(raw); err != nil {
@@ -512,7 +512,7 @@
 	}
 	// A number used again would stand for a voter that has acknowledged entries, with a disk that has none of them. A number
 	// that is not a voter's can't be removed: the request may be a late repetition of an earlier one.
-	if _, isVoter := n.Record.Voters[remove]; add != 0 && add <= n.Record.VoterMax || remove != 0 && !isVoter {
+	if _, isVoter := n.Record.Voters[remove]; add != 0 && add <= n.Record.HighestVoterID || remove != 0 && !isVoter {
 		return ErrUsed
 	}
 	var changes []*pb.ConfChangeSingle
@@ -568,10 +568,10 @@
 			n.leaderID = ready.SoftState.Lead
 			if isLeader := ready.SoftState.RaftState == raft.StateLeader; isLeader != n.isLeader {
 				if n.isLeader = isLeader; isLeader {
-					n.Leases.Hurry = n.options.Bug == "new-leader-hurries"
-					n.Leases.Leads(now)
+					n.Leases.NoInitialWait = n.options.Bug == "new-leader-hurries"
+					n.Leases.BecomeLeader(now)
 				} else {
-					n.Leases.Follows()
+					n.Leases.StepDown()
 				}
 			}
 		}
@@ -612,7 +612,7 @@
 	}
 	if ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot) {
 		record := fleet.NewRecord()
-		record.Bug = n.options.Bug
+		record.InjectedFault = n.options.Bug
 		if err := record.Restore(ready.Snapshot.Data); err != nil {
 			return err
 		}
@@ -673,7 +673,7 @@
 		}
 		var c fleet.Command
 		_ = json.Unmarshal(e.Data, &c)
-		if answer.Done && (c.Do == "claim" || c.Do == "renew") {
+		if answer.Applied && (c.Verb == "claim" || c.Verb == "renew") {
 			n.Leases.Applied(now, &c)
 		}
 		n.results = append(n.results, Done{c.Caller, c.Number, answer})
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -15,7 +15,7 @@
 
 // command returns a command of caller that concerns a worker, as JSON.
 func command(caller string, number uint64, do, worker string) []byte {
-	raw, _ := json.Marshal(fleet.Command{V: 1, Caller: caller, Number: number, Do: do, ID: worker, Zone: "a", By: caller})
+	raw, _ := json.Marshal(fleet.Command{FormatVersion: 1, Caller: caller, Number: number, Verb: do, ID: worker, Zone: "a", By: caller})
 	return raw
 }
 
@@ -26,19 +26,19 @@
 	nowMs    float64
 	voters   map[uint64]string // Options.Voters of each start
 	disks    map[uint64]*Memory
-	nodes    map[uint64]*Node        // those that run
-	blocked  map[[2]uint64]bool      // by sender and recipient: messages are lost
-	inFlight []Letter                // messages to deliver
-	loss     float64                 // share of all other messages that are lost
-	results  map[string]fleet.Answer // that a leader gave, by caller and number
-	stopErrs map[uint64]error        // the last error of a voter's start or inputs; nil for none
-	starts   uint64                  // of all voters so far
-	bugs     map[uint64]string       // planted bugs
+	nodes    map[uint64]*Node               // those that run
+	blocked  map[[2]uint64]bool             // by sender and recipient: messages are lost
+	inFlight []Letter                       // messages to deliver
+	loss     float64                        // share of all other messages that are lost
+	results  map[string]fleet.CommandResult // that a leader gave, by caller and number
+	stopErrs map[uint64]error               // the last error of a voter's start or inputs; nil for none
+	starts   uint64                         // of all voters so far
+	bugs     map[uint64]string              // planted bugs
 }
 
 func newCluster(t testing.TB, n int, seed uint64) *cluster {
 	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), voters: map[uint64]string{}, disks: map[uint64]*Memory{},
-		nodes: map[uint64]*Node{}, blocked: map[[2]uint64]bool{}, results: map[string]fleet.Answer{},
+		nodes: map[uint64]*Node{}, blocked: map[[2]uint64]bool{}, results: map[string]fleet.CommandResult{},
 		stopErrs: map[uint64]error{}}
 	for i := range uint64(n) {
 		c.voters[i+1] = fmt.Sprint("v", i+1)
@@ -127,7 +127,7 @@
 }
 
 // apply proposes a command to whichever voter leads until it has a result.
-func (c *cluster) apply(caller string, number uint64, do, worker string) fleet.Answer {
+func (c *cluster) apply(caller string, number uint64, do, worker string) fleet.CommandResult {
 	c.t.Helper()
 	key := fmt.Sprint(caller, number)
 	c.waitFor("a result of the command", func() bool {
@@ -154,7 +154,7 @@
 	}
 	c.waitFor("there is a leader", func() bool { return c.leader() != nil })
 	a := c.apply("ann", 1, "out", "w1") // repeated, as by a caller that the answer did not reach
-	if l := c.leader(); !a.Done || !l.Record.Workers["w1"].Out || l.Record.Retries != 1 {
+	if l := c.leader(); !a.Applied || !l.Record.Intents["w1"].Out || l.Record.Retries != 1 {
 		t.Errorf("got %+v, %d recognized as repeated, want 1", a, l.Record.Retries)
 	}
 	// One voter is lost for good, and a new one joins under a new number.
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	c.start(4, true)
-	c.waitFor("the new voter has the record", func() bool { return c.nodes[4].Record.Workers["w1"].Out })
+	c.waitFor("the new voter has the record", func() bool { return c.nodes[4].Record.Intents["w1"].Out })
 	c.apply("bob", 1, "in", "w1")
 	c.waitFor("all records are equal", func() bool {
 		want := string(c.leader().Record.Snapshot())
@@ -204,7 +204,7 @@
 	}
 	c.apply("cid", 1, "out", "w2")
 	clear(c.blocked)
-	c.waitFor("the old leader has the record", func() bool { return old.Record.Workers["w2"].Out })
+	c.waitFor("the old leader has the record", func() bool { return old.Record.Intents["w2"].Out })
 }
 
 // A voter whose disk has lost acknowledged writes must find that out at its start and not vote again: after syncs that were
@@ -215,13 +215,13 @@
 		"sync not durable": func(c *cluster, id uint64) {
 			c.disks[id].Lies = true
 			c.apply("bob", 1, "out", "w2")
-			c.waitFor("the voter has the command", func() bool { return c.nodes[id].Record.Workers["w2"].Out })
+			c.waitFor("the voter has the command", func() bool { return c.nodes[id].Record.Intents["w2"].Out })
 			c.kill(id)
 		},
 		"older copy": func(c *cluster, id uint64) {
 			old := c.disks[id].Copy()
 			c.apply("bob", 1, "out", "w2")
-			c.waitFor("the voter has the command", func() bool { return c.nodes[id].Record.Workers["w2"].Out })
+			c.waitFor("the voter has the command", func() bool { return c.nodes[id].Record.Intents["w2"].Out })
 			c.kill(id)
 			c.disks[id] = old
 		},
@@ -277,9 +277,9 @@
 // of leader, since the new leader can't know when the lease was last renewed.
 func TestClaimWaitsForLease(t *testing.T) {
 	c := newCluster(t, 3, 6)
-	claim := func(owner string, number, fence, renewed uint64) fleet.Answer {
-		raw, _ := json.Marshal(fleet.Command{V: 1, Caller: owner, Number: number, Do: "claim", Matter: "m", Owner: owner,
-			Fence: fence, Renewed: renewed, Term: 3000})
+	claim := func(owner string, number, fence, renewed uint64) fleet.CommandResult {
+		raw, _ := json.Marshal(fleet.Command{FormatVersion: 1, Caller: owner, Number: number, Verb: "claim", Lease: "m", Owner: owner,
+			Fence: fence, Expected: renewed, TermMs: 3000})
 		key := fmt.Sprint(owner, number)
 		delete(c.results, key)
 		c.waitFor("a result of the claim", func() bool {
@@ -292,10 +292,10 @@
 		})
 		return c.results[key]
 	}
-	if a := claim("a#1", 1, 0, 0); !a.Done {
+	if a := claim("a#1", 1, 0, 0); !a.Applied {
 		t.Fatal(a)
 	}
-	m := c.leader().Record.Matters["m"]
+	m := c.leader().Record.Leases["m"]
 	claimedAtMs := c.nowMs
 	for range 40 {
 		c.step()
@@ -305,7 +305,7 @@
 	ledAtMs := c.nowMs
 	for number := uint64(1); ; number++ {
 		a := claim("b#1", number, m.Fence, m.Renewed)
-		if a.Done {
+		if a.Applied {
 			break
 		}
 		c.step()
@@ -424,7 +424,7 @@
 			}
 		}
 		l := c.leader()
-		return n.diskBehind || l != nil && n.participating && n.Record.No == l.Record.No && l.Record.Workers["w3"].Out
+		return n.diskBehind || l != nil && n.participating && n.Record.No == l.Record.No && l.Record.Intents["w3"].Out
 	})
 	for range 100 {
 		c.step()
@@ -452,10 +452,10 @@
 		if l := c.leader(); l != nil && l.Record.Voters[4] == "" {
 			_ = l.ProposeVoters(4, "v4", replaced)
 		}
-		return c.nodes[4].participating && c.nodes[4].Record.Workers["w1"].Out
+		return c.nodes[4].participating && c.nodes[4].Record.Intents["w1"].Out
 	})
 	c.apply("bob", 1, "out", "w2")
-	c.waitFor("the new voter has the second command", func() bool { return c.nodes[4].Record.Workers["w2"].Out })
+	c.waitFor("the new voter has the second command", func() bool { return c.nodes[4].Record.Intents["w2"].Out })
 	c.kill(4)
 	c.disks[4] = NewMemory()
 	c.start(4, true)
@@ -466,7 +466,7 @@
 }
 
 // Voters of two builds keep equal records until the first command of a form that only the newer build reads. Then the older
-// one stops with fleet.ErrNewer and its record unchanged, and catches up once it is upgraded.
+// one stops with fleet.ErrNewerFormat and its record unchanged, and catches up once it is upgraded.
 func TestMixedBuilds(t *testing.T) {
 	c := newCluster(t, 3, 7)
 	c.bugs = map[uint64]string{}
@@ -476,17 +476,17 @@
 	c.bugs[old] = "form-1"
 	c.start(old, false)
 	c.apply("ann", 2, "out", "w2")
-	c.waitFor("the older build has the command", func() bool { return c.nodes[old].Record.Workers["w2"].Out })
-	raw, _ := json.Marshal(fleet.Command{V: 2, Caller: "bob", Number: 1, Do: "limits", By: "bob",
-		Limits: []fleet.Limit{{Kind: "scheduler", Least: 1}}})
+	c.waitFor("the older build has the command", func() bool { return c.nodes[old].Record.Intents["w2"].Out })
+	raw, _ := json.Marshal(fleet.Command{FormatVersion: 2, Caller: "bob", Number: 1, Verb: "limits", By: "bob",
+		Limits: []fleet.Limit{{Kind: "scheduler", MinInService: 1}}})
 	c.waitFor("the limits are on record", func() bool {
 		if l := c.leader(); l != nil {
 			_ = l.Propose(c.nowMs, raw)
 		}
-		return c.results["bob1"].Done
+		return c.results["bob1"].Applied
 	})
-	c.waitFor("the older build stops", func() bool { return errors.Is(c.stopErrs[old], fleet.ErrNewer) })
-	if n := c.nodes[old]; len(n.Record.Limits) > 0 || !n.Record.Workers["w2"].Out {
+	c.waitFor("the older build stops", func() bool { return errors.Is(c.stopErrs[old], fleet.ErrNewerFormat) })
+	if n := c.nodes[old]; len(n.Record.Limits) > 0 || !n.Record.Intents["w2"].Out {
 		t.Error("the record of the older build has changed")
 	}
 	c.apply("cid", 1, "out", "w3") // the other two still make progress
@@ -495,7 +495,7 @@
 	c.start(old, false)
 	c.waitFor("the upgraded voter has all commands", func() bool {
 		r := c.nodes[old].Record
-		return len(r.Limits) == 1 && r.Workers["w3"].Out
+		return len(r.Limits) == 1 && r.Intents["w3"].Out
 	})
 }
 
@@ -533,7 +533,7 @@
 	f := c.disks[id].files[logName]
 	f.synced[len(f.synced)/3] ^= 4
 	c.start(id, false)
-	if a := c.apply("bob", 1, "out", "w2"); !a.Done {
-		t.Error(a.Why)
+	if a := c.apply("bob", 1, "out", "w2"); !a.Applied {
+		t.Error(a.Reason)
 	}
 }
