--- a/agent/agent.go
+++ b/agent/agent.go
@@ -107,7 +107,7 @@
 	voterStopped := make(<-chan struct{})
 	var disk quorum.Disk
 	if config.Data != "" {
-		if disk, err = quorum.Folder(config.Data); err != nil {
+		if disk, err = quorum.OpenDirectory(config.Data); err != nil {
 			return fmt.Errorf("data: %w", err)
 		}
 	}
@@ -116,11 +116,11 @@
 		for _, v := range config.Voter {
 			initialVoters[v.ID] = v.Addr
 		}
-		if a.voter, err = quorum.NewHost(ctx, quorum.Options{ID: own.ID, Voters: initialVoters, Join: config.Joins, Replaces: config.Replaces, Trust: trustDisk, Disk: disk,
-			Start: rand.Uint64() | 1, Bug: injectedFault}, a.clock, NewHTTP(config.Via, callTimeout), logger); err != nil {
+		if a.voter, err = quorum.NewHost(ctx, quorum.Options{ID: own.ID, Voters: initialVoters, Join: config.Joins, Replaces: config.Replaces, TrustDisk: trustDisk, Disk: disk,
+			StartID: rand.Uint64() | 1, InjectedFault: injectedFault}, a.clock, NewHTTP(config.Via, callTimeout), logger); err != nil {
 			return fmt.Errorf("data: %w", err)
 		}
-		voterStopped = a.voter.Dead()
+		voterStopped = a.voter.Stopped()
 	}
 	if a.supervisor, err = newSupervisor(a, disk); err != nil {
 		return fmt.Errorf("data: %w", err)
--- a/agent/api.go
+++ b/agent/api.go
@@ -83,7 +83,7 @@
 		writeRefusal(w, 404, "this agent is not a voter")
 		return
 	}
-	if err := a.voter.Take(r.Context(), r.Body); err != nil {
+	if err := a.voter.ReceiveMessages(r.Context(), r.Body); err != nil {
 		writeRefusal(w, 400, err.Error())
 		return
 	}
@@ -93,7 +93,7 @@
 // leaderAddr returns the address of the agent whose voter leads, "" where it is not known.
 func (a *Agent) leaderAddr() string {
 	if a.voter != nil {
-		if view, _ := a.voter.View(); view.Leads {
+		if view, _ := a.voter.View(); view.IsLeader {
 			return a.listenAddr
 		} else if view.Leader != 0 {
 			return view.Addrs[view.Leader]
@@ -131,11 +131,11 @@
 		writeRefusal(w, 503, a.noLeaderReason())
 		return
 	case leader == a.listenAddr:
-		answer, err := a.voter.Do(ctx, c)
+		answer, err := a.voter.Execute(ctx, c)
 		switch {
 		case err == nil:
 			writeJSON(w, 200, answer)
-		case errors.Is(err, quorum.ErrNotLeader) || errors.Is(err, quorum.ErrNotCounting):
+		case errors.Is(err, quorum.ErrNotLeader) || errors.Is(err, quorum.ErrNotParticipating):
 			writeRefusal(w, 503, err.Error())
 		default:
 			writeRefusal(w, 504, "outcome unknown: "+err.Error())
@@ -161,10 +161,10 @@
 // noLeaderReason says why this agent can't have a command carried out.
 func (a *Agent) noLeaderReason() string {
 	if a.voter != nil {
-		if view, _ := a.voter.View(); view.Behind {
-			return quorum.ErrBehind.Error()
-		} else if !view.Counts {
-			return quorum.ErrNotCounting.Error()
+		if view, _ := a.voter.View(); view.DiskBehind {
+			return quorum.ErrDiskBehind.Error()
+		} else if !view.Participating {
+			return quorum.ErrNotParticipating.Error()
 		}
 	}
 	return "this agent knows of no leader: without a majority of the voters nothing can be changed"
@@ -201,12 +201,12 @@
 		}
 	default:
 		view, _ := a.voter.View()
-		err := a.voter.Voters(ctx, change.Add, change.Addr, change.Remove)
+		err := a.voter.ChangeVoters(ctx, change.Add, change.Addr, change.Remove)
 		// A request that is sent again after it was carried out succeeds again.
-		if addr, known := view.Addrs[change.Add]; errors.Is(err, quorum.ErrUsed) && !(known && addr == change.Addr) {
+		if addr, known := view.Addrs[change.Add]; errors.Is(err, quorum.ErrInvalidVoterChange) && !(known && addr == change.Addr) {
 			writeRefusal(w, 409, err.Error())
 			return
-		} else if err != nil && !errors.Is(err, quorum.ErrUsed) {
+		} else if err != nil && !errors.Is(err, quorum.ErrInvalidVoterChange) {
 			writeRefusal(w, 503, err.Error())
 			return
 		}
@@ -224,12 +224,12 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	agentName, now := r.URL.Query().Get("agent"), a.clock.Now()
 	view, viewChanged := a.voter.View()
-	if view.Leads && agentName != "" {
+	if view.IsLeader && agentName != "" {
 		a.mu.Lock()
 		a.heardAtMS[agentName] = now
 		a.mu.Unlock()
 	}
-	if view.No <= after && view.Leads {
+	if view.LastCommand <= after && view.IsLeader {
 		timer := time.NewTimer(longPollTimeout)
 		defer timer.Stop()
 		select {
@@ -240,20 +240,20 @@
 		}
 		view, _ = a.voter.View()
 	}
-	update := recordUpdate{Number: view.No, IsLeader: view.Leads, Counts: view.Counts}
-	if view.Leads {
+	update := recordUpdate{Number: view.LastCommand, IsLeader: view.IsLeader, Counts: view.Participating}
+	if view.IsLeader {
 		update.LeaderAddr, update.AbsentAgents = a.listenAddr, a.silentAgents(view)
 	} else if view.Leader != 0 {
 		update.LeaderAddr = view.Addrs[view.Leader]
 	}
-	if view.No > after {
-		if base := a.voter.Past(after); base != nil && r.URL.Query().Get("changes") != "" {
-			update.Patch = a.patches.patch(after, base, view.No, view.Lean)
+	if view.LastCommand > after {
+		if base := a.voter.PastSnapshot(after); base != nil && r.URL.Query().Get("changes") != "" {
+			update.Patch = a.patches.patch(after, base, view.LastCommand, view.SnapshotForAgents)
 		}
 		// An agent gets the record without the sessions and the audit, which only voters need.
 		if update.Patch != nil {
-		} else if update.Record = view.Lean; agentName == "" {
-			update.Record = view.Raw
+		} else if update.Record = view.SnapshotForAgents; agentName == "" {
+			update.Record = view.Snapshot
 		}
 	}
 	writeJSON(w, 200, update)
@@ -266,7 +266,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.record.MembersOfKind("agent") {
-		if now > max(a.heardAtMS[m.ID], view.LedAt)+absentAfterMS {
+		if now > max(a.heardAtMS[m.ID], view.LeaderSinceMs)+absentAfterMS {
 			ids = append(ids, m.ID)
 		}
 	}
@@ -282,7 +282,7 @@
 		}
 		view, _ := a.voter.View()
 		record := fleet.NewRecord()
-		return record, record.Restore(view.Raw)
+		return record, record.Restore(view.Snapshot)
 	}
 	a.mu.Lock()
 	addrs := a.voterAddrs()
@@ -376,8 +376,8 @@
 	status := Status{Name: a.config.Name, Owner: a.ownerID, Zone: a.config.Zone, Holds: map[string]uint64{}, Leader: a.leaderAddr()}
 	if a.voter != nil {
 		view, _ := a.voter.View()
-		status.Voter, status.Counts, status.Behind, status.Leads = a.voter.ID, view.Counts, view.Behind, view.Leads
-		status.Syncs, status.Bytes, status.Sent = view.Syncs, view.Bytes, a.voter.Traffic()
+		status.Voter, status.Counts, status.Behind, status.Leads = a.voter.ID, view.Participating, view.DiskBehind, view.IsLeader
+		status.Syncs, status.Bytes, status.Sent = view.Syncs, view.LogBytes, a.voter.Traffic()
 	}
 	status.Runs, status.Halts = a.supervisor.status()
 	a.mu.Lock()
--- a/agent/supervisor_test.go
+++ b/agent/supervisor_test.go
@@ -19,7 +19,7 @@
 // A halt that the disk does not take is refused, also when it is sent again, and confirmed once the disk takes it. An agent
 // that confirms the second request unsaved forgets the halt with its next restart.
 func TestHaltIsConfirmedOnceSaved(t *testing.T) {
-	disk := quorum.NewMemory()
+	disk := quorum.NewMemoryDisk()
 	a := &Agent{log: slog.New(slog.DiscardHandler), config: &File{}}
 	a.supervisor = &supervisor{agent: a, disk: disk, state: persistedState{Doer: fleet.NewStepExecutor("x")}}
 	sendHalt := func() int {
@@ -27,12 +27,12 @@
 		a.handleHalt(w, httptest.NewRequest("POST", "/v1/halt", strings.NewReader(`{"of":"fleet","by":"staff","why":"test"}`)))
 		return w.Code
 	}
-	for _, disk.Fails = range []error{unix.ENOSPC, unix.EIO, unix.EIO} {
+	for _, disk.SyncError = range []error{unix.ENOSPC, unix.EIO, unix.EIO} {
 		if got := sendHalt(); got != 503 {
-			t.Errorf("disk fails with %v: status %d, want 503", disk.Fails, got)
+			t.Errorf("disk fails with %v: status %d, want 503", disk.SyncError, got)
 		}
 	}
-	disk.Fails = nil
+	disk.SyncError = nil
 	if got := sendHalt(); got != 200 {
 		t.Errorf("disk works again: status %d, want 200", got)
 	}
--- a/cmd/beamlab/cluster.go
+++ b/cmd/beamlab/cluster.go
@@ -152,7 +152,7 @@
 		r := council.Play(council.Options{Seed: seed, Voters: c.Voters, Agents: c.Agents, Schedulers: c.Schedulers, For: c.For, Bug: c.Plant, Ops: c.Ops,
 			Workers: c.Workers, Calm: c.Calm})
 		played++
-		changes, owners, refused, replaced, messages = changes+r.Changes, owners+r.Owners, refused+r.Refused, replaced+r.Replaced, messages+r.Letters
+		changes, owners, refused, replaced, messages = changes+r.Changes, owners+r.Owners, refused+r.Refused, replaced+r.Replaced, messages+r.Messages
 		calls, mostCalls, halted = calls+r.Calls, max(mostCalls, r.Most), halted+r.Left
 		if r.Ended > 0 {
 			seconds = append(seconds, (r.Ended-operationStartMS)/1000)
--- a/lab/cluster/checks.go
+++ b/lab/cluster/checks.go
@@ -235,7 +235,7 @@
 				counted = false
 			case strings.Contains(line, `msg="voter counts"`):
 				counted = true
-			case counted && strings.Contains(line, "lacks what this voter has acknowledged"):
+			case counted && strings.Contains(line, "no longer holds state that it acknowledged to other voters"):
 				d.reportBreak("%s counted on a disk that lacked what it had acknowledged: %s", p.file.Name, line)
 				counted = false
 			}
--- a/lab/cluster/cluster_test.go
+++ b/lab/cluster/cluster_test.go
@@ -204,7 +204,7 @@
 				d.ReportBreak("a read shows the record without an acknowledged change")
 				return true
 			}
-			return strings.Contains(d.agents[0].tail(1<<20)+d.agents[1].tail(1<<20), quorum.ErrBehind.Error())
+			return strings.Contains(d.agents[0].tail(1<<20)+d.agents[1].tail(1<<20), quorum.ErrDiskBehind.Error())
 		}
 		for end := time.Now().Add(6 * time.Second); time.Now().Before(end) && !found(); time.Sleep(50 * time.Millisecond) {
 		}
--- a/lab/cluster/ops.go
+++ b/lab/cluster/ops.go
@@ -425,22 +425,22 @@
 
 // Idle measures an idle cluster for duration: messages that voters send per second, and bytes per second on all links between
 // processes.
-func (d *Day) Idle(duration time.Duration) (lettersPerSecond, bytesPerSecond float64) {
+func (d *Day) Idle(duration time.Duration) (messagesPerSecond, bytesPerSecond float64) {
 	count := func() (l int) {
 		for i := range d.agents {
 			var s agent.Status
 			if (&agent.Caller{HTTP: d.http, Addrs: d.AddrOf(i)}).Get(d.ctx, "/v1/status", &s) == nil {
-				l += s.Sent.Letters
+				l += s.Sent.Messages
 			}
 		}
 		return l
 	}
 	d.sleep(5 * time.Second)
-	lettersBefore := count()
+	messagesBefore := count()
 	bytesBefore := d.relayedBytes()
 	d.sleep(duration)
-	lettersAfter := count()
-	return float64(lettersAfter-lettersBefore) / duration.Seconds(), float64(d.relayedBytes()-bytesBefore) / duration.Seconds()
+	messagesAfter := count()
+	return float64(messagesAfter-messagesBefore) / duration.Seconds(), float64(d.relayedBytes()-bytesBefore) / duration.Seconds()
 }
 
 // relayedBytes returns how many bytes all relays have forwarded, in both directions.
--- a/lab/council/simulation.go
+++ b/lab/council/simulation.go
@@ -47,7 +47,7 @@
 	Refused  int      // calls that a scheduler refused because of their fence, scheduler start or change number
 	Replaced int      // voters that were replaced because their disk lacked data that they had acknowledged
 	Left     int      // operations that ended halted with a reason and need an operator
-	Letters  int      // messages that voters sent to each other
+	Messages int      // messages that voters sent to each other
 	Calls    int      // calls at agents that operations made
 	Most     int      // most members that were out at once because of the operation, not of a fault
 	Ended    float64  // simulated time in ms at which the operation had ended, 0 if it had not
@@ -88,7 +88,7 @@
 type voter struct {
 	id                 uint64
 	node               *quorum.Node
-	disk               *quorum.Memory
+	disk               *quorum.MemoryDisk
 	clock              clock
 	pausedUntilMS      float64                              // simulated time; the process does nothing before it
 	joining            bool                                 // it joins an existing group of voters
@@ -96,7 +96,7 @@
 	replacementPending bool                                 // a new voter is about to take its place
 	lastCheckedCommand uint64                               // number of the command after which its record was last checked
 	pendingAnswers     map[string]func(fleet.CommandResult) // callbacks by "CALLER NUMBER" of a proposed command
-	heldMessages       []quorum.Letter                      // messages that arrived during a pause
+	heldMessages       []quorum.Message                     // messages that arrived during a pause
 }
 
 // simAgent is one agent: the production decisions of package fleet on a simulated process.
@@ -202,7 +202,7 @@
 		sim.initialVoters[uint64(i+1)] = fmt.Sprint("v", i+1)
 	}
 	for i := range options.Voters {
-		v := &voter{id: uint64(i + 1), disk: quorum.NewMemory(), clock: sim.newClock(), pendingAnswers: map[string]func(fleet.CommandResult){}}
+		v := &voter{id: uint64(i + 1), disk: quorum.NewMemoryDisk(), clock: sim.newClock(), pendingAnswers: map[string]func(fleet.CommandResult){}}
 		sim.voters = append(sim.voters, v)
 		sim.openVoter(v)
 	}
@@ -282,7 +282,7 @@
 func (sim *simulation) openVoter(v *voter) {
 	sim.voterStarts++
 	node, err := quorum.Open(quorum.Options{ID: v.id, Voters: sim.initialVoters, Join: v.joining, Replaces: v.replacedID, Disk: v.disk,
-		Start: sim.voterStarts, Bug: sim.options.Bug})
+		StartID: sim.voterStarts, InjectedFault: sim.options.Bug})
 	if v.node, v.heldMessages = node, nil; err != nil {
 		sim.reportViolation("voter %d does not start: %v", v.id, err)
 	}
@@ -385,7 +385,7 @@
 			_ = v.node.Tick()
 			sim.advanceVoter(v)
 		}
-		if v.node.Behind() && !v.replacementPending {
+		if v.node.DiskBehind() && !v.replacementPending {
 			sim.replaceVoter(v)
 		}
 	}
@@ -451,11 +451,11 @@
 // advanceVoter has a voter write to its disk and apply commands, sends its messages, wakes the agents that own something
 // when its record has changed, and passes on the answers to commands.
 func (sim *simulation) advanceVoter(v *voter) {
-	if err := v.node.Work(v.clock.read(sim.nowMS)); err != nil && !v.node.Behind() && !errors.Is(err, quorum.ErrReplaced) {
+	if err := v.node.Work(v.clock.read(sim.nowMS)); err != nil && !v.node.DiskBehind() && !errors.Is(err, quorum.ErrReplaced) {
 		sim.reportViolation("voter %d stopped: %v", v.id, err)
 	}
-	for message, ok := v.node.NextLetter(); ok; message, ok = v.node.NextLetter() {
-		sim.result.Letters++
+	for message, ok := v.node.NextMessage(); ok; message, ok = v.node.NextMessage() {
+		sim.result.Messages++
 		if delayMS, ok := sim.drawDelay(fmt.Sprint("v", message.From), fmt.Sprint("v", message.To)); ok {
 			sim.schedule(delayMS, func() { sim.deliver(message) })
 		}
@@ -468,11 +468,11 @@
 			}
 		}
 	}
-	for done, ok := v.node.NextDone(); ok; done, ok = v.node.NextDone() {
+	for done, ok := v.node.NextOutcome(); ok; done, ok = v.node.NextOutcome() {
 		key := fmt.Sprint(done.Caller, " ", done.Number)
 		if onAnswer := v.pendingAnswers[key]; onAnswer != nil {
 			delete(v.pendingAnswers, key)
-			onAnswer(done.Answer)
+			onAnswer(done.Result)
 		}
 	}
 }
@@ -480,7 +480,7 @@
 // deliver hands a message to the voter that it is addressed to. One for a voter that was replaced is dropped; but if it asks
 // what that voter has seen acknowledged, the process of the replacement answers in its name that it has lost data, and who
 // votes now.
-func (sim *simulation) deliver(message quorum.Letter) {
+func (sim *simulation) deliver(message quorum.Message) {
 	for _, v := range sim.voters {
 		switch {
 		case v.id == message.To && v.pausedUntilMS > sim.nowMS:
@@ -488,9 +488,9 @@
 		case v.id == message.To:
 			_ = v.node.Step(v.clock.read(sim.nowMS), message)
 			sim.advanceVoter(v)
-		case message.Ask != 0 && message.To == v.replacedID:
-			sim.deliver(quorum.Letter{From: message.To, To: message.From, Told: message.Ask, Behind: true, Voters: v.node.Record.Voters,
-				VotersNo: v.node.Record.VotersChangeNo})
+		case message.Query != 0 && message.To == v.replacedID:
+			sim.deliver(quorum.Message{From: message.To, To: message.From, ReplyTo: message.Query, DiskBehind: true, Voters: v.node.Record.Voters,
+				VotersChangeNo: v.node.Record.VotersChangeNo})
 		}
 	}
 }
@@ -793,10 +793,10 @@
 		}
 	case 8: // a voter's disk acknowledges syncs without keeping the data, or an older copy is put back; the voter then crashes
 		// Only one voter's disk at a time is faulty: with two at once the record's guarantees don't hold.
-		if victim := sim.voters[sim.diskFaultVoter]; !sim.diskFaulty && !victim.node.Behind() {
+		if victim := sim.voters[sim.diskFaultVoter]; !sim.diskFaulty && !victim.node.DiskBehind() {
 			sim.diskFaulty = true
 			if sim.random.IntN(2) == 0 {
-				victim.disk.Lies = true
+				victim.disk.LoseSyncs = true
 				sim.schedule(spanMS, func() { sim.crashVoter(victim) })
 			} else {
 				oldDisk := victim.disk.Copy()
@@ -837,7 +837,7 @@
 		}
 		if leader := sim.leader(); leader != nil {
 			err := leader.node.ProposeVoters(newID, fmt.Sprint("v", newID), oldID)
-			if sim.advanceVoter(leader); errors.Is(err, quorum.ErrUsed) {
+			if sim.advanceVoter(leader); errors.Is(err, quorum.ErrInvalidVoterChange) {
 				return // the replacement was applied already, or another voter has taken the place
 			}
 		}
@@ -845,7 +845,7 @@
 	}
 	propose()
 	sim.schedule(replacementStartMS, func() {
-		v.id, v.joining, v.replacedID, v.disk, v.replacementPending = newID, true, oldID, quorum.NewMemory(), false
+		v.id, v.joining, v.replacedID, v.disk, v.replacementPending = newID, true, oldID, quorum.NewMemoryDisk(), false
 		v.pendingAnswers = map[string]func(fleet.CommandResult){}
 		sim.openVoter(v)
 		sim.diskFaulty = false
@@ -859,7 +859,7 @@
 	clear(sim.disconnected)
 	for _, v := range sim.voters {
 		v.pausedUntilMS = 0
-		v.disk.Lies = false
+		v.disk.LoseSyncs = false
 	}
 	for _, agent := range sim.agents {
 		if agent.pausedUntilMS = 0; !agent.up {
@@ -910,7 +910,7 @@
 		details := ""
 		for _, v := range sim.voters {
 			id, _ := v.node.Leader()
-			details += fmt.Sprintf("; %d counts %t behind %t follows %d err %v, voters %v", v.id, v.node.Counts(), v.node.Behind(), id,
+			details += fmt.Sprintf("; %d counts %t behind %t follows %d err %v, voters %v", v.id, v.node.Participating(), v.node.DiskBehind(), id,
 				v.node.Err(), v.node.Record.Voters)
 		}
 		sim.reportViolation("no leader at the end%s", details)
--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -23,7 +23,7 @@
 // BenchmarkLogPersist measures one entry written and synced by this log, on the disk of the temporary directory;
 // BenchmarkBboltPut measures the same with bbolt.
 func BenchmarkLogPersist(b *testing.B) {
-	d, err := Folder(b.TempDir())
+	d, err := OpenDirectory(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,11 +61,11 @@
 func BenchmarkStart(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d, err := Folder(b.TempDir())
+			d, err := OpenDirectory(b.TempDir())
 			if err != nil {
 				b.Fatal(err)
 			}
-			o := Options{ID: 1, Voters: map[uint64]string{1: "v1"}, Disk: d, Start: 1}
+			o := Options{ID: 1, Voters: map[uint64]string{1: "v1"}, Disk: d, StartID: 1}
 			node, err := Open(o)
 			if err != nil {
 				b.Fatal(err)
--- a/quorum/disk.go
+++ b/quorum/disk.go
@@ -25,8 +25,8 @@
 	Sync() error
 }
 
-// Folder creates the directory path if it does not exist and returns it as a Disk.
-func Folder(path string) (Disk, error) {
+// OpenDirectory creates the directory path if it does not exist and returns it as a Disk.
+func OpenDirectory(path string) (Disk, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
--- a/quorum/format_test.go
+++ b/quorum/format_test.go
@@ -32,7 +32,7 @@
 	before := map[uint64]LogPosition{2: {Term: 2, Index: 5, EntryTerm: 1}, 3: {Term: 1, Index: 4}}
 	after := map[uint64]LogPosition{2: {Term: 2, Index: 6, EntryTerm: 2}, 3: {Term: 1, Index: 4}}
 
-	d := NewMemory()
+	d := NewMemoryDisk()
 	d.files["log"] = &memoryFile{disk: d, synced: []byte(file)}
 	_, got, err := openLog(d, "")
 	if err != nil {
@@ -43,7 +43,7 @@
 		t.Errorf("read %+v", got)
 	}
 
-	d = NewMemory()
+	d = NewMemoryDisk()
 	l, _, err := openLog(d, "")
 	if err != nil {
 		t.Fatal(err)
@@ -66,14 +66,14 @@
 		`{"From":3,"To":1,"Ask":7,"Mark":{"term":0,"index":0},"Last":{"term":0,"index":0}},` +
 		`{"From":2,"To":1,"Told":7,"Mark":{"term":4,"index":9,"of":3},"Last":{"term":5,"index":12,"of":5},"Term":6,` +
 		`"Behind":true,"Leads":true,"Voters":{"1":"v1","2":"v2"},"VotersNo":8}]`
-	want := []Letter{
+	want := []Message{
 		{From: 1, To: 2, Raft: []byte("abc")},
-		{From: 3, To: 1, Ask: 7},
-		{From: 2, To: 1, Told: 7, Observed: LogPosition{Term: 4, Index: 9, EntryTerm: 3},
-			LastPosition: LogPosition{Term: 5, Index: 12, EntryTerm: 5}, Term: 6, Behind: true, IsLeader: true,
-			Voters: map[uint64]string{1: "v1", 2: "v2"}, VotersNo: 8},
+		{From: 3, To: 1, Query: 7},
+		{From: 2, To: 1, ReplyTo: 7, Observed: LogPosition{Term: 4, Index: 9, EntryTerm: 3},
+			LastPosition: LogPosition{Term: 5, Index: 12, EntryTerm: 5}, Term: 6, DiskBehind: true, IsLeader: true,
+			Voters: map[uint64]string{1: "v1", 2: "v2"}, VotersChangeNo: 8},
 	}
-	var got []Letter
+	var got []Message
 	if err := json.Unmarshal([]byte(old), &got); err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 // The agent's status page holds these counts under these names.
 func TestTrafficFormat(t *testing.T) {
 	const old = `{"Letters":3,"Bytes":450}`
-	want := Traffic{Letters: 3, Bytes: 450}
+	want := Traffic{Messages: 3, Bytes: 450}
 	var got Traffic
 	if err := json.Unmarshal([]byte(old), &got); err != nil || got != want {
 		t.Errorf("read %+v (%v), want %+v", got, err, want)
--- a/quorum/host.go
+++ b/quorum/host.go
@@ -49,27 +49,27 @@
 
 // View is a copy of a voter's state for other goroutines.
 type View struct {
-	Raw    []byte            // the record's snapshot; never modified
-	Lean   []byte            // the same without sessions and audit, which only voters need
-	No     uint64            // the last command that the record includes
-	Leader uint64            // the leader's number, 0 if unknown
-	Leads  bool              // this voter is the leader
-	Counts bool              // this voter takes part in raft
-	Behind bool              // its disk has lost what it acknowledged
-	LedAt  float64           // when it last became the leader, in ms of its Clock
-	Addrs  map[uint64]string // of the voters
-	Syncs  int               // how often it has waited for its disk
-	Bytes  int               // size of its log file
+	Snapshot          []byte            // the record's snapshot; never modified
+	SnapshotForAgents []byte            // the same without sessions and audit, which only voters need
+	LastCommand       uint64            // the last command that the record includes
+	Leader            uint64            // the leader's number, 0 if unknown
+	IsLeader          bool              // this voter is the leader
+	Participating     bool              // this voter takes part in raft
+	DiskBehind        bool              // its disk has lost what it acknowledged
+	LeaderSinceMs     float64           // when it last became the leader, in ms of its Clock
+	Addrs             map[uint64]string // of the voters
+	Syncs             int               // how often it has waited for its disk
+	LogBytes          int               // size of its log file
 }
 
 // Traffic counts the messages sent to other voters, and their bytes as JSON. It is reported under the names in the tags.
 type Traffic struct {
-	Letters int `json:"Letters"`
-	Bytes   int `json:"Bytes"`
+	Messages int `json:"Letters"`
+	Bytes    int `json:"Bytes"`
 }
 
 // sendQueue holds the messages that wait to be sent to one voter.
-type sendQueue struct{ messages chan Letter }
+type sendQueue struct{ messages chan Message }
 
 // Clock is the monotonic clock by which leases are measured. In a build with the tag faults it can run fast or slow, or
 // jump.
@@ -114,8 +114,8 @@
 	return h.stopErr
 }
 
-// Dead returns a channel that is closed once the voter has stopped.
-func (h *Host) Dead() <-chan struct{} { return h.stopped }
+// Stopped returns a channel that is closed once the voter has stopped.
+func (h *Host) Stopped() <-chan struct{} { return h.stopped }
 
 // run owns the node until the voter stops.
 func (h *Host) run(ctx context.Context, n *Node) {
@@ -123,7 +123,7 @@
 	defer close(h.stopped)
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	participating, loggedBehind := n.Counts(), false
+	participating, loggedBehind := n.Participating(), false
 	for {
 		var err error
 		select {
@@ -148,13 +148,13 @@
 			err = n.Work(h.clock.Now())
 		}
 		h.passOutputs(ctx, n)
-		if n.Counts() != participating {
-			participating = n.Counts()
+		if n.Participating() != participating {
+			participating = n.Participating()
 			h.logger.Info("voter counts", "voter", h.ID)
 		}
 		switch {
 		case err == nil || loggedBehind:
-		case n.Behind():
+		case n.DiskBehind():
 			// It goes on running to tell other voters what it has seen them persist: with three voters, one that starts needs the
 			// replies of both others.
 			h.logger.Error("voter stopped", "voter", h.ID, "err", err)
@@ -171,16 +171,16 @@
 // passOutputs queues the node's messages for sending and wakes the callers whose commands or reads are done.
 func (h *Host) passOutputs(ctx context.Context, n *Node) {
 	h.updateView(n)
-	for l, ok := n.NextLetter(); ok; l, ok = n.NextLetter() {
-		h.enqueue(ctx, l)
+	for message, ok := n.NextMessage(); ok; message, ok = n.NextMessage() {
+		h.enqueue(ctx, message)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for d, ok := n.NextDone(); ok; d, ok = n.NextDone() {
-		key := fmt.Sprint(d.Caller, " ", d.Number)
+	for outcome, ok := n.NextOutcome(); ok; outcome, ok = n.NextOutcome() {
+		key := fmt.Sprint(outcome.Caller, " ", outcome.Number)
 		if c := h.pendingCommands[key]; c != nil {
 			delete(h.pendingCommands, key)
-			c <- d.Answer
+			c <- outcome.Result
 		}
 	}
 	for key, ok := n.NextRead(); ok; key, ok = n.NextRead() {
@@ -198,21 +198,21 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	v := &h.view
-	if isLeader && !v.Leads {
-		v.LedAt = h.clock.Now()
+	if isLeader && !v.IsLeader {
+		v.LeaderSinceMs = h.clock.Now()
 	}
-	changed := v.Raw == nil || v.No != n.Record.No || v.Leader != leader || v.Leads != isLeader || v.Counts != n.Counts()
-	v.Leader, v.Leads, v.Counts, v.Behind, v.Syncs, v.Bytes = leader, isLeader, n.Counts(), n.Behind(), n.Syncs(), n.LogBytes()
-	if changed || !n.Counts() {
+	changed := v.Snapshot == nil || v.LastCommand != n.Record.No || v.Leader != leader || v.IsLeader != isLeader || v.Participating != n.Participating()
+	v.Leader, v.IsLeader, v.Participating, v.DiskBehind, v.Syncs, v.LogBytes = leader, isLeader, n.Participating(), n.DiskBehind(), n.Syncs(), n.LogBytes()
+	if changed || !n.Participating() {
 		v.Addrs = n.Addrs()
 	}
 	if !changed {
 		return
 	}
-	if v.Raw == nil || v.No != n.Record.No {
-		v.Raw, v.No = n.Record.Snapshot(), n.Record.No
-		v.Lean = n.Record.SnapshotForAgents()
-		h.pastRecords = append(h.pastRecords, PastRecord{v.No, v.Lean})[max(0, len(h.pastRecords)+1-maxPastRecords):]
+	if v.Snapshot == nil || v.LastCommand != n.Record.No {
+		v.Snapshot, v.LastCommand = n.Record.Snapshot(), n.Record.No
+		v.SnapshotForAgents = n.Record.SnapshotForAgents()
+		h.pastRecords = append(h.pastRecords, PastRecord{v.LastCommand, v.SnapshotForAgents})[max(0, len(h.pastRecords)+1-maxPastRecords):]
 	}
 	close(h.viewChanged)
 	h.viewChanged = make(chan struct{})
@@ -220,17 +220,17 @@
 
 // PastRecord is a former version of the record, without sessions and audit.
 type PastRecord struct {
-	No   uint64 // the last command that it includes
-	Lean []byte
+	LastCommand       uint64 // the last command that it includes
+	SnapshotForAgents []byte
 }
 
-// Past returns the record after command no, without sessions and audit; nil if that version is no longer kept.
-func (h *Host) Past(no uint64) []byte {
+// PastSnapshot returns the record after command no, without sessions and audit; nil if that version is no longer kept.
+func (h *Host) PastSnapshot(no uint64) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.pastRecords {
-		if p.No == no {
-			return p.Lean
+		if p.LastCommand == no {
+			return p.SnapshotForAgents
 		}
 	}
 	return nil
@@ -262,28 +262,28 @@
 	}
 }
 
-// Take handles the messages in a request's body, which another voter has sent.
-func (h *Host) Take(ctx context.Context, body io.Reader) error {
-	var messages []Letter
+// ReceiveMessages handles the messages in a request's body, which another voter has sent.
+func (h *Host) ReceiveMessages(ctx context.Context, body io.Reader) error {
+	var messages []Message
 	if err := json.NewDecoder(io.LimitReader(body, maxRequestBytes)).Decode(&messages); err != nil {
 		return err
 	}
 	return h.onNode(ctx, func(n *Node) {
-		for _, l := range messages {
-			if l.To == h.ID {
-				_ = n.Step(h.clock.Now(), l)
-			} else if l.Ask != 0 && l.To == n.options.Replaces {
+		for _, message := range messages {
+			if message.To == h.ID {
+				_ = n.Step(h.clock.Now(), message)
+			} else if message.Query != 0 && message.To == n.options.Replaces {
 				// A query to the voter that this one was put in the place of. That voter's disk is lost, so this one replies for it.
-				h.enqueue(h.ctx, Letter{From: l.To, To: l.From, Told: l.Ask, Behind: true, Voters: n.Record.Voters,
-					VotersNo: n.Record.VotersChangeNo})
+				h.enqueue(h.ctx, Message{From: message.To, To: message.From, ReplyTo: message.Query, DiskBehind: true, Voters: n.Record.Voters,
+					VotersChangeNo: n.Record.VotersChangeNo})
 			}
 		}
 	})
 }
 
-// Do proposes a command and waits for its result. After ErrNotLeader and ErrNotCounting the command was not proposed; after
-// any other error it may or may not be carried out, now or later, and may be sent again unchanged.
-func (h *Host) Do(ctx context.Context, c fleet.Command) (fleet.CommandResult, error) {
+// Execute proposes a command and waits for its result. After ErrNotLeader and ErrNotParticipating the command was not
+// proposed; after any other error it may or may not be carried out, now or later, and may be sent again unchanged.
+func (h *Host) Execute(ctx context.Context, c fleet.Command) (fleet.CommandResult, error) {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return fleet.CommandResult{}, err
@@ -321,8 +321,8 @@
 	}
 }
 
-// Voters proposes a change of the voters, as Node.ProposeVoters does. It doesn't wait until the change is carried out.
-func (h *Host) Voters(ctx context.Context, add uint64, addr string, remove uint64) error {
+// ChangeVoters proposes a change of the voters, as Node.ProposeVoters does. It doesn't wait until the change is carried out.
+func (h *Host) ChangeVoters(ctx context.Context, add uint64, addr string, remove uint64) error {
 	proposed := make(chan error, 1)
 	if err := h.onNode(ctx, func(n *Node) { proposed <- n.ProposeVoters(add, addr, remove) }); err != nil {
 		return err
@@ -370,17 +370,17 @@
 }
 
 // enqueue puts a message into its recipient's send queue, and drops it if the queue is full.
-func (h *Host) enqueue(ctx context.Context, l Letter) {
+func (h *Host) enqueue(ctx context.Context, message Message) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	queue := h.sendQueues[l.To]
+	queue := h.sendQueues[message.To]
 	if queue == nil {
-		queue = &sendQueue{make(chan Letter, maxQueuedMessages)}
-		h.sendQueues[l.To] = queue
-		go h.sendMessages(ctx, l.To, queue)
+		queue = &sendQueue{make(chan Message, maxQueuedMessages)}
+		h.sendQueues[message.To] = queue
+		go h.sendMessages(ctx, message.To, queue)
 	}
 	select {
-	case queue.messages <- l:
+	case queue.messages <- message:
 	default:
 	}
 }
@@ -389,19 +389,19 @@
 // fails are lost.
 func (h *Host) sendMessages(ctx context.Context, to uint64, queue *sendQueue) {
 	for {
-		var messages []Letter
+		var messages []Message
 		select {
 		case <-ctx.Done():
 			return
 		case <-h.stopped:
 			return
-		case l := <-queue.messages:
-			messages = append(messages, l)
+		case message := <-queue.messages:
+			messages = append(messages, message)
 		}
 		for more := true; more && len(messages) < maxQueuedMessages; {
 			select {
-			case l := <-queue.messages:
-				messages = append(messages, l)
+			case message := <-queue.messages:
+				messages = append(messages, message)
 			default:
 				more = false
 			}
@@ -414,7 +414,7 @@
 		}
 		body, _ := json.Marshal(messages)
 		h.mu.Lock()
-		h.traffic.Letters += len(messages)
+		h.traffic.Messages += len(messages)
 		h.traffic.Bytes += len(body)
 		h.mu.Unlock()
 		response, err := h.client.Post("http://"+addr+"/v1/letters", "application/json", bytes.NewReader(body))
--- a/quorum/memory.go
+++ b/quorum/memory.go
@@ -7,23 +7,23 @@
 	"slices"
 )
 
-// Memory is a disk in memory, for tests and simulated time. Bytes that were not synced are lost in a crash.
-type Memory struct {
-	files map[string]*memoryFile
-	Lies  bool  // Sync returns nil and makes nothing durable
-	Fails error // returned by each Sync; nil for none
+// MemoryDisk is a disk in memory, for tests and simulated time. Bytes that were not synced are lost in a crash.
+type MemoryDisk struct {
+	files     map[string]*memoryFile
+	LoseSyncs bool  // Sync returns nil and makes nothing durable
+	SyncError error // returned by each Sync; nil for none
 }
 
 type memoryFile struct {
-	disk             *Memory
+	disk             *MemoryDisk
 	synced, unsynced []byte
 }
 
-// NewMemory returns an empty disk.
-func NewMemory() *Memory { return &Memory{files: map[string]*memoryFile{}} }
+// NewMemoryDisk returns an empty disk.
+func NewMemoryDisk() *MemoryDisk { return &MemoryDisk{files: map[string]*memoryFile{}} }
 
 // Read implements Disk: as on an operating system, a running process also reads what was not synced yet.
-func (d *Memory) Read(name string) ([]byte, error) {
+func (d *MemoryDisk) Read(name string) ([]byte, error) {
 	if f := d.files[name]; f != nil {
 		return append(slices.Clone(f.synced), f.unsynced...), nil
 	}
@@ -31,13 +31,13 @@
 }
 
 // Create implements Disk.
-func (d *Memory) Create(name string) (File, error) {
+func (d *MemoryDisk) Create(name string) (File, error) {
 	d.files[name] = &memoryFile{disk: d}
 	return d.files[name], nil
 }
 
 // Append implements Disk.
-func (d *Memory) Append(name string) (File, error) {
+func (d *MemoryDisk) Append(name string) (File, error) {
 	if f := d.files[name]; f != nil {
 		return f, nil
 	}
@@ -45,15 +45,15 @@
 }
 
 // Rename implements Disk.
-func (d *Memory) Rename(from, to string) error {
+func (d *MemoryDisk) Rename(from, to string) error {
 	d.files[to] = d.files[from]
 	delete(d.files, from)
 	return nil
 }
 
 // Copy returns a disk that holds the synced bytes of each file.
-func (d *Memory) Copy() *Memory {
-	c := NewMemory()
+func (d *MemoryDisk) Copy() *MemoryDisk {
+	c := NewMemoryDisk()
 	for name, f := range d.files {
 		c.files[name] = &memoryFile{disk: c, synced: slices.Clone(f.synced)}
 	}
@@ -62,7 +62,7 @@
 
 // Crash drops the unsynced bytes of each file, except for a random prefix of them in half of the cases. Afterwards Sync
 // makes writes durable again.
-func (d *Memory) Crash(r *rand.Rand) {
+func (d *MemoryDisk) Crash(r *rand.Rand) {
 	for _, name := range slices.Sorted(maps.Keys(d.files)) {
 		f := d.files[name]
 		if len(f.unsynced) > 0 && r.IntN(2) == 0 {
@@ -70,7 +70,7 @@
 		}
 		f.unsynced = nil
 	}
-	d.Lies = false
+	d.LoseSyncs = false
 }
 
 func (f *memoryFile) Write(b []byte) (int, error) {
@@ -79,10 +79,10 @@
 }
 
 func (f *memoryFile) Sync() error {
-	if f.disk.Fails != nil {
-		return f.disk.Fails
+	if f.disk.SyncError != nil {
+		return f.disk.SyncError
 	}
-	if !f.disk.Lies {
+	if !f.disk.LoseSyncs {
 		f.synced, f.unsynced = append(f.synced, f.unsynced...), nil
 	}
 	return nil
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -38,65 +38,65 @@
 )
 
 var (
-	// ErrBehind says that this voter's disk lacks what other voters have seen it persist: a sync that was not durable, an
+	// ErrDiskBehind says that this voter's disk lacks what other voters have seen it persist: a sync that was not durable, an
 	// older copy put back, or another voter's directory. It may have voted and must not vote again; its process can only
 	// join as a new voter with a new number.
-	ErrBehind = errors.New("this disk lacks what this voter has acknowledged: replace the voter")
+	ErrDiskBehind = errors.New("this voter's disk no longer holds state that it acknowledged to other voters: replace the voter")
 	// ErrReplaced says that an operator has put another voter in the place of this one.
-	ErrReplaced = errors.New("this voter was replaced by another: it does not vote any more")
-	// ErrUsed says that a change of voters adds a number that is not higher than all former ones, or removes a number that is
-	// not a voter's.
-	ErrUsed = errors.New("the new voter's number has to be higher than any before, and the old one has to be a voter")
+	ErrReplaced = errors.New("this voter was replaced by another voter and no longer votes")
+	// ErrInvalidVoterChange says that a change of voters adds a number that is not higher than all former ones, or removes a
+	// number that is not a voter's.
+	ErrInvalidVoterChange = errors.New("invalid change of voters: a voter to add needs a higher number than all voters before, and the number to remove must be a voter's")
 	// ErrNotLeader says that another voter has to be asked, or that there is no leader.
 	ErrNotLeader = errors.New("this voter is not the leader")
-	// ErrNotCounting says that the voter has just started and the other voters have not yet reported what it acknowledged.
-	ErrNotCounting = errors.New("this voter has just started: the other voters have not yet reported what it acknowledged")
+	// ErrNotParticipating says that the voter has just started and the other voters have not yet reported what it acknowledged.
+	ErrNotParticipating = errors.New("this voter has just started: the other voters have not yet reported what it acknowledged")
 )
 
-// Letter is one message from a voter to another. It is one of three: a raft message, a position query, or the reply to one.
+// Message is one message from a voter to another. It is one of three: a raft message, a position query, or the reply to one.
 // It is sent as JSON between voters of possibly different builds.
 //
-// At its start a voter sends position queries: what have you seen me persist? See Node.handleReply.
-type Letter struct {
-	From uint64 `json:"From"`
-	To   uint64 `json:"To"`
-	Raft []byte `json:"Raft,omitempty"` // an encoded pb.Message; empty in a query or reply
-	Ask  uint64 `json:"Ask,omitempty"`  // in a position query, the sender's Options.Start; else 0
-	Told uint64 `json:"Told,omitempty"` // in a reply, the query's Ask; else 0
+// At its start a voter sends position queries: which state has the other voter seen the sender persist? See Node.handleReply.
+type Message struct {
+	From    uint64 `json:"From"`
+	To      uint64 `json:"To"`
+	Raft    []byte `json:"Raft,omitempty"` // an encoded pb.Message; empty in a query or reply
+	Query   uint64 `json:"Ask,omitempty"`  // in a position query, the sender's Options.StartID; else 0
+	ReplyTo uint64 `json:"Told,omitempty"` // in a reply, the Query of the position query; else 0
 
 	// The other fields are those of a reply.
 	Observed     LogPosition `json:"Mark"`             // the furthest that the replying voter saw the querying one persist
 	LastPosition LogPosition `json:"Last"`             // the end of the replying voter's own log
 	Term         uint64      `json:"Term,omitempty"`   // the replying voter's raft term
-	Behind       bool        `json:"Behind,omitempty"` // the replying voter's own disk has lost what it acknowledged
+	DiskBehind   bool        `json:"Behind,omitempty"` // the replying voter's own disk has lost what it acknowledged
 	IsLeader     bool        `json:"Leads,omitempty"`  // the replying voter is the leader in Term
-	// Voters are the voters that the replying one knows, with their addresses, and VotersNo is the log index of the change
-	// that made them so: the querying voter may have missed some changes.
-	Voters   map[uint64]string `json:"Voters,omitempty"`
-	VotersNo uint64            `json:"VotersNo,omitempty"`
+	// Voters are the voters that the replying one knows, with their addresses, and VotersChangeNo is the log index of the
+	// change that made them so: the querying voter may have missed some changes.
+	Voters         map[uint64]string `json:"Voters,omitempty"`
+	VotersChangeNo uint64            `json:"VotersNo,omitempty"`
 }
 
-// Done is the result of a command, which Caller and Number identify.
-type Done struct {
+// CommandOutcome is the result of a command, which Caller and Number identify.
+type CommandOutcome struct {
 	Caller string
 	Number uint64
-	Answer fleet.CommandResult
+	Result fleet.CommandResult
 }
 
 // Options are what a voter is given at its start.
 type Options struct {
-	ID       uint64            // this voter's number
-	Voters   map[uint64]string // the first voters with their addresses, the same at each of them
-	Join     bool              // begin with an empty log and wait to be added by the leader
-	Replaces uint64            // the voter that this one was put in the place of, whose disk is lost; 0 for none
-	Trust    bool              // an operator vouches for this disk: participate without asking the other voters
-	Disk     Disk
-	Start    uint64 // identifies this start of the process among all its starts; not 0
-	Bug      string // name of a planted bug, for tests of the checks that have to find it; "" for none
+	ID            uint64            // this voter's number
+	Voters        map[uint64]string // the first voters with their addresses, the same at each of them
+	Join          bool              // begin with an empty log and wait to be added by the leader
+	Replaces      uint64            // the voter that this one was put in the place of, whose disk is lost; 0 for none
+	TrustDisk     bool              // an operator vouches for this disk: participate without asking the other voters
+	Disk          Disk
+	StartID       uint64 // identifies this start of the process among all its starts; not 0
+	InjectedFault string // name of a fault planted for tests of the checks that have to find it; "" for none
 }
 
 // Node is one voter. Each of its inputs (Tick, Step, Propose, ProposeVoters, Read) is followed by a call of Work, after
-// which the host fetches the outputs with NextLetter, NextDone and NextRead. Times are ms of the host's monotonic clock.
+// which the host fetches the outputs with NextMessage, NextOutcome and NextRead. Times are ms of the host's monotonic clock.
 type Node struct {
 	options   Options
 	raft      *raft.RawNode // nil until this voter participates
@@ -124,8 +124,8 @@
 	ticks         int
 	observed      map[uint64]LogPosition // the furthest that each other voter was seen to persist
 
-	outbox       []Letter
-	results      []Done
+	outbox       []Message
+	outcomes     []CommandOutcome
 	readyReads   []string // keys of reads that may be answered now
 	pendingReads []pendingRead
 	stopErr      error // why this voter has stopped for good
@@ -143,8 +143,8 @@
 func Open(o Options) (n *Node, err error) {
 	n = &Node{options: o, storage: raft.NewMemoryStorage(), Record: fleet.NewRecord(), observed: map[uint64]LogPosition{},
 		reportedLast: map[uint64]LogPosition{}, repliedBy: map[uint64]bool{}}
-	n.Record.InjectedFault = o.Bug
-	log, contents, err := openLog(o.Disk, o.Bug)
+	n.Record.InjectedFault = o.InjectedFault
+	log, contents, err := openLog(o.Disk, o.InjectedFault)
 	if errors.Is(err, ErrCorrupt) {
 		n.log, n.stopErr, n.diskBehind = &diskLog{disk: o.Disk}, err, true
 		n.newerVoters = maps.Clone(o.Voters) // addresses: it still answers position queries, see Step
@@ -197,7 +197,7 @@
 			others++
 		}
 	}
-	if o.Trust || others == 0 && !o.Join {
+	if o.TrustDisk || others == 0 && !o.Join {
 		err = n.participate(0)
 	}
 	return n, err
@@ -224,11 +224,11 @@
 	return err
 }
 
-// recoverPanic, which has to be deferred, turns a panic of raft into ErrBehind and stops the voter. Raft panics when its log
+// recoverPanic, which has to be deferred, turns a panic of raft into ErrDiskBehind and stops the voter. Raft panics when its log
 // lacks an entry that it has acknowledged.
 func (n *Node) recoverPanic(err *error) {
 	if r := recover(); r != nil {
-		n.stopErr = fmt.Errorf("%w (%v)", ErrBehind, r)
+		n.stopErr = fmt.Errorf("%w (%v)", ErrDiskBehind, r)
 		n.diskBehind = true
 		*err = n.stopErr
 	}
@@ -279,14 +279,14 @@
 	return p.Term < other.Term || p.Term == other.Term && p.Index < other.Index
 }
 
-// Counts tells whether this voter takes part in raft: whether it votes and acknowledges.
-func (n *Node) Counts() bool { return n.participating }
+// Participating tells whether this voter takes part in raft: whether it votes and acknowledges.
+func (n *Node) Participating() bool { return n.participating }
 
 // Leader returns the leader's number as far as this voter knows, 0 for none, and whether it is this voter.
 func (n *Node) Leader() (id uint64, isLeader bool) { return n.leaderID, n.isLeader }
 
-// Behind tells whether this voter's disk has lost what the voter acknowledged.
-func (n *Node) Behind() bool { return n.diskBehind }
+// DiskBehind tells whether this voter's disk has lost what the voter acknowledged.
+func (n *Node) DiskBehind() bool { return n.diskBehind }
 
 // Err returns why this voter has stopped for good, nil if it has not.
 func (n *Node) Err() error { return n.stopErr }
@@ -307,7 +307,7 @@
 		n.raft.Tick()
 		if n.ticks++; n.ticks%queryIntervalTicks == 1 {
 			for _, id := range n.votersAhead() {
-				n.outbox = append(n.outbox, Letter{From: n.options.ID, To: id, Ask: n.options.Start})
+				n.outbox = append(n.outbox, Message{From: n.options.ID, To: id, Query: n.options.StartID})
 			}
 		}
 		return nil
@@ -321,7 +321,7 @@
 		for _, id := range n.votersToQuery() {
 			// After a majority has replied, those that did are queried again: one may have become the leader since.
 			if id != n.options.ID && (!n.repliedBy[id] || n.majorityTick > 0) {
-				n.outbox = append(n.outbox, Letter{From: n.options.ID, To: id, Ask: n.options.Start})
+				n.outbox = append(n.outbox, Message{From: n.options.ID, To: id, Query: n.options.StartID})
 			}
 		}
 	}
@@ -329,22 +329,22 @@
 }
 
 // Step handles a message from another voter.
-func (n *Node) Step(now float64, l Letter) (err error) {
+func (n *Node) Step(now float64, message Message) (err error) {
 	defer n.recoverPanic(&err)
 	switch {
-	case l.Ask != 0:
+	case message.Query != 0:
 		// A voter whose own disk can't be trusted replies too. The guarantees cover one bad disk at a time: if it is this one,
 		// the querying voter's is sound.
-		n.outbox = append(n.outbox, Letter{From: n.options.ID, To: l.From, Told: l.Ask, Observed: n.observed[l.From],
-			LastPosition: n.lastPosition(), Term: n.hardState.GetTerm(), Behind: n.diskBehind, IsLeader: n.isLeader,
-			Voters: n.Record.Voters, VotersNo: n.Record.VotersChangeNo})
+		n.outbox = append(n.outbox, Message{From: n.options.ID, To: message.From, ReplyTo: message.Query, Observed: n.observed[message.From],
+			LastPosition: n.lastPosition(), Term: n.hardState.GetTerm(), DiskBehind: n.diskBehind, IsLeader: n.isLeader,
+			Voters: n.Record.Voters, VotersChangeNo: n.Record.VotersChangeNo})
 	case n.stopErr != nil:
 		return n.stopErr
-	case l.Told != 0:
-		return n.handleReply(l)
+	case message.ReplyTo != 0:
+		return n.handleReply(message)
 	case n.participating:
 		m := &pb.Message{}
-		if err := proto.Unmarshal(l.Raft, m); err != nil {
+		if err := proto.Unmarshal(message.Raft, m); err != nil {
 			return nil // an unreadable message counts as lost; raft copes with lost messages
 		}
 		n.observe(m)
@@ -411,38 +411,38 @@
 	return ids
 }
 
-// handleReply handles another voter's reply to a position query. This voter stops with ErrBehind if its disk lacks what the
+// handleReply handles another voter's reply to a position query. This voter stops with ErrDiskBehind if its disk lacks what the
 // other saw it persist. It participates once a majority of the voters, itself not included, has replied: then every
 // acknowledgement of this voter that helped to commit an entry is known to at least one of them.
-func (n *Node) handleReply(l Letter) error {
-	if l.Told != n.options.Start {
+func (n *Node) handleReply(message Message) error {
+	if message.ReplyTo != n.options.StartID {
 		return nil
 	}
 	// The log of a voter whose own disk is found to lack something is not waited for: only one disk at a time may be bad, and
 	// that one is, so this voter's disk has lost nothing.
-	if l.Behind {
-		delete(n.reportedLast, l.From)
+	if message.DiskBehind {
+		delete(n.reportedLast, message.From)
 	} else if !n.participating {
-		n.reportedLast[l.From] = l.LastPosition
+		n.reportedLast[message.From] = message.LastPosition
 	}
 	if n.participating {
 		return nil
 	}
-	if n.lacksPosition(l.Observed) {
-		if n.options.Bug != "old-disk-votes" {
+	if n.lacksPosition(message.Observed) {
+		if n.options.InjectedFault != "old-disk-votes" {
 			n.diskBehind = true
-			n.stopErr = fmt.Errorf("%w (voter %d saw term %d, index %d; this disk has term %d, index %d)", ErrBehind, l.From,
-				l.Observed.Term, l.Observed.Index, n.hardState.GetTerm(), n.lastPosition().Index)
+			n.stopErr = fmt.Errorf("%w (voter %d saw term %d, index %d; this disk has term %d, index %d)", ErrDiskBehind, message.From,
+				message.Observed.Term, message.Observed.Index, n.hardState.GetTerm(), n.lastPosition().Index)
 			return n.stopErr
 		}
 	}
-	n.repliedBy[l.From] = true
-	if n.repliedTerm = max(n.repliedTerm, l.Term); l.IsLeader {
-		n.leaderTerm = max(n.leaderTerm, l.Term)
+	n.repliedBy[message.From] = true
+	if n.repliedTerm = max(n.repliedTerm, message.Term); message.IsLeader {
+		n.leaderTerm = max(n.leaderTerm, message.Term)
 	}
-	if l.VotersNo > max(n.Record.VotersChangeNo, n.newerVotersNo) {
-		n.newerVoters, n.newerVotersNo = l.Voters, l.VotersNo
-		if _, isVoter := l.Voters[n.options.ID]; !isVoter && !n.options.Join {
+	if message.VotersChangeNo > max(n.Record.VotersChangeNo, n.newerVotersNo) {
+		n.newerVoters, n.newerVotersNo = message.Voters, message.VotersChangeNo
+		if _, isVoter := message.Voters[n.options.ID]; !isVoter && !n.options.Join {
 			n.stopErr = ErrReplaced
 			return n.stopErr
 		}
@@ -476,14 +476,14 @@
 	return nil
 }
 
-// Propose proposes a command, a fleet.Command as JSON. NextDone returns its result, unless the command is lost.
+// Propose proposes a command, a fleet.Command as JSON. NextOutcome returns its result, unless the command is lost.
 func (n *Node) Propose(now float64, raw []byte) (err error) {
 	defer n.recoverPanic(&err)
 	switch {
 	case n.stopErr != nil:
 		return n.stopErr
 	case !n.participating:
-		return ErrNotCounting
+		return ErrNotParticipating
 	case !n.isLeader:
 		return ErrNotLeader
 	}
@@ -495,7 +495,7 @@
 		return err
 	}
 	if why := n.Leases.ProposalRefusal(now, n.Record, &c); why != "" {
-		n.results = append(n.results, Done{c.Caller, c.Number, fleet.CommandResult{Reason: why}})
+		n.outcomes = append(n.outcomes, CommandOutcome{c.Caller, c.Number, fleet.CommandResult{Reason: why}})
 		return nil
 	}
 	if err := n.raft.Propose(raw); err != nil {
@@ -513,7 +513,7 @@
 	// A number used again would stand for a voter that has acknowledged entries, with a disk that has none of them. A number
 	// that is not a voter's can't be removed: the request may be a late repetition of an earlier one.
 	if _, isVoter := n.Record.Voters[remove]; add != 0 && add <= n.Record.HighestVoterID || remove != 0 && !isVoter {
-		return ErrUsed
+		return ErrInvalidVoterChange
 	}
 	var changes []*pb.ConfChangeSingle
 	if add != 0 {
@@ -540,9 +540,9 @@
 	case n.stopErr != nil:
 		return n.stopErr
 	case !n.participating:
-		return ErrNotCounting
+		return ErrNotParticipating
 	}
-	if n.options.Bug == "stale-read" {
+	if n.options.InjectedFault == "stale-read" {
 		n.readyReads = append(n.readyReads, key)
 		return nil
 	}
@@ -568,7 +568,7 @@
 			n.leaderID = ready.SoftState.Lead
 			if isLeader := ready.SoftState.RaftState == raft.StateLeader; isLeader != n.isLeader {
 				if n.isLeader = isLeader; isLeader {
-					n.Leases.NoInitialWait = n.options.Bug == "new-leader-hurries"
+					n.Leases.NoInitialWait = n.options.InjectedFault == "new-leader-hurries"
 					n.Leases.BecomeLeader(now)
 				} else {
 					n.Leases.StepDown()
@@ -612,7 +612,7 @@
 	}
 	if ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot) {
 		record := fleet.NewRecord()
-		record.InjectedFault = n.options.Bug
+		record.InjectedFault = n.options.InjectedFault
 		if err := record.Restore(ready.Snapshot.Data); err != nil {
 			return err
 		}
@@ -629,7 +629,7 @@
 	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
 		changedState = n.hardState
 	}
-	sync := ready.MustSync && n.options.Bug != "yes-before-sync"
+	sync := ready.MustSync && n.options.InjectedFault != "yes-before-sync"
 	if err := n.log.persist(changedState, ready.Entries, n.observed, sync); err != nil {
 		return err // how much of it is on disk is unknown, so the caller stops this voter
 	}
@@ -639,7 +639,7 @@
 // queueMessages puts raft messages into the outbox.
 func (n *Node) queueMessages(messages []*pb.Message) {
 	for _, m := range messages {
-		n.outbox = append(n.outbox, Letter{From: n.options.ID, To: m.GetTo(), Raft: mustMarshal(m)})
+		n.outbox = append(n.outbox, Message{From: n.options.ID, To: m.GetTo(), Raft: mustMarshal(m)})
 		if m.GetType() == pb.MsgSnap {
 			// Reported as sent at once: if it is lost, the follower's answer to the next message shows that.
 			n.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
@@ -669,14 +669,14 @@
 		}
 		answer, err := n.Record.Apply(e.GetIndex(), e.Data)
 		if err != nil {
-			return err // the command is of a newer form than this build reads: the voter stops with its record unchanged
+			return err // the command is of a newer format version than this build reads: the voter stops with its record unchanged
 		}
 		var c fleet.Command
 		_ = json.Unmarshal(e.Data, &c)
 		if answer.Applied && (c.Verb == "claim" || c.Verb == "renew") {
 			n.Leases.Applied(now, &c)
 		}
-		n.results = append(n.results, Done{c.Caller, c.Number, answer})
+		n.outcomes = append(n.outcomes, CommandOutcome{c.Caller, c.Number, answer})
 	}
 	return nil
 }
@@ -713,11 +713,11 @@
 	return n.log.replace(snapshot, n.hardState, later, n.observed)
 }
 
-// NextLetter returns the next message to send. One that can't be sent may be dropped.
-func (n *Node) NextLetter() (Letter, bool) { return popFront(&n.outbox) }
+// NextMessage returns the next message to send. One that can't be sent may be dropped.
+func (n *Node) NextMessage() (Message, bool) { return popFront(&n.outbox) }
 
-// NextDone returns the next result of a command.
-func (n *Node) NextDone() (Done, bool) { return popFront(&n.results) }
+// NextOutcome returns the next result of a command.
+func (n *Node) NextOutcome() (CommandOutcome, bool) { return popFront(&n.outcomes) }
 
 // NextRead returns the key of the next read that may be answered from the record as it is now.
 func (n *Node) NextRead() (string, bool) { return popFront(&n.readyReads) }
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -25,10 +25,10 @@
 	random   *rand.Rand
 	nowMs    float64
 	voters   map[uint64]string // Options.Voters of each start
-	disks    map[uint64]*Memory
+	disks    map[uint64]*MemoryDisk
 	nodes    map[uint64]*Node               // those that run
 	blocked  map[[2]uint64]bool             // by sender and recipient: messages are lost
-	inFlight []Letter                       // messages to deliver
+	inFlight []Message                      // messages to deliver
 	loss     float64                        // share of all other messages that are lost
 	results  map[string]fleet.CommandResult // that a leader gave, by caller and number
 	stopErrs map[uint64]error               // the last error of a voter's start or inputs; nil for none
@@ -37,12 +37,12 @@
 }
 
 func newCluster(t testing.TB, n int, seed uint64) *cluster {
-	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), voters: map[uint64]string{}, disks: map[uint64]*Memory{},
+	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), voters: map[uint64]string{}, disks: map[uint64]*MemoryDisk{},
 		nodes: map[uint64]*Node{}, blocked: map[[2]uint64]bool{}, results: map[string]fleet.CommandResult{},
 		stopErrs: map[uint64]error{}}
 	for i := range uint64(n) {
 		c.voters[i+1] = fmt.Sprint("v", i+1)
-		c.disks[i+1] = NewMemory()
+		c.disks[i+1] = NewMemoryDisk()
 	}
 	for id := range c.voters {
 		c.start(id, false)
@@ -53,7 +53,7 @@
 // start starts a voter from its disk; join is Options.Join.
 func (c *cluster) start(id uint64, join bool) {
 	c.starts++
-	n, err := Open(Options{ID: id, Voters: c.voters, Join: join, Disk: c.disks[id], Start: c.starts, Bug: c.bugs[id]})
+	n, err := Open(Options{ID: id, Voters: c.voters, Join: join, Disk: c.disks[id], StartID: c.starts, InjectedFault: c.bugs[id]})
 	if delete(c.nodes, id); err != nil {
 		c.stopErrs[id] = err
 		return
@@ -92,12 +92,12 @@
 			if err := n.Work(c.nowMs); err != nil {
 				c.stopErrs[id] = err
 			}
-			for l, ok := n.NextLetter(); ok; l, ok = n.NextLetter() {
+			for l, ok := n.NextMessage(); ok; l, ok = n.NextMessage() {
 				c.inFlight = append(c.inFlight, l)
 			}
-			for d, ok := n.NextDone(); ok; d, ok = n.NextDone() {
+			for d, ok := n.NextOutcome(); ok; d, ok = n.NextOutcome() {
 				if n.isLeader {
-					c.results[fmt.Sprint(d.Caller, d.Number)] = d.Answer
+					c.results[fmt.Sprint(d.Caller, d.Number)] = d.Result
 				}
 			}
 		}
@@ -160,7 +160,7 @@
 	// One voter is lost for good, and a new one joins under a new number.
 	gone := c.leader().options.ID%3 + 1
 	c.kill(gone)
-	c.disks[4] = NewMemory()
+	c.disks[4] = NewMemoryDisk()
 	c.waitFor("there is a leader", func() bool { return c.leader() != nil })
 	if err := c.leader().ProposeVoters(4, "v4", gone); err != nil {
 		t.Fatal(err)
@@ -213,7 +213,7 @@
 func TestDiskFailures(t *testing.T) {
 	for name, damage := range map[string]func(c *cluster, id uint64){
 		"sync not durable": func(c *cluster, id uint64) {
-			c.disks[id].Lies = true
+			c.disks[id].LoseSyncs = true
 			c.apply("bob", 1, "out", "w2")
 			c.waitFor("the voter has the command", func() bool { return c.nodes[id].Record.Intents["w2"].Out })
 			c.kill(id)
@@ -227,7 +227,7 @@
 		},
 		"empty directory": func(c *cluster, id uint64) {
 			c.kill(id)
-			c.disks[id] = NewMemory()
+			c.disks[id] = NewMemoryDisk()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -236,8 +236,8 @@
 			id := c.leader().options.ID%3 + 1
 			damage(c, id)
 			c.start(id, false)
-			c.waitFor("the voter stops with ErrBehind", func() bool { return errors.Is(c.stopErrs[id], ErrBehind) })
-			if n := c.nodes[id]; n.participating || !errors.Is(n.Read("r"), ErrBehind) {
+			c.waitFor("the voter stops with ErrDiskBehind", func() bool { return errors.Is(c.stopErrs[id], ErrDiskBehind) })
+			if n := c.nodes[id]; n.participating || !errors.Is(n.Read("r"), ErrDiskBehind) {
 				t.Error("the voter participates or takes reads")
 			}
 			c.apply("cid", 1, "in", "w1") // the other two still make progress
@@ -267,13 +267,13 @@
 	c = newCluster(t, 3, 5)
 	c.apply("ann", 1, "out", "w1")
 	id = c.leader().options.ID
-	c.disks[id].Fails = errors.New("EIO")
+	c.disks[id].SyncError = errors.New("EIO")
 	_ = c.nodes[id].Propose(c.nowMs, command("bob", 1, "out", "w2"))
 	c.waitFor("the voter stops", func() bool { return c.stopErrs[id] != nil })
 	c.apply("cid", 1, "out", "w3")
 }
 
-// A claim of a matter that has an owner must wait until the owner's lease has expired, and for a whole lease after a change
+// A claim of a lease that has an owner must wait until the owner's lease has expired, and for a whole lease after a change
 // of leader, since the new leader can't know when the lease was last renewed.
 func TestClaimWaitsForLease(t *testing.T) {
 	c := newCluster(t, 3, 6)
@@ -318,7 +318,7 @@
 // A log file truncated at any byte yields exactly its complete records; one with a flipped bit before the last record is
 // reported as corrupt.
 func TestLogTruncatedOrCorrupted(t *testing.T) {
-	d := NewMemory()
+	d := NewMemoryDisk()
 	l, _, _ := openLog(d, "")
 	if err := l.replace(&pb.Snapshot{Data: []byte("x")}, nil, nil, nil); err != nil {
 		t.Fatal(err)
@@ -334,7 +334,7 @@
 	}
 	whole := d.files[logName].synced
 	for cut := base; cut <= len(whole); cut++ {
-		damaged := NewMemory()
+		damaged := NewMemoryDisk()
 		damaged.files[logName] = &memoryFile{disk: damaged, synced: whole[:cut]}
 		_, contents, err := openLog(damaged, "")
 		want := 0
@@ -348,7 +348,7 @@
 		}
 	}
 	for at := base; at < ends[4]; at++ {
-		damaged := NewMemory()
+		damaged := NewMemoryDisk()
 		damaged.files[logName] = &memoryFile{disk: damaged, synced: append([]byte{}, whole...)}
 		damaged.files[logName].synced[at] ^= 16
 		if _, _, err := openLog(damaged, ""); !errors.Is(err, ErrCorrupt) {
@@ -446,7 +446,7 @@
 	replaced := c.leader().options.ID%3 + 1
 	c.kill(replaced)
 	delete(c.voters, replaced)
-	c.voters[4], c.disks[4] = "v4", NewMemory()
+	c.voters[4], c.disks[4] = "v4", NewMemoryDisk()
 	c.start(4, true)
 	c.waitFor("the new voter participates", func() bool {
 		if l := c.leader(); l != nil && l.Record.Voters[4] == "" {
@@ -457,16 +457,16 @@
 	c.apply("bob", 1, "out", "w2")
 	c.waitFor("the new voter has the second command", func() bool { return c.nodes[4].Record.Intents["w2"].Out })
 	c.kill(4)
-	c.disks[4] = NewMemory()
+	c.disks[4] = NewMemoryDisk()
 	c.start(4, true)
-	c.waitFor("the voter stops with ErrBehind", func() bool { return errors.Is(c.stopErrs[4], ErrBehind) })
+	c.waitFor("the voter stops with ErrDiskBehind", func() bool { return errors.Is(c.stopErrs[4], ErrDiskBehind) })
 	if c.nodes[4].participating {
 		t.Error("the voter participates")
 	}
 }
 
-// Voters of two builds keep equal records until the first command of a form that only the newer build reads. Then the older
-// one stops with fleet.ErrNewerFormat and its record unchanged, and catches up once it is upgraded.
+// Voters of two builds keep equal records until the first command of a format version that only the newer build reads. Then
+// the older one stops with fleet.ErrNewerFormat and its record unchanged, and catches up once it is upgraded.
 func TestMixedBuilds(t *testing.T) {
 	c := newCluster(t, 3, 7)
 	c.bugs = map[uint64]string{}
