--- a/agent/agent.go
+++ b/agent/agent.go
@@ -47,7 +47,7 @@
 
 // Agent is a running agent.
 type Agent struct {
-	config        *File
+	config        *Config
 	log           *slog.Logger
 	clock         quorum.Clock // monotonic, in ms
 	voter         *quorum.Host // nil where this agent is not a voter
@@ -62,7 +62,7 @@
 	recordJSON      []byte        // the same as JSON, the base of the next patch; nil: the whole record is to be requested
 	absentAgents    map[string]bool
 	lastLeaderAddr  string // as last received; "" where it is not known
-	duty            *fleet.LeaseClaimer
+	leaseClaimer    *fleet.LeaseClaimer
 	ownedLeases     map[string]*ownedLease // by name of the lease
 	lastNumber      uint64                 // of this agent's commands
 	heardAtMS       map[string]float64     // when each agent last asked for the record, where this voter leads
@@ -83,13 +83,13 @@
 
 // Run runs an agent until ctx is done or its voter has to stop. With trustDisk its voter counts on its disk without being
 // told by the other voters what it had acknowledged, which only a person can answer for.
-func Run(ctx context.Context, config *File, trustDisk bool, injectedFault string, logger *slog.Logger) error {
+func Run(ctx context.Context, config *Config, trustDisk bool, injectedFault string, logger *slog.Logger) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	startID := strconv.FormatUint(rand.Uint64()>>32, 16)
 	a := &Agent{config: config, log: logger, clock: quorum.NewClock(), httpClient: NewHTTP(config.Via, callTimeout), startID: startID, injectedFault: injectedFault,
 		ownerID: fleet.OwnerName(config.Name, startID), record: fleet.NewRecord(), absentAgents: map[string]bool{},
-		duty: fleet.NewLeaseClaimer(config.Name, startID, float64(config.Term)/1e6), ownedLeases: map[string]*ownedLease{}, heardAtMS: map[string]float64{},
+		leaseClaimer: fleet.NewLeaseClaimer(config.Name, startID, float64(config.Term)/1e6), ownedLeases: map[string]*ownedLease{}, heardAtMS: map[string]float64{},
 		commandInFlight: map[string]bool{}, workRequested: make(chan struct{}, 1)}
 	var listener net.Listener
 	err := transient.Retry(listenRetryPeriod, transient.Error, func() (err error) {
@@ -100,7 +100,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	a.listenAddr = listener.Addr().String()
-	a.duty.ClaimWithoutWaiting = injectedFault == "new-leader-hurries"
+	a.leaseClaimer.ClaimWithoutWaiting = injectedFault == "new-leader-hurries"
 	if injectedFault == "wall-clock" {
 		a.clock = quorum.WallClock()
 	}
@@ -113,7 +113,7 @@
 	}
 	if own := config.ownVoter(); own != nil {
 		initialVoters := map[uint64]string{}
-		for _, v := range config.Voter {
+		for _, v := range config.Voters {
 			initialVoters[v.ID] = v.Addr
 		}
 		if a.voter, err = quorum.NewHost(ctx, quorum.Options{ID: own.ID, Voters: initialVoters, Join: config.Joins, Replaces: config.Replaces, TrustDisk: trustDisk, Disk: disk,
@@ -174,13 +174,13 @@
 
 // recordUpdate is the answer to a request for the record: the whole record, a patch, or neither where nothing is newer.
 type recordUpdate struct {
-	Number       uint64          `json:"no"` // of the last command in the record
-	Record       json.RawMessage `json:"record,omitempty"`
-	Patch        *recordPatch    `json:"change,omitempty"` // in place of Record, for an agent whose version the voter still keeps
-	AbsentAgents []string        `json:"absent,omitempty"` // from the leader only
-	LeaderAddr   string          `json:"leader"`
-	IsLeader     bool            `json:"leads"`  // the answering voter leads
-	Counts       bool            `json:"counts"` // the answering voter takes part in votes: since its start it was told what it had acknowledged
+	Number        uint64          `json:"no"` // of the last command in the record
+	Record        json.RawMessage `json:"record,omitempty"`
+	Patch         *recordPatch    `json:"change,omitempty"` // in place of Record, for an agent whose version the voter still keeps
+	AbsentAgents  []string        `json:"absent,omitempty"` // from the leader only
+	LeaderAddr    string          `json:"leader"`
+	IsLeader      bool            `json:"leads"`  // the answering voter leads
+	Participating bool            `json:"counts"` // the answering voter takes part in votes: since its start it was told what it had acknowledged
 }
 
 // followRecord keeps this agent's copy of the record up to date by long polls, of the leader where it is known.
@@ -252,7 +252,7 @@
 		addrs = append(addrs, a.record.Voters[id])
 	}
 	if len(addrs) == 0 {
-		for _, v := range a.config.Voter {
+		for _, v := range a.config.Voters {
 			addrs = append(addrs, v.Addr)
 		}
 	}
@@ -262,14 +262,14 @@
 // localMembers returns this agent and the schedulers and workers of its machine, as they are now.
 func (a *Agent) localMembers() []fleet.Member {
 	members := []fleet.Member{{ID: a.config.Name, Kind: "agent", Zone: a.config.Zone, Addr: a.listenAddr}}
-	for _, s := range a.config.Scheduler {
+	for _, s := range a.config.Schedulers {
 		m := fleet.Member{ID: s.ID, Kind: "scheduler", Zone: s.Zone, Addr: s.Addr, Labels: s.Labels}
 		if s.Program != "" {
 			m.Agent, m.Addr = a.config.Name, a.supervisor.addr(s.ID)
 		}
 		members = append(members, m)
 	}
-	for _, w := range a.config.Worker {
+	for _, w := range a.config.Workers {
 		m := fleet.Member{ID: w.ID, Kind: "worker", Zone: w.Zone, Addr: "worker/" + w.ID, Labels: w.Labels, Capacity: w.Capacity}
 		if len(w.Command) > 0 {
 			m.Agent = a.config.Name
@@ -388,7 +388,7 @@
 			go a.callScheduler(ctx, owned, call)
 		}
 	}
-	if claim, ok := a.duty.NextClaim(now, a.record, a.absentAgents); ok && a.ownedLeases[claim.Lease] == nil && !a.commandInFlight[claim.Lease] {
+	if claim, ok := a.leaseClaimer.NextClaim(now, a.record, a.absentAgents); ok && a.ownedLeases[claim.Lease] == nil && !a.commandInFlight[claim.Lease] {
 		claimedAt, zone := now, strings.TrimPrefix(claim.Lease, "zone/")
 		a.submitAsync(ctx, claim.Lease, claim, func(answer fleet.CommandResult, err error) {
 			if err != nil || !answer.Applied {
@@ -406,7 +406,7 @@
 			a.ownedLeases[claim.Lease] = owned
 		})
 	}
-	if request, ok := a.duty.NextHandover(now, a.record, a.absentAgents); ok && !a.commandInFlight[request.Lease] {
+	if request, ok := a.leaseClaimer.NextHandover(now, a.record, a.absentAgents); ok && !a.commandInFlight[request.Lease] {
 		a.submitAsync(ctx, request.Lease, request, nil)
 	}
 }
@@ -422,14 +422,14 @@
 // advanceOperation begins the calls and commands of an operation that are due. The caller holds a.mu.
 func (a *Agent) advanceOperation(ctx context.Context, now float64, name string, owned *ownedLease) {
 	for owned.callsInFlight < maxCallsPerLease {
-		do, ok := owned.operation.NextAgentStatusCall(now)
+		call, ok := owned.operation.NextAgentStatusCall(now)
 		if !ok {
-			if do, ok = owned.operation.NextAgentCall(now); !ok {
+			if call, ok = owned.operation.NextAgentCall(now); !ok {
 				break
 			}
 		}
 		owned.callsInFlight++
-		go a.callMemberAgent(ctx, owned, do)
+		go a.callMemberAgent(ctx, owned, call)
 	}
 	for owned.callsInFlight < maxCallsPerLease {
 		scheduler, ok := owned.operation.NextSample(now)
@@ -467,18 +467,18 @@
 }
 
 // callMemberAgent asks the agent of a member to do what the member's step in an operation needs next.
-func (a *Agent) callMemberAgent(ctx context.Context, owned *ownedLease, do fleet.AgentCall) {
+func (a *Agent) callMemberAgent(ctx context.Context, owned *ownedLease, call fleet.AgentCall) {
 	ctx, stop := a.leaseContext(ctx, owned)
 	defer stop()
 	var outcome fleet.AgentResult
-	err := callJSON(ctx, a.httpClient, "POST", "http://"+do.Agent.Addr+"/v1/act", do, &outcome)
+	err := callJSON(ctx, a.httpClient, "POST", "http://"+call.Agent.Addr+"/v1/act", call, &outcome)
 	outcome.Reached = err == nil
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	owned.callsInFlight--
-	owned.operation.AgentCalled(a.clock.Now(), do, outcome)
+	owned.operation.AgentCalled(a.clock.Now(), call, outcome)
 	a.requestWork()
-	a.log.Debug("had", "op", do.Op, "member", do.Member, "call", do.Call, "no", do.No, "state", outcome.State, "why", outcome.Reason, "err", err)
+	a.log.Debug("had", "op", call.Op, "member", call.Member, "call", call.Call, "no", call.No, "state", outcome.State, "why", outcome.Reason, "err", err)
 }
 
 // sampleTxns asks a scheduler how many txns it has settled, declined and reversed, for the gates of a release.
--- a/agent/api.go
+++ b/agent/api.go
@@ -21,42 +21,42 @@
 
 // Status is what an agent reports of itself and the fleet.
 type Status struct {
-	Name   string            `json:"name"`
-	Owner  string            `json:"owner"` // the agent's name with the id of its start, as the record names owners of leases
-	Zone   string            `json:"zone"`
-	Voter  uint64            `json:"voter,omitempty"`  // its number as a voter, 0 where it is none
-	Counts bool              `json:"counts,omitempty"` // the voter takes part in votes: since its start it was told what it had acknowledged
-	Behind bool              `json:"behind,omitempty"` // the voter's disk lacks what it acknowledged: the voter has to be replaced
-	Leads  bool              `json:"leads,omitempty"`
-	Leader string            `json:"leader,omitempty"`    // address of the leader, as far as this agent knows
-	No     uint64            `json:"no"`                  // of the last command in the record that this agent last received
-	Holds  map[string]uint64 `json:"holds,omitempty"`     // fencing tokens of the leases that it holds, by lease
-	Syncs  int               `json:"syncs,omitempty"`     // times that the voter has waited for its disk
-	Bytes  int               `json:"log_bytes,omitempty"` // size of the voter's log
-	Sent   quorum.Traffic    `json:"sent"`                // to other voters
-	Runs   []Running         `json:"runs,omitempty"`      // the schedulers of this machine that the agent runs
-	Halts  []fleet.Halt      `json:"halts,omitempty"`     // ordered at this agent directly
+	Name          string            `json:"name"`
+	Owner         string            `json:"owner"` // the agent's name with the id of its start, as the record names owners of leases
+	Zone          string            `json:"zone"`
+	Voter         uint64            `json:"voter,omitempty"`  // its number as a voter, 0 where it is none
+	Participating bool              `json:"counts,omitempty"` // the voter takes part in votes: since its start it was told what it had acknowledged
+	DiskBehind    bool              `json:"behind,omitempty"` // the voter's disk lacks what it acknowledged: the voter has to be replaced
+	IsLeader      bool              `json:"leads,omitempty"`
+	Leader        string            `json:"leader,omitempty"`    // address of the leader, as far as this agent knows
+	LastCommand   uint64            `json:"no"`                  // of the last command in the record that this agent last received
+	Leases        map[string]uint64 `json:"holds,omitempty"`     // fencing tokens of the leases that it holds, by lease
+	Syncs         int               `json:"syncs,omitempty"`     // times that the voter has waited for its disk
+	LogBytes      int               `json:"log_bytes,omitempty"` // size of the voter's log
+	Sent          quorum.Traffic    `json:"sent"`                // to other voters
+	Schedulers    []SchedulerStatus `json:"runs,omitempty"`      // the schedulers of this machine that the agent runs
+	Halts         []fleet.Halt      `json:"halts,omitempty"`     // ordered at this agent directly
 }
 
-// Told says which schedulers have confirmed what the record intends for a worker, as the owner of the worker's zone knows
-// it.
-type Told struct {
-	Matter string                  `json:"matter"` // the lease on the worker's zone
-	Owner  string                  `json:"owner"`
-	Fence  uint64                  `json:"fence"`
-	Intent fleet.Intent            `json:"intent"`
-	Rows   []fleet.Acknowledgement `json:"rows"` // one for each scheduler
+// Confirmations says which schedulers have confirmed what the record intends for a worker, as the owner of the worker's
+// zone knows it.
+type Confirmations struct {
+	Lease      string                  `json:"matter"` // the lease on the worker's zone
+	Owner      string                  `json:"owner"`
+	Fence      uint64                  `json:"fence"`
+	Intent     fleet.Intent            `json:"intent"`
+	Schedulers []fleet.Acknowledgement `json:"rows"` // one for each scheduler
 }
 
 func (a *Agent) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/letters", a.handleLetters)
+	mux.HandleFunc("POST /v1/letters", a.handleMessages)
 	mux.HandleFunc("POST /v1/do", a.handleCommand)
 	mux.HandleFunc("POST /v1/voters", a.handleVoterChange)
 	mux.HandleFunc("GET /v1/record", a.handleRecord)
 	mux.HandleFunc("GET /v1/read", a.handleRead)
 	mux.HandleFunc("GET /v1/out", a.handleOut)
-	mux.HandleFunc("GET /v1/told", a.handleTold)
+	mux.HandleFunc("GET /v1/told", a.handleConfirmations)
 	mux.HandleFunc("GET /v1/status", a.handleStatus)
 	mux.HandleFunc("POST /v1/act", a.handleAct)
 	mux.HandleFunc("POST /v1/halt", a.handleHalt)
@@ -74,11 +74,11 @@
 }
 
 func writeRefusal(w http.ResponseWriter, status int, why string) {
-	writeJSON(w, status, Refusal{Why: why})
+	writeJSON(w, status, Refusal{Reason: why})
 }
 
-// handleLetters takes the messages of another voter.
-func (a *Agent) handleLetters(w http.ResponseWriter, r *http.Request) {
+// handleMessages takes the messages of another voter.
+func (a *Agent) handleMessages(w http.ResponseWriter, r *http.Request) {
 	if a.voter == nil {
 		writeRefusal(w, 404, "this agent is not a voter")
 		return
@@ -142,7 +142,7 @@
 		}
 		return
 	case r.URL.Query().Get("hop") != "":
-		writeJSON(w, 503, Refusal{Why: "another voter leads", Leader: leader})
+		writeJSON(w, 503, Refusal{Reason: "another voter leads", Leader: leader})
 		return
 	}
 	var answer fleet.CommandResult
@@ -240,7 +240,7 @@
 		}
 		view, _ = a.voter.View()
 	}
-	update := recordUpdate{Number: view.LastCommand, IsLeader: view.IsLeader, Counts: view.Participating}
+	update := recordUpdate{Number: view.LastCommand, IsLeader: view.IsLeader, Participating: view.Participating}
 	if view.IsLeader {
 		update.LeaderAddr, update.AbsentAgents = a.listenAddr, a.silentAgents(view)
 	} else if view.Leader != 0 {
@@ -335,9 +335,9 @@
 	writeJSON(w, 200, answer)
 }
 
-// handleTold answers which schedulers have confirmed what is intended for a worker. Only the owner of the worker's zone
+// handleConfirmations answers which schedulers have confirmed what is intended for a worker. Only the owner of the worker's zone
 // knows it: any other agent forwards the request to the owner, over one hop at the most.
-func (a *Agent) handleTold(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) handleConfirmations(w http.ResponseWriter, r *http.Request) {
 	worker := r.URL.Query().Get("worker")
 	a.mu.Lock()
 	record := a.record
@@ -346,9 +346,9 @@
 	owned := a.ownedLeases[name]
 	if owned != nil && owned.notifier != nil && owned.lease.Valid(a.clock.Now()) {
 		owned.notifier.Follow(a.clock.Now(), record, owned.zone)
-		told := Told{name, a.ownerID, owned.lease.Fence, intent, owned.notifier.Acknowledgements(worker)}
+		confirmations := Confirmations{name, a.ownerID, owned.lease.Fence, intent, owned.notifier.Acknowledgements(worker)}
 		a.mu.Unlock()
-		writeJSON(w, 200, told)
+		writeJSON(w, 200, confirmations)
 		return
 	}
 	owner := fleet.AgentOfOwner(record.Leases[name].Owner)
@@ -360,32 +360,32 @@
 	case owner == "" || owner == a.config.Name || addr == "" || r.URL.Query().Get("hop") != "":
 		writeRefusal(w, 503, "no agent holds the lease "+name+" as far as this agent knows")
 	default:
-		var told Told
+		var confirmations Confirmations
 		if err := callJSON(r.Context(), a.httpClient, "GET", fmt.Sprintf("http://%s/v1/told?hop=1&worker=%s", addr, url.QueryEscape(worker)),
-			nil, &told); err != nil {
+			nil, &confirmations); err != nil {
 			writeRefusal(w, 503, "owner "+owner+" of the lease "+name+" does not answer: "+shortErrorText(err))
 			return
 		}
-		writeJSON(w, 200, told)
+		writeJSON(w, 200, confirmations)
 	}
 }
 
 // handleStatus answers with this agent's Status.
 func (a *Agent) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	now := a.clock.Now()
-	status := Status{Name: a.config.Name, Owner: a.ownerID, Zone: a.config.Zone, Holds: map[string]uint64{}, Leader: a.leaderAddr()}
+	status := Status{Name: a.config.Name, Owner: a.ownerID, Zone: a.config.Zone, Leases: map[string]uint64{}, Leader: a.leaderAddr()}
 	if a.voter != nil {
 		view, _ := a.voter.View()
-		status.Voter, status.Counts, status.Behind, status.Leads = a.voter.ID, view.Participating, view.DiskBehind, view.IsLeader
-		status.Syncs, status.Bytes, status.Sent = view.Syncs, view.LogBytes, a.voter.Traffic()
+		status.Voter, status.Participating, status.DiskBehind, status.IsLeader = a.voter.ID, view.Participating, view.DiskBehind, view.IsLeader
+		status.Syncs, status.LogBytes, status.Sent = view.Syncs, view.LogBytes, a.voter.Traffic()
 	}
-	status.Runs, status.Halts = a.supervisor.status()
+	status.Schedulers, status.Halts = a.supervisor.status()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	status.No = a.record.No
+	status.LastCommand = a.record.No
 	for name, owned := range a.ownedLeases {
 		if owned.lease.Valid(now) {
-			status.Holds[name] = owned.lease.Fence
+			status.Leases[name] = owned.lease.Fence
 		}
 	}
 	writeJSON(w, 200, status)
--- a/agent/client.go
+++ b/agent/client.go
@@ -28,17 +28,17 @@
 	firstIndex int      // in Addrs, of the agent to try first
 }
 
-// ErrOpen says that no agent answered in time: the command may have been, or may yet be, carried out.
-var ErrOpen = errors.New("outcome unknown: no agent answered in time")
+// ErrOutcomeUnknown says that no agent answered in time: the command may have been, or may yet be, carried out.
+var ErrOutcomeUnknown = errors.New("outcome unknown: no agent answered in time")
 
 // Refusal is an agent's answer with a status other than 200, with its reason.
 type Refusal struct {
 	Status int    `json:"-"` // HTTP status
-	Why    string `json:"why"`
+	Reason string `json:"why"`
 	Leader string `json:"leader,omitempty"` // address of the agent that leads, as far as the refusing one knows
 }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *Refusal) Error() string { return r.Reason }
 
 // NewHTTP returns the client that all calls go through. via maps an address to the one that is dialled in its place. The
 // timeout is for each call as a whole, since a link may accept bytes and deliver none.
@@ -76,8 +76,8 @@
 	}
 	if response.StatusCode != 200 {
 		refusal := &Refusal{Status: response.StatusCode}
-		if json.Unmarshal(raw, refusal) != nil || refusal.Why == "" {
-			refusal.Why = fmt.Sprintf("status %d", response.StatusCode)
+		if json.Unmarshal(raw, refusal) != nil || refusal.Reason == "" {
+			refusal.Reason = fmt.Sprintf("status %d", response.StatusCode)
 		}
 		return refusal
 	}
@@ -126,7 +126,7 @@
 		}
 	}
 	if outcomeUnknown || lastErr == nil {
-		return answer, errors.Join(ErrOpen, lastErr)
+		return answer, errors.Join(ErrOutcomeUnknown, lastErr)
 	}
 	return answer, lastErr
 }
--- a/agent/supervisor.go
+++ b/agent/supervisor.go
@@ -29,8 +29,8 @@
 // agent: after a restart it finds them by their environment and manages them again.
 
 const (
-	stateFile            = "runs"     // in the data folder
-	processMarkerEnv     = "BEAM_RUN" // environment variable of a process: data folder, scheduler, slot and step, with | between them
+	stateFile            = "runs"     // in the data directory
+	processMarkerEnv     = "BEAM_RUN" // environment variable of a process: data directory, scheduler, slot and step, with | between them
 	workerCommandTimeout = 30 * time.Minute
 	cleanUpInterval      = 5 * time.Second
 	reconcileRetryDelay  = 300 * time.Millisecond
@@ -40,18 +40,18 @@
 	maxHaltTextBytes     = 1000 // of a halt's of, by and why together
 )
 
-// Running is the state of one scheduler's processes, for Status.
-type Running struct {
-	ID      string   `json:"id"`
-	State   string   `json:"state"` // done (as wanted), going (under way), failed
-	Why     string   `json:"why,omitempty"`
-	Run     bool     `json:"run"`  // whether it should run; false for a new name until the record gives it to this agent
-	Step    uint64   `json:"step"` // the step of an operation that last changed what should run, 0 for none
-	Pids    []int    `json:"pids,omitempty"`
-	Addr    string   `json:"addr"`             // management address of the process that serves
-	Program string   `json:"program"`          // sha256 of the program of that step
-	Config  string   `json:"config"`           // sha256 of its configuration
-	Former  []string `json:"former,omitempty"` // operations whose former version is stored, to go back to
+// SchedulerStatus is the state of one scheduler's processes, for Status.
+type SchedulerStatus struct {
+	ID             string   `json:"id"`
+	State          string   `json:"state"` // done (as wanted), going (under way), failed
+	Reason         string   `json:"why,omitempty"`
+	ShouldRun      bool     `json:"run"`  // whether it should run; false for a new name until the record gives it to this agent
+	Step           uint64   `json:"step"` // the step of an operation that last changed what should run, 0 for none
+	PIDs           []int    `json:"pids,omitempty"`
+	Addr           string   `json:"addr"`             // management address of the process that serves
+	Program        string   `json:"program"`          // sha256 of the program of that step
+	Config         string   `json:"config"`           // sha256 of its configuration
+	FormerVersions []string `json:"former,omitempty"` // operations whose former version is stored, to go back to
 }
 
 // storedVersion is a program and a configuration, each named by the sha256 of its content.
@@ -62,7 +62,7 @@
 
 // persistedState is the content of the state file.
 type persistedState struct {
-	Doer       *fleet.StepExecutor        `json:"doer"` // the steps that were begun, and the halts that were ordered here
+	Executor   *fleet.StepExecutor        `json:"doer"` // the steps that were begun, and the halts that were ordered here
 	Schedulers map[string]*schedulerState `json:"runs"` // by id
 }
 
@@ -81,7 +81,7 @@
 // saves which steps of operations were begun here.
 type supervisor struct {
 	agent        *Agent
-	disk         quorum.Disk // nil where the agent has no data folder
+	disk         quorum.Disk // nil where the agent has no data directory
 	dataDir      string      // absolute path
 	mu           sync.Mutex
 	state        persistedState
@@ -97,7 +97,7 @@
 // managedScheduler is a scheduler that the agent runs. It has two slots for processes, each with its own management
 // address, so that one process can take over from the other in an upgrade.
 type managedScheduler struct {
-	Local
+	SchedulerConfig
 	lifecycle      fleet.ProcessSupervisor // decides when processes are started and stopped
 	processes      [2]*process             // by slot
 	probing        [2]bool                 // by slot: a readiness check is in flight
@@ -110,7 +110,7 @@
 		m.lastServedSlot = slot
 	}
 	if m.lastServedSlot == 1 {
-		return m.Beside
+		return m.UpgradeAddr
 	}
 	return m.Addr
 }
@@ -169,20 +169,20 @@
 			return nil, fmt.Errorf("%s: %w", stateFile, err)
 		}
 	}
-	s.state.Doer.Start, s.state.Doer.InjectedFault = a.startID, a.injectedFault
-	for id, note := range s.state.Doer.Notes {
+	s.state.Executor.Start, s.state.Executor.InjectedFault = a.startID, a.injectedFault
+	for id, note := range s.state.Executor.Notes {
 		if note.Call == "command" && note.State == "going" {
 			note.State, note.Reason = "unknown", "this agent ended while the command ran"
-			s.state.Doer.Notes[id] = note
+			s.state.Executor.Notes[id] = note
 		}
 	}
 	now := a.clock.Now()
-	for _, local := range a.config.Scheduler {
+	for _, local := range a.config.Schedulers {
 		if local.Program == "" {
 			continue
 		}
-		scheduler := &managedScheduler{Local: local}
-		scheduler.lifecycle.ReadyTimeoutMs = float64(time.Duration(a.config.ReadyMost).Milliseconds())
+		scheduler := &managedScheduler{SchedulerConfig: local}
+		scheduler.lifecycle.ReadyTimeoutMs = float64(time.Duration(a.config.ReadyTimeout).Milliseconds())
 		if scheduler.lifecycle.KillDelayMs, err = shutdownTimeoutMS(local.Config); err != nil {
 			return nil, fmt.Errorf("scheduler %s: %w", local.ID, err)
 		}
@@ -343,7 +343,7 @@
 // holds s.mu.
 func (s *supervisor) save() error {
 	if s.disk == nil {
-		return errors.New("this agent has no data folder")
+		return errors.New("this agent has no data directory")
 	}
 	err := s.writeState()
 	s.saveFailed = err != nil
@@ -442,33 +442,33 @@
 func (s *supervisor) isHeldBack(record *fleet.Record, intent fleet.Intent) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.Doer.Halted(record, intent)
+	return s.state.Executor.Halted(record, intent)
 }
 
 // status returns the state of the schedulers that the agent runs, and the halts that were ordered here.
-func (s *supervisor) status() (schedulers []Running, halts []fleet.Halt) {
+func (s *supervisor) status() (schedulers []SchedulerStatus, halts []fleet.Halt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, local := range s.agent.config.Scheduler {
+	for _, local := range s.agent.config.Schedulers {
 		scheduler := s.schedulers[local.ID]
 		if scheduler == nil {
 			continue
 		}
 		state := s.state.Schedulers[local.ID]
-		running := Running{ID: local.ID, Run: state.ShouldRun && !state.NeverStarted, Step: state.WantedStep, Addr: scheduler.servingAddr(), Program: state.Versions[state.WantedStep].Program, Config: state.Versions[state.WantedStep].Config}
-		running.State, running.Why = scheduler.lifecycle.State()
+		running := SchedulerStatus{ID: local.ID, ShouldRun: state.ShouldRun && !state.NeverStarted, Step: state.WantedStep, Addr: scheduler.servingAddr(), Program: state.Versions[state.WantedStep].Program, Config: state.Versions[state.WantedStep].Config}
+		running.State, running.Reason = scheduler.lifecycle.State()
 		for _, p := range scheduler.processes {
 			if p != nil {
-				running.Pids = append(running.Pids, p.pid)
+				running.PIDs = append(running.PIDs, p.pid)
 			}
 		}
 		for op := range state.FormerVersions {
-			running.Former = append(running.Former, op)
+			running.FormerVersions = append(running.FormerVersions, op)
 		}
-		slices.Sort(running.Former)
+		slices.Sort(running.FormerVersions)
 		schedulers = append(schedulers, running)
 	}
-	for _, h := range s.state.Doer.Halts {
+	for _, h := range s.state.Executor.Halts {
 		halts = append(halts, h)
 	}
 	slices.SortFunc(halts, func(a, b fleet.Halt) int { return strings.Compare(a.Scope, b.Scope) })
@@ -484,10 +484,10 @@
 	s.agent.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state.Doer.DropLiftedHalts(record) || s.saveFailed {
+	if s.state.Executor.DropLiftedHalts(record) || s.saveFailed {
 		s.saveOrLog()
 	}
-	for _, local := range s.agent.config.Scheduler {
+	for _, local := range s.agent.config.Schedulers {
 		scheduler := s.schedulers[local.ID]
 		if scheduler == nil {
 			continue
@@ -543,7 +543,7 @@
 func (s *supervisor) checkReadiness(ctx context.Context, scheduler *managedScheduler, slot int) {
 	addr := scheduler.Addr
 	if slot == 1 {
-		addr = scheduler.Beside
+		addr = scheduler.UpgradeAddr
 	}
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
@@ -607,12 +607,12 @@
 		return err
 	}
 	defer log.Close()
-	tmp, mgmt := scheduler.Tmp, scheduler.Addr
+	tmp, mgmt := scheduler.TempDir, scheduler.Addr
 	if tmp == "" {
 		tmp = s.dataDir
 	}
 	if action.Slot == 1 {
-		mgmt = scheduler.Beside
+		mgmt = scheduler.UpgradeAddr
 	}
 	cmd := exec.Command(s.storePath(version.Program), "serve")
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
@@ -677,21 +677,21 @@
 // handleAct takes a call of an operation's owner for a step of one member. For a step that was begun here it answers with
 // the state of that step. Any other step begins only after a linearizable read of the record since the call came.
 func (a *Agent) handleAct(w http.ResponseWriter, r *http.Request) {
-	var do fleet.AgentCall
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&do); err != nil {
+	var call fleet.AgentCall
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&call); err != nil {
 		writeRefusal(w, 400, err.Error())
 		return
 	}
 	s := a.supervisor
-	if do.Call == "look" {
+	if call.Call == "look" {
 		s.mu.Lock()
-		scheduler := s.schedulers[do.Member]
+		scheduler := s.schedulers[call.Member]
 		down := scheduler != nil && scheduler.lifecycle.IsDown()
 		s.mu.Unlock()
 		writeJSON(w, 200, fleet.AgentResult{State: "going", Start: a.startID, Down: down})
 		return
 	}
-	if outcome, known := s.awaitStep(r.Context(), do); known {
+	if outcome, known := s.awaitStep(r.Context(), call); known {
 		writeJSON(w, 200, outcome)
 		return
 	}
@@ -706,13 +706,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	noteBefore, hadNote := s.state.Doer.Notes[do.Member]
+	noteBefore, hadNote := s.state.Executor.Notes[call.Member]
 	var stateBefore schedulerState
-	if state := s.state.Schedulers[do.Member]; state != nil {
+	if state := s.state.Schedulers[call.Member]; state != nil {
 		stateBefore = *state
 		stateBefore.Versions, stateBefore.FormerVersions = maps.Clone(state.Versions), maps.Clone(state.FormerVersions)
 	}
-	outcome, begins := s.state.Doer.Begin(do, record)
+	outcome, begins := s.state.Executor.Begin(call, record)
 	if !begins {
 		if outcome.State == "unknown" {
 			s.saveOrLog()
@@ -720,32 +720,32 @@
 		writeJSON(w, 200, outcome)
 		return
 	}
-	if err := s.beginStep(do, record); err != nil {
-		note := s.state.Doer.Notes[do.Member]
+	if err := s.beginStep(call, record); err != nil {
+		note := s.state.Executor.Notes[call.Member]
 		note.State, note.Reason = "failed", err.Error()
-		s.state.Doer.Notes[do.Member] = note
+		s.state.Executor.Notes[call.Member] = note
 	}
 	if err := s.save(); err != nil {
 		// A step that is not saved would be begun again after a restart of this agent. Nothing has been done for it yet, so
 		// that it can be taken back.
-		if delete(s.state.Doer.Notes, do.Member); hadNote {
-			s.state.Doer.Notes[do.Member] = noteBefore
+		if delete(s.state.Executor.Notes, call.Member); hadNote {
+			s.state.Executor.Notes[call.Member] = noteBefore
 		}
-		if state := s.state.Schedulers[do.Member]; state != nil {
+		if state := s.state.Schedulers[call.Member]; state != nil {
 			*state = stateBefore
 		}
 		writeJSON(w, 200, fleet.AgentResult{State: "refused", Reason: "it could not be kept: " + err.Error(), Start: a.startID})
 		return
 	}
-	s.stepBegun[do.Member] = true
-	note := s.state.Doer.Notes[do.Member]
-	a.log.Info("begun", "op", do.Op, "member", do.Member, "call", do.Call, "step", do.No, "takes", fleet.TakesOut(record.Ops[do.Op].Steps[do.Member]),
+	s.stepBegun[call.Member] = true
+	note := s.state.Executor.Notes[call.Member]
+	a.log.Info("begun", "op", call.Op, "member", call.Member, "call", call.Call, "step", call.No, "takes", fleet.TakesOut(record.Ops[call.Op].Steps[call.Member]),
 		"state", note.State, "why", note.Reason)
-	if scheduler := s.schedulers[do.Member]; scheduler != nil && note.State == "going" {
-		state := s.state.Schedulers[do.Member]
+	if scheduler := s.schedulers[call.Member]; scheduler != nil && note.State == "going" {
+		state := s.state.Schedulers[call.Member]
 		scheduler.lifecycle.SetWanted(a.clock.Now(), state.ShouldRun, state.WantedStep)
 	} else if note.State == "going" {
-		go s.runWorkerCommand(do, record)
+		go s.runWorkerCommand(call, record)
 	}
 	a.requestWork()
 	writeJSON(w, 200, fleet.AgentResult{State: note.State, Reason: note.Reason, Start: a.startID})
@@ -754,12 +754,12 @@
 // awaitStep returns the outcome of a step that was begun here, and whether it is known. It waits for the end of a step that
 // is under way, for half of the caller's timeout: answered at once, the caller would learn of the end only with its next
 // call.
-func (s *supervisor) awaitStep(ctx context.Context, do fleet.AgentCall) (fleet.AgentResult, bool) {
+func (s *supervisor) awaitStep(ctx context.Context, call fleet.AgentCall) (fleet.AgentResult, bool) {
 	timedOut := time.After(callTimeout / 2)
 	for {
 		s.mu.Lock()
-		s.refreshNote(do.Member)
-		outcome, known := s.state.Doer.KnownResult(do)
+		s.refreshNote(call.Member)
+		outcome, known := s.state.Executor.KnownResult(call)
 		stateChanged := s.stateChanged
 		s.mu.Unlock()
 		if !known || outcome.State != "going" {
@@ -777,30 +777,30 @@
 
 // beginStep sets in the saved state what a step wants of a scheduler: to run or not, and which version. For the command of
 // a worker it only checks that there is one.
-func (s *supervisor) beginStep(do fleet.AgentCall, record *fleet.Record) error {
-	op := record.Ops[do.Op]
-	if do.Call == "command" {
-		if i := slices.IndexFunc(s.agent.config.Worker, func(w Site) bool { return w.ID == do.Member }); i < 0 || len(s.agent.config.Worker[i].Command) == 0 {
+func (s *supervisor) beginStep(call fleet.AgentCall, record *fleet.Record) error {
+	op := record.Ops[call.Op]
+	if call.Call == "command" {
+		if i := slices.IndexFunc(s.agent.config.Workers, func(w WorkerConfig) bool { return w.ID == call.Member }); i < 0 || len(s.agent.config.Workers[i].Command) == 0 {
 			return errors.New("this agent's configuration has no command for the worker")
 		}
 		return nil
 	}
-	state := s.state.Schedulers[do.Member]
-	if state == nil || s.schedulers[do.Member] == nil {
+	state := s.state.Schedulers[call.Member]
+	if state == nil || s.schedulers[call.Member] == nil {
 		return errors.New("this agent runs no such scheduler")
 	}
-	if do.Call == "stop" {
+	if call.Call == "stop" {
 		state.ShouldRun = false
 		return nil
 	}
 	current := state.Versions[state.WantedStep]
-	if scheduler := s.schedulers[do.Member]; state.ReadyStep != state.WantedStep {
+	if scheduler := s.schedulers[call.Member]; state.ReadyStep != state.WantedStep {
 		if lifecycleState, _ := scheduler.lifecycle.State(); lifecycleState == "failed" {
 			current = state.Versions[state.ReadyStep] // the wanted version failed, and this one serves
 		}
 	}
 	wanted, newProcess := current, op.Kind == "restart" && !op.RollingBack
-	step := op.Steps[do.Member]
+	step := op.Steps[call.Member]
 	switch former, kept := state.FormerVersions[op.ID]; {
 	case op.Kind == "release" && (op.RollingBack || step.Undo):
 		if kept {
@@ -826,7 +826,7 @@
 			wanted.Program = digest
 		}
 		if release.Config != "" {
-			digest, err := s.storeFile(strings.ReplaceAll(release.Config, "{id}", do.Member), 0o600)
+			digest, err := s.storeFile(strings.ReplaceAll(release.Config, "{id}", call.Member), 0o600)
 			if err != nil {
 				return err
 			}
@@ -844,57 +844,57 @@
 		state.WantedStep = state.ReadyStep // its process serves, or was the last one that did
 		return nil
 	}
-	state.ShouldRun, state.WantedStep = true, do.No
-	state.Versions[do.No] = wanted
+	state.ShouldRun, state.WantedStep = true, call.No
+	state.Versions[call.No] = wanted
 	return nil
 }
 
 // refreshNote updates the note of a scheduler's last step by the state of its processes.
 func (s *supervisor) refreshNote(member string) {
-	note, scheduler := s.state.Doer.Notes[member], s.schedulers[member]
+	note, scheduler := s.state.Executor.Notes[member], s.schedulers[member]
 	if scheduler == nil || note.State != "going" {
 		return
 	}
 	if note.State, note.Reason = scheduler.lifecycle.State(); note.State != "going" {
-		s.state.Doer.Notes[member] = note
+		s.state.Executor.Notes[member] = note
 		s.saveOrLog()
 	}
 }
 
 // runWorkerCommand runs the site's own command for a worker that is out, and notes its outcome.
-func (s *supervisor) runWorkerCommand(do fleet.AgentCall, record *fleet.Record) {
-	i := slices.IndexFunc(s.agent.config.Worker, func(w Site) bool { return w.ID == do.Member })
-	op := record.Ops[do.Op]
+func (s *supervisor) runWorkerCommand(call fleet.AgentCall, record *fleet.Record) {
+	i := slices.IndexFunc(s.agent.config.Workers, func(w WorkerConfig) bool { return w.ID == call.Member })
+	op := record.Ops[call.Op]
 	version := op.Version.Name
 	if op.RollingBack {
 		version = "former"
 	}
 	var args []string
-	for _, arg := range s.agent.config.Worker[i].Command {
-		args = append(args, strings.NewReplacer("{worker}", do.Member, "{version}", version, "{step}", fmt.Sprint(do.No)).Replace(arg))
+	for _, arg := range s.agent.config.Workers[i].Command {
+		args = append(args, strings.NewReplacer("{worker}", call.Member, "{version}", version, "{step}", fmt.Sprint(call.No)).Replace(arg))
 	}
 	ctx, stop := context.WithTimeout(context.Background(), workerCommandTimeout)
 	defer stop()
 	output, err := exec.CommandContext(ctx, args[0], args[1:]...).CombinedOutput()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	note := s.state.Doer.Notes[do.Member]
-	if note.No != do.No {
+	note := s.state.Executor.Notes[call.Member]
+	if note.No != call.No {
 		return
 	}
 	if note.State = "done"; err != nil {
 		note.State, note.Reason = "failed", fmt.Sprintf("%v: %.200s", err, output)
 	}
-	s.state.Doer.Notes[do.Member] = note
+	s.state.Executor.Notes[call.Member] = note
 	s.saveOrLog()
-	s.agent.log.Info("command ended", "worker", do.Member, "step", do.No, "state", note.State, "why", note.Reason)
+	s.agent.log.Info("command ended", "worker", call.Member, "step", call.No, "state", note.State, "why", note.Reason)
 }
 
 // HaltAnswer is an agent's confirmation of a halt: from then on this agent takes nothing more out of service that the halt
 // covers.
 type HaltAnswer struct {
-	Agent string   `json:"agent"`
-	Under []string `json:"under_way,omitempty"` // members with a step under way here
+	Agent    string   `json:"agent"`
+	UnderWay []string `json:"under_way,omitempty"` // members with a step under way here
 }
 
 // handleHalt applies a halt on this machine at once, whatever the record says. It confirms a halt only once that is saved.
@@ -909,9 +909,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	halt.No = 0
-	_, known := s.state.Doer.Halts[halt.Scope]
+	_, known := s.state.Executor.Halts[halt.Scope]
 	if !known {
-		s.state.Doer.Halts[halt.Scope] = halt
+		s.state.Executor.Halts[halt.Scope] = halt
 		a.log.Warn("halted here", "of", halt.Scope, "by", halt.By, "why", halt.Reason)
 	}
 	if !known || s.saveFailed {
@@ -921,12 +921,12 @@
 		}
 	}
 	answer := HaltAnswer{Agent: a.config.Name}
-	for id, note := range s.state.Doer.Notes {
+	for id, note := range s.state.Executor.Notes {
 		if note.State == "going" {
-			answer.Under = append(answer.Under, id)
+			answer.UnderWay = append(answer.UnderWay, id)
 		}
 	}
-	slices.Sort(answer.Under)
+	slices.Sort(answer.UnderWay)
 	writeJSON(w, 200, answer)
 }
 
@@ -935,7 +935,7 @@
 	s := a.supervisor
 	s.mu.Lock()
 	var unrecorded []fleet.Halt
-	for _, halt := range s.state.Doer.Halts {
+	for _, halt := range s.state.Executor.Halts {
 		if halt.No == 0 {
 			unrecorded = append(unrecorded, halt)
 		}
@@ -950,9 +950,9 @@
 		s.mu.Lock()
 		if answer.Applied {
 			halt.No = answer.No
-			s.state.Doer.Halts[halt.Scope] = halt
+			s.state.Executor.Halts[halt.Scope] = halt
 		} else {
-			delete(s.state.Doer.Halts, halt.Scope) // of an operation or zone that the record does not have
+			delete(s.state.Executor.Halts, halt.Scope) // of an operation or zone that the record does not have
 			a.log.Warn("halt dropped", "of", halt.Scope, "why", answer.Reason)
 		}
 		s.saveOrLog()
--- a/agent/supervisor_test.go
+++ b/agent/supervisor_test.go
@@ -20,8 +20,8 @@
 // that confirms the second request unsaved forgets the halt with its next restart.
 func TestHaltIsConfirmedOnceSaved(t *testing.T) {
 	disk := quorum.NewMemoryDisk()
-	a := &Agent{log: slog.New(slog.DiscardHandler), config: &File{}}
-	a.supervisor = &supervisor{agent: a, disk: disk, state: persistedState{Doer: fleet.NewStepExecutor("x")}}
+	a := &Agent{log: slog.New(slog.DiscardHandler), config: &Config{}}
+	a.supervisor = &supervisor{agent: a, disk: disk, state: persistedState{Executor: fleet.NewStepExecutor("x")}}
 	sendHalt := func() int {
 		w := httptest.NewRecorder()
 		a.handleHalt(w, httptest.NewRequest("POST", "/v1/halt", strings.NewReader(`{"of":"fleet","by":"staff","why":"test"}`)))
@@ -44,9 +44,9 @@
 // A call for a step that is under way is answered as soon as the step ends. Answered at once, the owner of the operation
 // would learn of the end only with its next call, 0.1 s later.
 func TestActWaitsForEndOfStep(t *testing.T) {
-	s := &supervisor{schedulers: map[string]*managedScheduler{"s0": {}}, state: persistedState{Doer: fleet.NewStepExecutor("x")}, stateChanged: make(chan struct{})}
+	s := &supervisor{schedulers: map[string]*managedScheduler{"s0": {}}, state: persistedState{Executor: fleet.NewStepExecutor("x")}, stateChanged: make(chan struct{})}
 	do := fleet.AgentCall{Op: "restart-1", Member: "s0", Call: "run", No: 7}
-	s.state.Doer.Notes["s0"] = fleet.StepNote{No: 7, Op: do.Op, Call: "run", State: "going"}
+	s.state.Executor.Notes["s0"] = fleet.StepNote{No: 7, Op: do.Op, Call: "run", State: "going"}
 	lifecycle := &s.schedulers["s0"].lifecycle
 	lifecycle.ReadyTimeoutMs = 1000
 	lifecycle.SetWanted(0, true, 7)
@@ -81,12 +81,12 @@
 // A scheduler that this agent's configuration names for the first time is reported as running only once the record gives
 // the name to this agent: another agent may run it, and the record can't be read until seconds after an election.
 func TestNewSchedulerIsNotReportedRunningBeforeItIsRecorded(t *testing.T) {
-	a := &Agent{config: &File{Name: "a1", Scheduler: []Local{{ID: "s0"}}}}
+	a := &Agent{config: &Config{Name: "a1", Schedulers: []SchedulerConfig{{ID: "s0"}}}}
 	state := &schedulerState{ShouldRun: true, NeverStarted: true}
 	a.supervisor = &supervisor{agent: a, schedulers: map[string]*managedScheduler{"s0": {}}, state: persistedState{fleet.NewStepExecutor("x"), map[string]*schedulerState{"s0": state}}}
 	for _, recorded := range []bool{false, true} {
 		state.NeverStarted = !recorded
-		if all, _ := a.supervisor.status(); len(all) != 1 || all[0].Run != recorded {
+		if all, _ := a.supervisor.status(); len(all) != 1 || all[0].ShouldRun != recorded {
 			t.Errorf("recorded for this agent: %v; status: %+v", recorded, all)
 		}
 	}
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	if update.Number != 9 || len(update.Record) == 0 || update.Patch == nil || update.Patch.Sum != 3 || len(update.AbsentAgents) != 1 ||
-		update.LeaderAddr != "127.0.0.1:1" || !update.IsLeader || !update.Counts {
+		update.LeaderAddr != "127.0.0.1:1" || !update.IsLeader || !update.Participating {
 		t.Errorf("read %+v from %s", update, sent)
 	}
 	if got, err := json.Marshal(update); err != nil || !bytes.Equal(got, []byte(sent)) {
--- a/cmd/beamagent/main.go
+++ b/cmd/beamagent/main.go
@@ -41,7 +41,7 @@
 func (c *checkCommand) Run() error {
 	config, err := agent.Load(c.Path)
 	if err == nil {
-		fmt.Printf("%s: ok, name=%s listen=%s voters=%d schedulers=%d\n", c.Path, config.Name, config.Listen, len(config.Voter), len(config.Scheduler))
+		fmt.Printf("%s: ok, name=%s listen=%s voters=%d schedulers=%d\n", c.Path, config.Name, config.Listen, len(config.Voters), len(config.Schedulers))
 	}
 	return err
 }
--- a/cmd/beamctl/main.go
+++ b/cmd/beamctl/main.go
@@ -37,7 +37,7 @@
 )
 
 const (
-	readTimeout    = 2 * time.Second        // for one agent to return the record or a worker's standings
+	readTimeout    = 2 * time.Second        // for one agent to return the record or a worker's acknowledgements
 	commandTimeout = 4 * time.Second        // for one agent to answer a command; an agent itself waits 3 s for the outcome
 	haltTimeout    = 2 * time.Second        // for one agent to accept a halt
 	statusTimeout  = time.Second            // for one agent to report its own status
@@ -104,7 +104,7 @@
 	}
 	answer, err := g.newCaller(commandTimeout).Do(ctx, command)
 	switch {
-	case errors.Is(err, agent.ErrOpen):
+	case errors.Is(err, agent.ErrOutcomeUnknown):
 		return answer, exitError{exitUnknown, err.Error()}
 	case err != nil:
 		return answer, exitError{exitFailed, "refused: " + err.Error()}
@@ -192,26 +192,26 @@
 		for _, row := range rows {
 			voter := "-"
 			switch {
-			case row.Voter != 0 && row.Leads:
+			case row.Voter != 0 && row.IsLeader:
 				voter = fmt.Sprint(row.Voter, " leads")
-			case row.Behind:
+			case row.DiskBehind:
 				voter = fmt.Sprint(row.Voter, " REPLACE: its disk lacks what it acknowledged")
-			case row.Voter != 0 && !row.Counts:
+			case row.Voter != 0 && !row.Participating:
 				voter = fmt.Sprint(row.Voter, " waits")
 			case row.Voter != 0:
 				voter = fmt.Sprint(row.Voter)
 			}
-			owns := strings.Join(slices.Sorted(maps.Keys(row.Holds)), " ")
+			owns := strings.Join(slices.Sorted(maps.Keys(row.Leases)), " ")
 			if row.Err != "" {
 				owns = row.Err
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", row.Name, row.Zone, row.Addr, voter, row.No, owns)
-			for _, process := range row.Runs {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", row.Name, row.Zone, row.Addr, voter, row.LastCommand, owns)
+			for _, process := range row.Schedulers {
 				// The agent reports "done" for every process that is as it is meant to be, also for one meant to be stopped.
-				if !process.Run && process.State == "done" {
+				if !process.ShouldRun && process.State == "done" {
 					process.State = "stopped"
 				}
-				fmt.Fprintf(w, "  %s\t%s\t%s\t%v\t%.12s\t%s\n", process.ID, process.State, process.Addr, process.Pids, process.Program, process.Why)
+				fmt.Fprintf(w, "  %s\t%s\t%s\t%v\t%.12s\t%s\n", process.ID, process.State, process.Addr, process.PIDs, process.Program, process.Reason)
 			}
 			for _, halt := range row.Halts {
 				fmt.Fprintf(w, "  halted here: %s by %s: %s\n", halt.Scope, halt.By, halt.Reason)
@@ -251,7 +251,7 @@
 }
 
 // setWorkerIntent puts on record whether a worker is to be in or out of service (command.Verb is "in" or "out"), and waits
-// until every scheduler has obeyed or the time limit is reached.
+// until every scheduler has applied it or the time limit is reached.
 func (g *globalFlags) setWorkerIntent(ctx context.Context, command fleet.Command) error {
 	if g.DryRun {
 		record, err := g.readRecord(ctx)
@@ -270,23 +270,23 @@
 	if err != nil {
 		return err
 	}
-	var told agent.Told // each scheduler's standing, as the owner of the worker's zone knows it
-	obeyed := 0
+	var confirmations agent.Confirmations // each scheduler's acknowledgement, as the owner of the worker's zone knows it
+	acknowledged := 0
 	for {
-		err = g.newCaller(readTimeout).Get(ctx, "/v1/told?worker="+url.QueryEscape(command.ID), &told)
-		obeyed = 0
-		for _, standing := range told.Rows {
-			if standing.State == fleet.AckDone {
-				obeyed++
+		err = g.newCaller(readTimeout).Get(ctx, "/v1/told?worker="+url.QueryEscape(command.ID), &confirmations)
+		acknowledged = 0
+		for _, ack := range confirmations.Schedulers {
+			if ack.State == fleet.AckDone {
+				acknowledged++
 			}
 		}
 		// The zone's owner may still report the intent before this command.
-		if err == nil && told.Intent.Out == (command.Verb == "out") && obeyed == len(told.Rows) {
+		if err == nil && confirmations.Intent.Out == (command.Verb == "out") && acknowledged == len(confirmations.Schedulers) {
 			break
 		}
 		select {
 		case <-ctx.Done():
-			if err != nil || told.Intent.Out != (command.Verb == "out") {
+			if err != nil || confirmations.Intent.Out != (command.Verb == "out") {
 				return exitError{exitUnknown, fmt.Sprintf("on record as command %d; which schedulers obey is not known: %v", answer.No, err)}
 			}
 		case <-time.After(pollInterval):
@@ -294,20 +294,20 @@
 		}
 		break
 	}
-	g.printResult(told, func(w *tabwriter.Writer) {
+	g.printResult(confirmations, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "SCHEDULER\tSTATE\tWHY")
-		for _, standing := range told.Rows {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", standing.ID, standing.State, standing.Reason)
+		for _, ack := range confirmations.Schedulers {
+			fmt.Fprintf(w, "%s\t%s\t%s\n", ack.ID, ack.State, ack.Reason)
 		}
-		fmt.Fprintf(w, "%d of %d obeyed; told by %s as %s number %d\n", obeyed, len(told.Rows), fleet.AgentOfOwner(told.Owner), told.Matter, told.Fence)
+		fmt.Fprintf(w, "%d of %d obeyed; told by %s as %s number %d\n", acknowledged, len(confirmations.Schedulers), fleet.AgentOfOwner(confirmations.Owner), confirmations.Lease, confirmations.Fence)
 	})
 	switch {
-	case obeyed == len(told.Rows):
+	case acknowledged == len(confirmations.Schedulers):
 		return nil
-	case obeyed > 0:
-		return exitError{exitPartial, fmt.Sprintf("on record; %d of %d schedulers have obeyed, the others are told again until they obey", obeyed, len(told.Rows))}
+	case acknowledged > 0:
+		return exitError{exitPartial, fmt.Sprintf("on record; %d of %d schedulers have obeyed, the others are told again until they obey", acknowledged, len(confirmations.Schedulers))}
 	}
-	return exitError{exitFailed, fmt.Sprintf("on record; none of %d schedulers has obeyed yet", len(told.Rows))}
+	return exitError{exitFailed, fmt.Sprintf("on record; none of %d schedulers has obeyed yet", len(confirmations.Schedulers))}
 }
 
 type workerList struct {
@@ -337,7 +337,7 @@
 
 type ownerList struct{}
 
-// Run lists every matter, which is a zone (zone/ZONE) or an operation (op/ID) that one agent at a time owns, with its
+// Run lists every lease, on a zone (zone/ZONE) or an operation (op/ID), which one agent at a time owns, with its
 // owner, the fencing token of that ownership, and the agent that has been asked for as the next owner.
 func (ownerList) Run(g *globalFlags, ctx context.Context) error {
 	record, err := g.readRecord(ctx)
@@ -347,8 +347,8 @@
 	g.printResult(record.Leases, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "MATTER\tOWNER\tNUMBER\tWANTED BY")
 		for _, name := range slices.Sorted(maps.Keys(record.Leases)) {
-			matter := record.Leases[name]
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", name, matter.Owner, matter.Fence, matter.HandoverTo)
+			lease := record.Leases[name]
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", name, lease.Owner, lease.Fence, lease.HandoverTo)
 		}
 	})
 	return nil
@@ -360,7 +360,7 @@
 	Reason   string `name:"why" help:"Reason, for the audit log."`
 }
 
-// Run asks the present owner to hand a matter over, and waits until the record shows the new owner.
+// Run asks the present owner to hand a lease over, and waits until the record shows the new owner.
 func (c *ownerMove) Run(g *globalFlags, ctx context.Context) error {
 	if g.DryRun {
 		fmt.Printf("the owner of %s would be asked to hand it over to %s\n", c.Matter, c.NewOwner)
@@ -460,7 +460,7 @@
 		_ = json.NewDecoder(response.Body).Decode(&refusal)
 		response.Body.Close()
 		if response.StatusCode != 200 {
-			lastErr = errors.New(refusal.Why)
+			lastErr = errors.New(refusal.Reason)
 			continue
 		}
 		for ctx.Err() == nil {
@@ -507,7 +507,7 @@
 	if err != nil {
 		return exitError{exitFailed, err.Error()}
 	}
-	fmt.Printf("%s: ok, name=%s voters=%d schedulers=%d workers=%d\n", c.Path, config.Name, len(config.Voter), len(config.Scheduler), len(config.Worker))
+	fmt.Printf("%s: ok, name=%s voters=%d schedulers=%d workers=%d\n", c.Path, config.Name, len(config.Voters), len(config.Schedulers), len(config.Workers))
 	return nil
 }
 
--- a/cmd/beamctl/ops.go
+++ b/cmd/beamctl/ops.go
@@ -27,22 +27,22 @@
 
 // operationFile is the TOML form of an operation; docs/releases.md has three examples.
 type operationFile struct {
-	Kind         string      `toml:"kind"`      // drain, undrain, restart, maintain or release; "" means release
-	Reason       string      `toml:"why"`       // for the audit log
-	Members      []string    `toml:"members"`   // ids; either these or SelectKind is set
-	SelectKind   string      `toml:"select"`    // schedulers or workers: all members of this kind that match Zone and Label
-	Zone         string      `toml:"zone"`      // of the selected members; "" means any
-	Label        string      `toml:"label"`     // key=value that the selected members have; "" means any
-	Program      string      `toml:"program"`   // path, on each machine, of the program to release
-	Digest       string      `toml:"digest"`    // SHA-256 of the program in hex; "" means that of Program on this machine
-	Config       string      `toml:"config"`    // path, on each machine, of the configuration to release; {id} stands for the member
-	Version      string      `toml:"version"`   // passed to the site's own command for workers
-	WatchPeriod  agent.Span  `toml:"watch"`     // how long after each wave the gates are watched before the next wave begins
-	Pause        agent.Span  `toml:"pause"`     // how long a member in maintenance stays out
-	WaveTimeout  agent.Span  `toml:"wave_most"` // a wave that takes longer halts the operation
-	MaxTogether  int         `toml:"together"`  // members of this operation out at once, beside the limits; 0 means the limits alone
-	AutoRollback bool        `toml:"auto_back"` // an automatic halt also rolls the operation back
-	Gates        fleet.Gates `toml:"gates"`     // how much worse the released members may do than the others
+	Kind         string         `toml:"kind"`      // drain, undrain, restart, maintain or release; "" means release
+	Reason       string         `toml:"why"`       // for the audit log
+	Members      []string       `toml:"members"`   // ids; either these or SelectKind is set
+	SelectKind   string         `toml:"select"`    // schedulers or workers: all members of this kind that match Zone and Label
+	Zone         string         `toml:"zone"`      // of the selected members; "" means any
+	Label        string         `toml:"label"`     // key=value that the selected members have; "" means any
+	Program      string         `toml:"program"`   // path, on each machine, of the program to release
+	Digest       string         `toml:"digest"`    // SHA-256 of the program in hex; "" means that of Program on this machine
+	Config       string         `toml:"config"`    // path, on each machine, of the configuration to release; {id} stands for the member
+	Version      string         `toml:"version"`   // passed to the site's own command for workers
+	WatchPeriod  agent.Duration `toml:"watch"`     // how long after each wave the gates are watched before the next wave begins
+	Pause        agent.Duration `toml:"pause"`     // how long a member in maintenance stays out
+	WaveTimeout  agent.Duration `toml:"wave_most"` // a wave that takes longer halts the operation
+	MaxTogether  int            `toml:"together"`  // members of this operation out at once, beside the limits; 0 means the limits alone
+	AutoRollback bool           `toml:"auto_back"` // an automatic halt also rolls the operation back
+	Gates        fleet.Gates    `toml:"gates"`     // how much worse the released members may do than the others
 }
 
 // decodeStrict reads a TOML file into target, and rejects keys that target has no field for.
@@ -139,7 +139,7 @@
 	return op, nil
 }
 
-func milliseconds(span agent.Span) float64 { return float64(time.Duration(span)) / 1e6 }
+func milliseconds(span agent.Duration) float64 { return float64(time.Duration(span)) / 1e6 }
 
 // defaultTimePerMember is what a dry run assumes; it equals the default of plan --each.
 const defaultTimePerMember = 5 * time.Second
@@ -469,7 +469,7 @@
 		}
 	}
 	body, _ := json.Marshal(fleet.Halt{Scope: scope, By: g.requesterName(), Reason: reason, Then: onHalt})
-	answers, obeyed := map[string]agentAnswer{}, 0
+	answers, acknowledged := map[string]agentAnswer{}, 0
 	received := make(chan agentAnswer)
 	client := agent.NewHTTP(nil, haltTimeout)
 	for id, addr := range addrs {
@@ -485,13 +485,13 @@
 			var refusal agent.Refusal
 			if response.StatusCode != http.StatusOK {
 				_ = json.NewDecoder(response.Body).Decode(&refusal)
-				received <- agentAnswer{id, fleet.AckRefused, refusal.Why}
+				received <- agentAnswer{id, fleet.AckRefused, refusal.Reason}
 				return
 			}
 			_ = json.NewDecoder(response.Body).Decode(&accepted)
 			text := ""
-			if len(accepted.Under) > 0 {
-				text = "under way there already: " + strings.Join(accepted.Under, " ")
+			if len(accepted.UnderWay) > 0 {
+				text = "under way there already: " + strings.Join(accepted.UnderWay, " ")
 			}
 			received <- agentAnswer{id, fleet.AckDone, text}
 		}()
@@ -499,7 +499,7 @@
 	for range addrs {
 		answer := <-received
 		if answers[answer.Agent] = answer; answer.State == fleet.AckDone {
-			obeyed++
+			acknowledged++
 		}
 	}
 	recorded, err := g.sendCommand(ctx, fleet.Command{Verb: "halt", ID: scope, Reason: reason, Then: onHalt})
@@ -515,10 +515,10 @@
 		}
 	})
 	switch {
-	case err == nil && obeyed == len(answers):
+	case err == nil && acknowledged == len(answers):
 		return nil
-	case obeyed > 0 || err == nil:
-		return exitError{exitPartial, fmt.Sprintf("%d of %d agents obey the halt", obeyed, len(answers)) +
+	case acknowledged > 0 || err == nil:
+		return exitError{exitPartial, fmt.Sprintf("%d of %d agents obey the halt", acknowledged, len(answers)) +
 			map[bool]string{true: ", and it is on record", false: "; they put it on record as soon as they can"}[err == nil]}
 	}
 	return exitError{exitFailed, fmt.Sprintf("none of %d agents obeys the halt, and it is not on record", len(answers))}
--- a/cmd/beamctl/ops_test.go
+++ b/cmd/beamctl/ops_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	want := operationFile{Kind: "release", Reason: "fix", SelectKind: "schedulers", Zone: "a", Label: "rack=1", Program: "/opt/shalebeam", Digest: "ab12",
-		Config: "/etc/{id}.toml", Version: "v2", WatchPeriod: agent.Span(time.Second), WaveTimeout: agent.Span(3 * time.Second), MaxTogether: 2,
+		Config: "/etc/{id}.toml", Version: "v2", WatchPeriod: agent.Duration(time.Second), WaveTimeout: agent.Duration(3 * time.Second), MaxTogether: 2,
 		AutoRollback: true, Gates: fleet.Gates{Settled: 0.1, Declined: 0.2, Reversed: 0.3, MinTxns: 40, MaxLost: 5}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
@@ -57,7 +57,7 @@
 	if err := got.load(path); err != nil {
 		t.Fatal(err)
 	}
-	want = operationFile{Kind: "maintain", Members: []string{"s0", "s1"}, Pause: agent.Span(2 * time.Second)}
+	want = operationFile{Kind: "maintain", Members: []string{"s0", "s1"}, Pause: agent.Duration(2 * time.Second)}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
--- a/lab/cluster/checks.go
+++ b/lab/cluster/checks.go
@@ -162,7 +162,7 @@
 	workerToldPattern   = regexp.MustCompile(`msg=told id="(.*?)" out=(\w+) matter="(.*?)" number=(\d+)`)
 	fencePattern        = regexp.MustCompile(`msg=fence matter="(.*?)" number=(\d+)`)
 	leaseRenewedPattern = regexp.MustCompile(`msg=renewed matter=(\S+) fence=(\d+) left=([-0-9.e+]+)`)
-	matterOwnedPattern  = regexp.MustCompile(`msg="matter owned" matter=(\S+) fence=(\d+)`)
+	leaseOwnedPattern   = regexp.MustCompile(`msg="matter owned" matter=(\S+) fence=(\d+)`)
 	listeningPattern    = regexp.MustCompile(`msg=listening `)
 	callsPattern        = regexp.MustCompile(`^time=(\S+) .*msg=calls scheduler=(\S+) act=(\d) matter=(\S+) fence=(\d+)`)
 )
@@ -179,11 +179,11 @@
 	}
 }
 
-// checkFenceOrder checks that no scheduler applied a change with a lower fencing token of a matter after a higher one, within the
+// checkFenceOrder checks that no scheduler applied a change with a lower fencing token of a lease after a higher one, within the
 // life of one process.
 func (d *day) checkFenceOrder() {
 	for _, m := range d.live.Schedulers() {
-		highest := map[string]uint64{} // by matter
+		highest := map[string]uint64{} // by lease
 		forEachLine(m.Log, func(line string) {
 			if listeningPattern.MatchString(line) {
 				clear(highest)
@@ -275,20 +275,20 @@
 		kind      string // a fleet.CallKind: 0 CallStatus, 1 CallRaiseFence, 2 CallSetWorker
 		scheduler string
 	}
-	calls := map[string][]ownerCall{} // by matter
+	calls := map[string][]ownerCall{} // by lease
 	type lease struct {
 		until time.Time // at least, by the owner's last renewal
 		owner string    // an agent's name
 	}
-	leases, began := map[string]map[uint64]*lease{}, map[string]map[uint64]time.Time{} // by matter and fencing token
-	leaseOf := func(matter string, fence uint64) *lease {
-		if leases[matter] == nil {
-			leases[matter], began[matter] = map[uint64]*lease{}, map[uint64]time.Time{}
+	leases, began := map[string]map[uint64]*lease{}, map[string]map[uint64]time.Time{} // by lease and fencing token
+	leaseOf := func(leaseName string, fence uint64) *lease {
+		if leases[leaseName] == nil {
+			leases[leaseName], began[leaseName] = map[uint64]*lease{}, map[uint64]time.Time{}
 		}
-		if leases[matter][fence] == nil {
-			leases[matter][fence] = &lease{}
+		if leases[leaseName][fence] == nil {
+			leases[leaseName][fence] = &lease{}
 		}
-		return leases[matter][fence]
+		return leases[leaseName][fence]
 	}
 	for _, p := range d.agents {
 		forEachLine(p.path(".log"), func(line string) {
@@ -305,7 +305,7 @@
 					l.until, l.owner = until, p.file.Name
 				}
 			}
-			if x := matterOwnedPattern.FindStringSubmatch(line); x != nil {
+			if x := leaseOwnedPattern.FindStringSubmatch(line); x != nil {
 				n, _ := strconv.ParseUint(x[2], 10, 64)
 				leaseOf(x[1], n)
 				began[x[1]][n] = at
@@ -317,22 +317,22 @@
 			}
 		})
 	}
-	for matter, owned := range began {
+	for leaseName, owned := range began {
 		for n, at := range owned {
 			// A lease that its owner passed on, or whose owner's process ended, may be followed by the next before it expires.
-			if l := leases[matter][n-1]; l != nil && at.Before(l.until) && !d.endedShortlyBefore(l.owner, at) && !passedOn(r, matter, l.owner) {
-				d.reportBreak("%s: number %d began at %s, and %s held number %d until %s", matter, n, at.Format("05.000"), l.owner, n-1,
+			if l := leases[leaseName][n-1]; l != nil && at.Before(l.until) && !d.endedShortlyBefore(l.owner, at) && !passedOn(r, leaseName, l.owner) {
+				d.reportBreak("%s: number %d began at %s, and %s held number %d until %s", leaseName, n, at.Format("05.000"), l.owner, n-1,
 					l.until.Format("05.000"))
 			}
 		}
 	}
-	for matter, all := range calls {
+	for leaseName, all := range calls {
 		sort.SliceStable(all, func(i, j int) bool { return all[i].at.Before(all[j].at) })
 		highest := ownerCall{} // the first call with the highest fencing token so far
 		closed := map[string]uint64{}
 		for _, c := range all {
 			if c.fence < highest.fence && !c.p.wasPaused(c.at, 3*d.leaseTerm()) {
-				d.reportBreak("%s: %s acted by number %d at %s, after %s had begun by %d at %s", matter, c.p.file.Name, c.fence,
+				d.reportBreak("%s: %s acted by number %d at %s, after %s had begun by %d at %s", leaseName, c.p.file.Name, c.fence,
 					c.at.Format("05.000"), highest.p.file.Name, highest.fence, highest.at.Format("05.000"))
 				return
 			}
@@ -345,17 +345,17 @@
 				closed[key] = c.fence
 			}
 			if c.kind == "2" && closed[key] == 0 {
-				d.reportBreak("%s: %s told %s by number %d before it had closed the one before", matter, c.p.file.Name, c.scheduler, c.fence)
+				d.reportBreak("%s: %s told %s by number %d before it had closed the one before", leaseName, c.p.file.Name, c.scheduler, c.fence)
 				return
 			}
 		}
 	}
 }
 
-// passedOn reports whether an agent ever passed a matter on, which frees it before its lease expires.
-func passedOn(r *fleet.Record, matter, agent string) bool {
+// passedOn reports whether an agent ever passed a lease on, which frees it before it expires.
+func passedOn(r *fleet.Record, leaseName, agent string) bool {
 	for _, row := range r.Audit {
-		if row.What == "left" && strings.HasPrefix(row.Of, matter+" "+agent+"#") {
+		if row.What == "left" && strings.HasPrefix(row.Of, leaseName+" "+agent+"#") {
 			return true
 		}
 	}
--- a/lab/cluster/day.go
+++ b/lab/cluster/day.go
@@ -2,7 +2,7 @@
 // starts agents and schedulers together with the lab's own workers, discovery and load generator, connects agents to other
 // processes through TCP relays, and injects overlapping faults of links, processes, disks and clocks chosen by a seed. The
 // agents replicate the record, which is the fleet's state (members, intents for workers, leases, operations), among those
-// of them that are voters. Each zone and each operation is a matter, leased to one agent, its owner, under a fencing token.
+// of them that are voters. Each zone and each operation has a lease, which one agent, its owner, holds under a fencing token.
 //
 // The checks on a day don't rely on the program under test: they use the postings that workers recorded, the calls and
 // answers of every caller, and the log lines in which schedulers and agents report what they applied.
@@ -98,7 +98,7 @@
 // Day is a running day, for Options.Act.
 type Day struct{ *day }
 
-// leaseTerm is how long a lease of a matter lasts without renewal. On every third seed it is longer than the election of a
+// leaseTerm is how long a lease lasts without renewal. On every third seed it is longer than the election of a
 // leader takes.
 func (d *day) leaseTerm() time.Duration {
 	if d.opt.Seed%3 == 0 || d.opt.Bug == "new-leader-hurries" {
@@ -258,22 +258,22 @@
 
 // assignAddresses gives every agent its address, configuration and data folder, and a relay to each agent that it calls.
 func (d *day) assignAddresses() error {
-	var voters []agent.Voter
+	var voters []agent.VoterConfig
 	for i := range d.opt.Agents {
 		addr, err := live.FreeAddr()
 		if err != nil {
 			return err
 		}
-		p := &agentProcess{d: d, index: i, file: agent.File{Name: fmt.Sprint("a", i), Zone: []string{"a", "b"}[i%2], Listen: addr,
-			Term: agent.Span(d.leaseTerm()), Via: map[string]string{}}}
+		p := &agentProcess{d: d, index: i, file: agent.Config{Name: fmt.Sprint("a", i), Zone: []string{"a", "b"}[i%2], Listen: addr,
+			Term: agent.Duration(d.leaseTerm()), Via: map[string]string{}}}
 		p.file.Data = filepath.Join(d.dir, p.file.Name)
 		d.agents = append(d.agents, p)
 		if i < d.opt.Voters {
-			voters = append(voters, agent.Voter{ID: uint64(i + 1), Name: p.file.Name, Addr: addr})
+			voters = append(voters, agent.VoterConfig{ID: uint64(i + 1), Name: p.file.Name, Addr: addr})
 		}
 	}
 	for _, p := range d.agents {
-		p.file.Voter = slices.Clone(voters)
+		p.file.Voters = slices.Clone(voters)
 		for _, o := range d.agents {
 			// With more than 30 agents, each has relays to the voters alone, as agents ask only those for the record.
 			if o == p || d.opt.Agents > 30 && o.index >= d.opt.Voters {
@@ -342,7 +342,7 @@
 			}
 		}
 		p := d.agents[i%len(d.agents)]
-		p.file.Scheduler = append(p.file.Scheduler, agent.Local{ID: m.ID, Zone: m.Zone, Addr: m.Mgmt})
+		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.Mgmt})
 	}
 	for _, p := range d.agents {
 		if d.opt.Runs {
@@ -573,12 +573,12 @@
 func (d *day) AllAcknowledged(worker string, addrs []string) bool {
 	ctx, stop := context.WithTimeout(d.ctx, time.Second)
 	defer stop()
-	var told agent.Told
-	if err := (&agent.Caller{HTTP: d.http, Addrs: addrs}).Get(ctx, "/v1/told?worker="+worker, &told); err != nil || !told.Intent.Out ||
-		len(told.Rows) < d.opt.Schedulers {
+	var confirmations agent.Confirmations
+	if err := (&agent.Caller{HTTP: d.http, Addrs: addrs}).Get(ctx, "/v1/told?worker="+worker, &confirmations); err != nil || !confirmations.Intent.Out ||
+		len(confirmations.Schedulers) < d.opt.Schedulers {
 		return false
 	}
-	for _, row := range told.Rows {
+	for _, row := range confirmations.Schedulers {
 		if row.State != fleet.AckDone {
 			return false
 		}
@@ -818,7 +818,7 @@
 
 // schedulerState is what a scheduler answers to GET /ops/fence.
 type schedulerState struct {
-	Fences map[string]uint64 // by matter: the highest fencing token that it has seen
+	Fences map[string]uint64 // by lease: the highest fencing token that it has seen
 	Out    map[string]string // by worker, for those that it has out
 }
 
@@ -878,7 +878,7 @@
 func (d *day) leader() int {
 	for i, p := range d.agents {
 		var s agent.Status
-		if (&agent.Caller{HTTP: d.http, Addrs: []string{p.file.Listen}}).Get(d.ctx, "/v1/status", &s) == nil && s.Leads {
+		if (&agent.Caller{HTTP: d.http, Addrs: []string{p.file.Listen}}).Get(d.ctx, "/v1/status", &s) == nil && s.IsLeader {
 			return i
 		}
 	}
@@ -991,7 +991,7 @@
 			var s agent.Status
 			err := (&agent.Caller{HTTP: d.http, Addrs: []string{p.file.Listen}}).Get(d.ctx, "/v1/status", &s)
 			d.mu.Lock()
-			found := err == nil && s.Behind && !d.replacing[p.index]
+			found := err == nil && s.DiskBehind && !d.replacing[p.index]
 			if found {
 				d.replacing[p.index] = true
 			}
@@ -1012,9 +1012,9 @@
 	id := d.lastVoterID
 	d.mu.Unlock()
 	var oldID uint64
-	for i := range p.file.Voter {
-		if p.file.Voter[i].Name == p.file.Name {
-			oldID = p.file.Voter[i].ID
+	for i := range p.file.Voters {
+		if p.file.Voters[i].Name == p.file.Name {
+			oldID = p.file.Voters[i].ID
 		}
 	}
 	changeVoters := func() bool {
@@ -1041,9 +1041,9 @@
 	p.kill()
 	p.mu.Lock()
 	_ = os.RemoveAll(p.file.Data)
-	for i := range p.file.Voter {
-		if p.file.Voter[i].Name == p.file.Name {
-			p.file.Voter[i].ID = id
+	for i := range p.file.Voters {
+		if p.file.Voters[i].Name == p.file.Name {
+			p.file.Voters[i].ID = id
 		}
 	}
 	p.file.Joins, p.file.Replaces = true, oldID
@@ -1076,7 +1076,7 @@
 	"old-disk-votes", "torn-whole", "restart-untold", "former-start", "no-change",
 	"permit-dies", "zones-alone", "cold-in", "halt-at-owner", "back-unlimited", "step-twice", "gate-yesterday", "two-permits", "unreached-in", "stale-step"}
 
-// Owner returns the index of the agent that owns a zone's matter by the record, -1 if none does, and the fencing token.
+// Owner returns the index of the agent that owns a zone's lease by the record, -1 if none does, and the fencing token.
 func (d *day) Owner(zone string) (index int, fence uint64) {
 	r, err := d.readRecord(d.ctx)
 	if err != nil {
@@ -1123,10 +1123,10 @@
 // Scheduler returns a scheduler's addresses and the path of its log.
 func (d *day) Scheduler(index int) live.Member { return d.live.Schedulers()[index] }
 
-// FenceKnownBy returns the highest fencing token of a matter that a scheduler says it has seen, 0 if it does not answer.
-func (d *day) FenceKnownBy(scheduler int, matter string) uint64 {
+// FenceKnownBy returns the highest fencing token of a lease that a scheduler says it has seen, 0 if it does not answer.
+func (d *day) FenceKnownBy(scheduler int, leaseName string) uint64 {
 	state, _ := d.schedulerState(scheduler)
-	return state.Fences[matter]
+	return state.Fences[leaseName]
 }
 
 // SendCommand sends one command to one agent, with a timeout of 4 s.
--- a/lab/cluster/demo.go
+++ b/lab/cluster/demo.go
@@ -155,7 +155,7 @@
 		d.WaitUntil("all agents answer", func() bool {
 			for i := range d.agents {
 				var s agent.Status
-				if (&agent.Caller{HTTP: d.http, Addrs: d.AddrOf(i)}).Get(d.ctx, "/v1/status", &s) != nil || s.Voter != 0 && !s.Counts {
+				if (&agent.Caller{HTTP: d.http, Addrs: d.AddrOf(i)}).Get(d.ctx, "/v1/status", &s) != nil || s.Voter != 0 && !s.Participating {
 					return false
 				}
 			}
--- a/lab/cluster/operators.go
+++ b/lab/cluster/operators.go
@@ -281,9 +281,9 @@
 		if err := (&agent.Caller{HTTP: d.http, Addrs: []string{d.agents[i].file.Listen}}).Get(d.ctx, "/v1/status", &status); err != nil {
 			return err
 		}
-		for _, x := range status.Runs {
-			if slices.Sort(x.Pids); !slices.Equal(x.Pids, actual[x.ID]) || len(x.Pids) != 1 {
-				return fmt.Errorf("%s says that %s has processes %v, and there are %v", status.Name, x.ID, x.Pids, actual[x.ID])
+		for _, x := range status.Schedulers {
+			if slices.Sort(x.PIDs); !slices.Equal(x.PIDs, actual[x.ID]) || len(x.PIDs) != 1 {
+				return fmt.Errorf("%s says that %s has processes %v, and there are %v", status.Name, x.ID, x.PIDs, actual[x.ID])
 			}
 		}
 	}
@@ -304,12 +304,12 @@
 // nameSchedulerTwice configures a scheduler that one agent runs at a second agent too, and checks that the second one is refused
 // and starts no process of it.
 func (d *day) nameSchedulerTwice() {
-	scheduler, other := d.agents[0].file.Scheduler[0], d.agents[1]
+	scheduler, other := d.agents[0].file.Schedulers[0], d.agents[1]
 	scheduler.Addr, _ = live.FreeAddr()
-	scheduler.Beside, _ = live.FreeAddr()
+	scheduler.UpgradeAddr, _ = live.FreeAddr()
 	d.logEvent("%s is configured to run %s too", other.file.Name, scheduler.ID)
 	other.kill()
-	other.file.Scheduler = append(other.file.Scheduler, scheduler)
+	other.file.Schedulers = append(other.file.Schedulers, scheduler)
 	_ = other.start()
 	d.sleep(3 * time.Second)
 	switch text := other.tail(1 << 20); {
@@ -320,15 +320,15 @@
 	}
 	var s agent.Status
 	err := (&agent.Caller{HTTP: d.http, Addrs: []string{other.file.Listen}}).Get(d.ctx, "/v1/status", &s)
-	for _, x := range s.Runs {
-		if x.ID == scheduler.ID && (x.Run || len(x.Pids) > 0) {
-			d.reportBreak("%s runs %s, which another agent runs: %v", s.Name, x.ID, x.Pids)
+	for _, x := range s.Schedulers {
+		if x.ID == scheduler.ID && (x.ShouldRun || len(x.PIDs) > 0) {
+			d.reportBreak("%s runs %s, which another agent runs: %v", s.Name, x.ID, x.PIDs)
 		}
 	}
 	if err != nil {
 		d.reportBreak("%v", err)
 	}
 	other.kill()
-	other.file.Scheduler = other.file.Scheduler[:len(other.file.Scheduler)-1]
+	other.file.Schedulers = other.file.Schedulers[:len(other.file.Schedulers)-1]
 	_ = other.start()
 }
--- a/lab/cluster/ops.go
+++ b/lab/cluster/ops.go
@@ -50,8 +50,8 @@
 			}
 		}
 		p := d.agents[i%len(d.agents)]
-		p.file.Scheduler = append(p.file.Scheduler, agent.Local{ID: m.ID, Zone: m.Zone, Addr: m.Mgmt, Beside: m.Beside, Program: d.opt.Program,
-			Config: m.Config, Tmp: m.Dir})
+		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.Mgmt, UpgradeAddr: m.Beside, Program: d.opt.Program,
+			Config: m.Config, TempDir: m.Dir})
 	}
 	if err := os.MkdirAll(filepath.Join(d.dir, "renew"), 0o755); err != nil {
 		return err
@@ -62,12 +62,12 @@
 		at := filepath.Join(d.dir, "renew", "{worker}.{step}")
 		// The site's command asks for the renewal by the file .go and waits up to 20 s for .done, which runWorkerRenewals writes.
 		// Started a second time for the same step it leaves the file .twice.
-		p.file.Worker = append(p.file.Worker, agent.Site{ID: id, Zone: workers[id], Capacity: 2, Command: []string{"/bin/sh", "-c",
+		p.file.Workers = append(p.file.Workers, agent.WorkerConfig{ID: id, Zone: workers[id], Capacity: 2, Command: []string{"/bin/sh", "-c",
 			fmt.Sprintf("if [ -e %s.go ]; then : > %s.twice; fi; : > %s.go; n=0; while [ ! -e %s.done ] && [ $n -lt 400 ]; do sleep 0.05; n=$((n+1)); done; [ -e %s.done ]",
 				at, at, at, at, at)}})
 	}
 	for _, p := range d.agents {
-		p.file.ReadyMost = agent.Span(4 * time.Second)
+		p.file.ReadyTimeout = agent.Duration(4 * time.Second)
 		if err := p.start(); err != nil {
 			return err
 		}
@@ -224,7 +224,7 @@
 		if (&agent.Caller{HTTP: d.http, Addrs: []string{d.agents[i].file.Listen}}).Get(d.ctx, "/v1/status", &s) != nil {
 			return -1
 		}
-		for _, x := range s.Runs {
+		for _, x := range s.Schedulers {
 			all[x.Program] = true
 			if x.State != "done" {
 				return -1
@@ -234,13 +234,13 @@
 	return len(all)
 }
 
-// OwnerOf returns the index of the agent that owns a matter, -1 if none does.
-func (d *day) OwnerOf(matter string) int {
+// OwnerOf returns the index of the agent that owns a lease, -1 if none does.
+func (d *day) OwnerOf(leaseName string) int {
 	r, err := d.readRecord(d.ctx)
 	if err != nil {
 		return -1
 	}
-	return slices.IndexFunc(d.agents, func(p *agentProcess) bool { return p.file.Name == fleet.AgentOfOwner(r.Leases[matter].Owner) })
+	return slices.IndexFunc(d.agents, func(p *agentProcess) bool { return p.file.Name == fleet.AgentOfOwner(r.Leases[leaseName].Owner) })
 }
 
 // HaltAgent sends a halt of an operation, a zone or "all" to one agent and returns whether the agent acknowledged it.
--- a/lab/cluster/process.go
+++ b/lab/cluster/process.go
@@ -19,10 +19,10 @@
 // agentProcess is an agent and, while it runs, its process.
 type agentProcess struct {
 	d        *day
-	index    int        // in day.agents
-	file     agent.File // its configuration, written at each start
-	mu       sync.Mutex // guards the fields below
-	cmd      *exec.Cmd  // nil while no process runs
+	index    int          // in day.agents
+	file     agent.Config // its configuration, written at each start
+	mu       sync.Mutex   // guards the fields below
+	cmd      *exec.Cmd    // nil while no process runs
 	exited   chan struct{}
 	killed   bool        // by the lab, so that its exit is expected
 	pauses   []interval  // when it was stopped with SIGSTOP
--- a/lab/council/operations.go
+++ b/lab/council/operations.go
@@ -436,7 +436,7 @@
 }
 
 // driveOperation does the work of an operation's owner, as agent.Agent does: it calls agents and submits commands.
-func (ops *operations) driveOperation(agent *simAgent, localNowMS float64, matterName string, owned *ownership) {
+func (ops *operations) driveOperation(agent *simAgent, localNowMS float64, leaseName string, owned *ownership) {
 	for {
 		call, ok := owned.operationRunner.NextAgentStatusCall(localNowMS)
 		if !ok {
@@ -451,7 +451,7 @@
 		if !ok {
 			return
 		}
-		ops.sim.sendCommand(agent, matterName+"/steps/"+command.ID, command, func(fleet.CommandResult) { owned.operationRunner.CommandAnswered(command) })
+		ops.sim.sendCommand(agent, leaseName+"/steps/"+command.ID, command, func(fleet.CommandResult) { owned.operationRunner.CommandAnswered(command) })
 	}
 }
 
--- a/lab/council/simulation.go
+++ b/lab/council/simulation.go
@@ -4,7 +4,7 @@
 // that lose, delay or cut messages, and processes that crash or pause. Schedulers are models that remember the highest
 // fence (fencing token) they have seen, as scheduler/fleet.go does.
 //
-// A matter is what one agent at a time owns under a lease: a zone's workers ("zone/ZONE") or an operation ("op/ID").
+// A lease is on a zone's workers ("zone/ZONE") or an operation ("op/ID").
 package council
 
 import (
@@ -43,7 +43,7 @@
 type Result struct {
 	Breaks   []string // violated invariants; the run stops once there is one
 	Changes  int      // commands to take a worker out or back in that were acknowledged
-	Owners   int      // claims that succeeded, each of which makes an agent the owner of a matter
+	Owners   int      // claims that succeeded, each of which makes an agent the owner of a lease
 	Refused  int      // calls that a scheduler refused because of their fence, scheduler start or change number
 	Replaced int      // voters that were replaced because their disk lacked data that they had acknowledged
 	Left     int      // operations that ended halted with a reason and need an operator
@@ -107,15 +107,15 @@
 	clock             clock
 	up                bool
 	pausedUntilMS     float64 // simulated time; the process does nothing before it
-	duty              *fleet.LeaseClaimer
-	owned             map[string]*ownership // by matter
+	leaseClaimer      *fleet.LeaseClaimer
+	owned             map[string]*ownership // by lease
 	record            *fleet.Record         // the record as it last read it; shared between agents, not to be changed
 	lastCommandNumber uint64
-	commandPending    map[string]bool // by matter, or by the name that sendCommand was given
+	commandPending    map[string]bool // by lease, or by the name that sendCommand was given
 	wakeScheduled     bool            // an update is scheduled within wakeDelayMS
 }
 
-// ownership is what an agent keeps for a matter that it owns. notifier and zone are set for a zone's matter,
+// ownership is what an agent keeps for a lease that it owns. notifier and zone are set for a zone's lease,
 // operationRunner for an operation's.
 type ownership struct {
 	lease           *fleet.HeldLease
@@ -125,15 +125,15 @@
 	openCalls       int // calls at schedulers that have neither been answered nor timed out
 }
 
-// superseded tells whether a scheduler has named a higher fence, so that another agent must own the matter by now.
+// superseded tells whether a scheduler has named a higher fence, so that another agent must own the lease by now.
 func (o *ownership) superseded() bool { return o.notifier != nil && o.notifier.SupersededBy > 0 }
 
 // simScheduler models how a scheduler treats the calls of agents.
 type simScheduler struct {
 	fleet.Member
 	startCount   int               // starts so far; a call meant for another start is refused
-	highestFence map[string]uint64 // by matter
-	outWorkers   map[string]string // the matter under which each worker is out
+	highestFence map[string]uint64 // by lease
+	outWorkers   map[string]string // the lease under which each worker is out
 	lastChange   map[string]uint64 // by worker: the number of the newest change on record that it was told
 }
 
@@ -292,8 +292,8 @@
 func (sim *simulation) startAgent(agent *simAgent) {
 	agent.startCount++
 	agent.up, agent.record, agent.owned, agent.commandPending = true, fleet.NewRecord(), map[string]*ownership{}, map[string]bool{}
-	agent.duty = fleet.NewLeaseClaimer(agent.id, fmt.Sprint(agent.startCount), sim.leaseTermMS)
-	agent.duty.ClaimWithoutWaiting = sim.options.Bug == "new-leader-hurries"
+	agent.leaseClaimer = fleet.NewLeaseClaimer(agent.id, fmt.Sprint(agent.startCount), sim.leaseTermMS)
+	agent.leaseClaimer.ClaimWithoutWaiting = sim.options.Bug == "new-leader-hurries"
 	if sim.ops != nil && len(sim.ops.hosts) > 0 {
 		sim.ops.restoreAgent(agent)
 	}
@@ -414,7 +414,7 @@
 		agent.record.No != leader.node.Record.No {
 		agent.record = sim.sharedCopy(leader.node.Record) // a disconnected agent goes on with the record it read last
 	}
-	if sim.runDuties(agent); sim.ops != nil {
+	if sim.workOnLeases(agent); sim.ops != nil {
 		sim.ops.superviseProcesses(agent)
 	}
 }
@@ -495,30 +495,30 @@
 	}
 }
 
-// runDuties does an agent's work for the matters that it owns, and claims or passes on others, as agent.Agent does.
-func (sim *simulation) runDuties(agent *simAgent) {
+// workOnLeases does an agent's work for the leases that it owns, and claims or passes on others, as agent.Agent does.
+func (sim *simulation) workOnLeases(agent *simAgent) {
 	localNowMS := agent.clock.read(sim.nowMS)
-	for _, matterName := range slices.Sorted(maps.Keys(agent.owned)) {
-		owned := agent.owned[matterName]
-		if !owned.lease.Valid(localNowMS) || owned.superseded() || agent.record.Leases[matterName].Fence > owned.lease.Fence {
-			sim.traceEvent("lost %s %s", agent.id, matterName)
-			delete(agent.owned, matterName)
+	for _, leaseName := range slices.Sorted(maps.Keys(agent.owned)) {
+		owned := agent.owned[leaseName]
+		if !owned.lease.Valid(localNowMS) || owned.superseded() || agent.record.Leases[leaseName].Fence > owned.lease.Fence {
+			sim.traceEvent("lost %s %s", agent.id, leaseName)
+			delete(agent.owned, leaseName)
 			continue
 		}
-		if matter := agent.record.Leases[matterName]; matter.HandoverTo != "" && matter.HandoverTo != agent.id && matter.Owner == agent.duty.Owner {
-			if owned.openCalls == 0 && !agent.commandPending[matterName] {
-				delete(agent.owned, matterName)
-				sim.sendCommand(agent, matterName, fleet.Command{Verb: "leave", Lease: matterName, Owner: agent.duty.Owner,
+		if recorded := agent.record.Leases[leaseName]; recorded.HandoverTo != "" && recorded.HandoverTo != agent.id && recorded.Owner == agent.leaseClaimer.Owner {
+			if owned.openCalls == 0 && !agent.commandPending[leaseName] {
+				delete(agent.owned, leaseName)
+				sim.sendCommand(agent, leaseName, fleet.Command{Verb: "leave", Lease: leaseName, Owner: agent.leaseClaimer.Owner,
 					Fence: owned.lease.Fence}, nil)
 			}
 			continue
 		}
 		if owned.operationRunner != nil {
 			if owned.operationRunner.Follow(localNowMS, agent.record); owned.operationRunner.Finished() &&
-				agent.record.Leases[matterName].Owner == agent.duty.Owner {
-				if !agent.commandPending[matterName] {
-					delete(agent.owned, matterName)
-					sim.sendCommand(agent, matterName, fleet.Command{Verb: "leave", Lease: matterName, Owner: agent.duty.Owner,
+				agent.record.Leases[leaseName].Owner == agent.leaseClaimer.Owner {
+				if !agent.commandPending[leaseName] {
+					delete(agent.owned, leaseName)
+					sim.sendCommand(agent, leaseName, fleet.Command{Verb: "leave", Lease: leaseName, Owner: agent.leaseClaimer.Owner,
 						Fence: owned.lease.Fence}, nil)
 				}
 				continue
@@ -526,26 +526,26 @@
 		} else {
 			owned.notifier.Follow(localNowMS, agent.record, owned.zone)
 		}
-		if !agent.commandPending[matterName] && owned.lease.NextRenewal(localNowMS, owned.notifier != nil && owned.notifier.Urgent()) {
-			renewal := fleet.Command{Verb: "renew", Lease: matterName, Owner: agent.duty.Owner, Fence: owned.lease.Fence}
+		if !agent.commandPending[leaseName] && owned.lease.NextRenewal(localNowMS, owned.notifier != nil && owned.notifier.Urgent()) {
+			renewal := fleet.Command{Verb: "renew", Lease: leaseName, Owner: agent.leaseClaimer.Owner, Fence: owned.lease.Fence}
 			if owned.notifier != nil {
 				var complete bool
 				if renewal.Health, complete = owned.notifier.Report(localNowMS); complete {
 					renewal.To = fleet.AllReported
 				}
 			}
-			sim.sendCommand(agent, matterName, renewal,
+			sim.sendCommand(agent, leaseName, renewal,
 				func(answer fleet.CommandResult) { owned.lease.Renewed(answer.Applied) })
 		}
 		if owned.operationRunner != nil {
-			sim.ops.driveOperation(agent, localNowMS, matterName, owned)
+			sim.ops.driveOperation(agent, localNowMS, leaseName, owned)
 			continue
 		}
 		for call, ok := owned.notifier.Next(localNowMS); ok; call, ok = owned.notifier.Next(localNowMS) {
 			sim.callScheduler(agent, owned, call)
 		}
 	}
-	if command, ok := agent.duty.NextClaim(localNowMS, agent.record, sim.absentAgents()); ok && agent.owned[command.Lease] == nil &&
+	if command, ok := agent.leaseClaimer.NextClaim(localNowMS, agent.record, sim.absentAgents()); ok && agent.owned[command.Lease] == nil &&
 		!agent.commandPending[command.Lease] {
 		sim.sendCommand(agent, command.Lease, command, func(answer fleet.CommandResult) {
 			if answer.Applied {
@@ -565,7 +565,7 @@
 				}
 				newOwned := &ownership{lease: lease}
 				if id, isOp := strings.CutPrefix(command.Lease, "op/"); isOp {
-					newOwned.operationRunner = fleet.NewOperationController(id, agent.duty.Owner, answer.Fence)
+					newOwned.operationRunner = fleet.NewOperationController(id, agent.leaseClaimer.Owner, answer.Fence)
 					newOwned.operationRunner.InjectedFault = sim.options.Bug
 				} else {
 					newOwned.notifier, newOwned.zone = fleet.NewZoneController(command.Lease, answer.Fence), command.Lease[len("zone/"):]
@@ -579,7 +579,7 @@
 			}
 		})
 	}
-	if command, ok := agent.duty.NextHandover(localNowMS, agent.record, sim.absentAgents()); ok && !agent.commandPending[command.Lease] {
+	if command, ok := agent.leaseClaimer.NextHandover(localNowMS, agent.record, sim.absentAgents()); ok && !agent.commandPending[command.Lease] {
 		sim.sendCommand(agent, command.Lease, command, nil)
 	}
 }
@@ -596,16 +596,16 @@
 	return gone
 }
 
-// sendCommand submits an agent's command. Until it is answered or has timed out, commandPending is true for matterName.
+// sendCommand submits an agent's command. Until it is answered or has timed out, commandPending is true for leaseName.
 // onAnswer may be nil; it is not called if the agent was restarted in between.
-func (sim *simulation) sendCommand(agent *simAgent, matterName string, command fleet.Command, onAnswer func(fleet.CommandResult)) {
+func (sim *simulation) sendCommand(agent *simAgent, leaseName string, command fleet.Command, onAnswer func(fleet.CommandResult)) {
 	agent.lastCommandNumber++
 	startCount := agent.startCount
-	command.Caller, command.Number = fmt.Sprint(agent.duty.Owner, "/", matterName), agent.lastCommandNumber
-	agent.commandPending[matterName] = true
+	command.Caller, command.Number = fmt.Sprint(agent.leaseClaimer.Owner, "/", leaseName), agent.lastCommandNumber
+	agent.commandPending[leaseName] = true
 	sim.schedule(agentCommandTimeoutMS, func() {
 		if agent.startCount == startCount {
-			delete(agent.commandPending, matterName) // no answer came: the command may or may not have been applied
+			delete(agent.commandPending, leaseName) // no answer came: the command may or may not have been applied
 		}
 	})
 	sim.submit(agent.id, command, agentCommandTimeoutMS, func(answer fleet.CommandResult) {
@@ -614,7 +614,7 @@
 		}
 		handle := func() {
 			if agent.startCount == startCount {
-				delete(agent.commandPending, matterName)
+				delete(agent.commandPending, leaseName)
 				if onAnswer != nil {
 					onAnswer(answer)
 				}
@@ -671,8 +671,8 @@
 	switch {
 	case call.Kind == fleet.CallStatus:
 		reply.Done, reply.Phase = true, "serving"
-		for id, matter := range scheduler.outWorkers {
-			if matter == call.Lease {
+		for id, leaseName := range scheduler.outWorkers {
+			if leaseName == call.Lease {
 				reply.Out = append(reply.Out, id)
 			}
 		}
@@ -734,7 +734,7 @@
 	spanMS := 100 + 3000*sim.random.Float64()
 	v := sim.voters[sim.random.IntN(len(sim.voters))]
 	agent := sim.agents[sim.random.IntN(min(len(sim.agents), 6))]
-	for _, candidate := range sim.agents { // agents that own a matter are hit more often
+	for _, candidate := range sim.agents { // agents that own a lease are hit more often
 		if len(candidate.owned) > 0 && sim.random.IntN(3) == 0 {
 			agent = candidate
 		}
@@ -774,8 +774,8 @@
 		// A scheduler that starts first asks its agent, which makes a quorum read, for the fences and the workers that are
 		// out. If the record can't be read it starts without them; 1 in 4 starts stands for that.
 		if leader := sim.leader(); leader != nil && sim.random.IntN(4) > 0 {
-			for name, matter := range leader.node.Record.Leases {
-				scheduler.highestFence[name] = matter.Fence
+			for name, recorded := range leader.node.Record.Leases {
+				scheduler.highestFence[name] = recorded.Fence
 			}
 			for id, intent := range leader.node.Record.Intents {
 				if intent.Out {
@@ -870,7 +870,7 @@
 
 // ---- invariants ----
 
-// checkInvariants checks that at this moment of simulated time each matter has at most one owner, and that all voters had
+// checkInvariants checks that at this moment of simulated time each lease has at most one owner, and that all voters had
 // the same record after the same command.
 func (sim *simulation) checkInvariants() {
 	owners := map[string]string{}
