--- a/agent/api.go
+++ b/agent/api.go
@@ -21,42 +21,42 @@
 
 // Status is what an agent reports of itself and the fleet.
 type Status struct {
-	Name   string            `json:"name"`
-	Owner  string            `json:"owner"` // the agent's name with the id of its start, as the record names owners of leases
-	Zone   string            `json:"zone"`
-	Voter  uint64            `json:"voter,omitempty"`  // its number as a voter, 0 where it is none
-	Counts bool              `json:"counts,omitempty"` // the voter takes part in votes: since its start it was told what it had acknowledged
-	Behind bool              `json:"behind,omitempty"` // the voter's disk lacks what it acknowledged: the voter has to be replaced
-	Leads  bool              `json:"leads,omitempty"`
-	Leader string            `json:"leader,omitempty"`    // address of the leader, as far as this agent knows
-	No     uint64            `json:"no"`                  // of the last command in the record that this agent last received
-	Holds  map[string]uint64 `json:"holds,omitempty"`     // fencing tokens of the leases that it holds, by lease
-	Syncs  int               `json:"syncs,omitempty"`     // times that the voter has waited for its disk
-	Bytes  int               `json:"log_bytes,omitempty"` // size of the voter's log
-	Sent   quorum.Traffic    `json:"sent"`                // to other voters
-	Runs   []Running         `json:"runs,omitempty"`      // the schedulers of this machine that the agent runs
-	Halts  []fleet.Halt      `json:"halts,omitempty"`     // ordered at this agent directly
+	Name          string            `json:"name"`
+	Owner         string            `json:"owner"` // the agent's name with the id of its start, as the record names owners of leases
+	Zone          string            `json:"zone"`
+	Voter         uint64            `json:"voter,omitempty"`  // its number as a voter, 0 where it is none
+	Participating bool              `json:"counts,omitempty"` // the voter takes part in votes: since its start it was told what it had acknowledged
+	DiskBehind    bool              `json:"behind,omitempty"` // the voter's disk lacks what it acknowledged: the voter has to be replaced
+	IsLeader      bool              `json:"leads,omitempty"`
+	Leader        string            `json:"leader,omitempty"`    // address of the leader, as far as this agent knows
+	LastCommand   uint64            `json:"no"`                  // of the last command in the record that this agent last received
+	Leases        map[string]uint64 `json:"holds,omitempty"`     // fencing tokens of the leases that it holds, by lease
+	Syncs         int               `json:"syncs,omitempty"`     // times that the voter has waited for its disk
+	LogBytes      int               `json:"log_bytes,omitempty"` // size of the voter's log
+	Sent          quorum.Traffic    `json:"sent"`                // to other voters
+	Schedulers    []SchedulerStatus `json:"runs,omitempty"`      // the schedulers of this machine that the agent runs
+	Halts         []fleet.Halt      `json:"halts,omitempty"`     // ordered at this agent directly
 }
 
-// Told says which schedulers have confirmed what the record intends for a worker, as the owner of the worker's zone knows
-// it.
-type Told struct {
-	Matter string           `json:"matter"` // the lease on the worker's zone
-	Owner  string           `json:"owner"`
-	Fence  uint64           `json:"fence"`
-	Intent fleet.Intent     `json:"intent"`
-	Rows   []fleet.Standing `json:"rows"` // one for each scheduler
+// Confirmations says which schedulers have confirmed what the record intends for a worker, as the owner of the worker's
+// zone knows it.
+type Confirmations struct {
+	Lease      string                  `json:"matter"` // the lease on the worker's zone
+	Owner      string                  `json:"owner"`
+	Fence      uint64                  `json:"fence"`
+	Intent     fleet.Intent            `json:"intent"`
+	Schedulers []fleet.Acknowledgement `json:"rows"` // one for each scheduler
 }
 
 func (a *Agent) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/letters", a.handleLetters)
+	mux.HandleFunc("POST /v1/letters", a.handleMessages)
 	mux.HandleFunc("POST /v1/do", a.handleCommand)
 	mux.HandleFunc("POST /v1/voters", a.handleVoterChange)
 	mux.HandleFunc("GET /v1/record", a.handleRecord)
 	mux.HandleFunc("GET /v1/read", a.handleRead)
 	mux.HandleFunc("GET /v1/out", a.handleOut)
-	mux.HandleFunc("GET /v1/told", a.handleTold)
+	mux.HandleFunc("GET /v1/told", a.handleConfirmations)
 	mux.HandleFunc("GET /v1/status", a.handleStatus)
 	mux.HandleFunc("POST /v1/act", a.handleAct)
 	mux.HandleFunc("POST /v1/halt", a.handleHalt)
@@ -74,16 +74,16 @@
 }
 
 func writeRefusal(w http.ResponseWriter, status int, why string) {
-	writeJSON(w, status, Refusal{Why: why})
+	writeJSON(w, status, Refusal{Reason: why})
 }
 
-// handleLetters takes the messages of another voter.
-func (a *Agent) handleLetters(w http.ResponseWriter, r *http.Request) {
+// handleMessages takes the messages of another voter.
+func (a *Agent) handleMessages(w http.ResponseWriter, r *http.Request) {
 	if a.voter == nil {
 		writeRefusal(w, 404, "this agent is not a voter")
 		return
 	}
-	if err := a.voter.Take(r.Context(), r.Body); err != nil {
+	if err := a.voter.ReceiveMessages(r.Context(), r.Body); err != nil {
 		writeRefusal(w, 400, err.Error())
 		return
 	}
@@ -93,7 +93,7 @@
 // leaderAddr returns the address of the agent whose voter leads, "" where it is not known.
 func (a *Agent) leaderAddr() string {
 	if a.voter != nil {
-		if view, _ := a.voter.View(); view.Leads {
+		if view, _ := a.voter.View(); view.IsLeader {
 			return a.listenAddr
 		} else if view.Leader != 0 {
 			return view.Addrs[view.Leader]
@@ -119,8 +119,8 @@
 		writeRefusal(w, 400, err.Error())
 		return
 	}
-	if c.V < fleet.FormOf(&c) {
-		writeRefusal(w, 400, fmt.Sprintf("command %s needs form %d, got form %d", c.Do, fleet.FormOf(&c), c.V))
+	if c.FormatVersion < fleet.FormatVersionOf(&c) {
+		writeRefusal(w, 400, fmt.Sprintf("command %s needs form %d, got form %d", c.Verb, fleet.FormatVersionOf(&c), c.FormatVersion))
 		return
 	}
 	ctx, stop := context.WithTimeout(r.Context(), commandTimeout)
@@ -131,21 +131,21 @@
 		writeRefusal(w, 503, a.noLeaderReason())
 		return
 	case leader == a.listenAddr:
-		answer, err := a.voter.Do(ctx, c)
+		answer, err := a.voter.Execute(ctx, c)
 		switch {
 		case err == nil:
 			writeJSON(w, 200, answer)
-		case errors.Is(err, quorum.ErrNotLeader) || errors.Is(err, quorum.ErrNotCounting):
+		case errors.Is(err, quorum.ErrNotLeader) || errors.Is(err, quorum.ErrNotParticipating):
 			writeRefusal(w, 503, err.Error())
 		default:
 			writeRefusal(w, 504, "outcome unknown: "+err.Error())
 		}
 		return
 	case r.URL.Query().Get("hop") != "":
-		writeJSON(w, 503, Refusal{Why: "another voter leads", Leader: leader})
+		writeJSON(w, 503, Refusal{Reason: "another voter leads", Leader: leader})
 		return
 	}
-	var answer fleet.Answer
+	var answer fleet.CommandResult
 	err := callJSON(ctx, &http.Client{Transport: a.httpClient.Transport}, "POST", "http://"+leader+"/v1/do?hop=1", c, &answer)
 	var refusal *Refusal
 	switch {
@@ -161,10 +161,10 @@
 // noLeaderReason says why this agent can't have a command carried out.
 func (a *Agent) noLeaderReason() string {
 	if a.voter != nil {
-		if view, _ := a.voter.View(); view.Behind {
-			return quorum.ErrBehind.Error()
-		} else if !view.Counts {
-			return quorum.ErrNotCounting.Error()
+		if view, _ := a.voter.View(); view.DiskBehind {
+			return quorum.ErrDiskBehind.Error()
+		} else if !view.Participating {
+			return quorum.ErrNotParticipating.Error()
 		}
 	}
 	return "this agent knows of no leader: without a majority of the voters nothing can be changed"
@@ -201,12 +201,12 @@
 		}
 	default:
 		view, _ := a.voter.View()
-		err := a.voter.Voters(ctx, change.Add, change.Addr, change.Remove)
+		err := a.voter.ChangeVoters(ctx, change.Add, change.Addr, change.Remove)
 		// A request that is sent again after it was carried out succeeds again.
-		if addr, known := view.Addrs[change.Add]; errors.Is(err, quorum.ErrUsed) && !(known && addr == change.Addr) {
+		if addr, known := view.Addrs[change.Add]; errors.Is(err, quorum.ErrInvalidVoterChange) && !(known && addr == change.Addr) {
 			writeRefusal(w, 409, err.Error())
 			return
-		} else if err != nil && !errors.Is(err, quorum.ErrUsed) {
+		} else if err != nil && !errors.Is(err, quorum.ErrInvalidVoterChange) {
 			writeRefusal(w, 503, err.Error())
 			return
 		}
@@ -224,12 +224,12 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	agentName, now := r.URL.Query().Get("agent"), a.clock.Now()
 	view, viewChanged := a.voter.View()
-	if view.Leads && agentName != "" {
+	if view.IsLeader && agentName != "" {
 		a.mu.Lock()
 		a.heardAtMS[agentName] = now
 		a.mu.Unlock()
 	}
-	if view.No <= after && view.Leads {
+	if view.LastCommand <= after && view.IsLeader {
 		timer := time.NewTimer(longPollTimeout)
 		defer timer.Stop()
 		select {
@@ -240,20 +240,20 @@
 		}
 		view, _ = a.voter.View()
 	}
-	update := recordUpdate{Number: view.No, IsLeader: view.Leads, Counts: view.Counts}
-	if view.Leads {
+	update := recordUpdate{Number: view.LastCommand, IsLeader: view.IsLeader, Participating: view.Participating}
+	if view.IsLeader {
 		update.LeaderAddr, update.AbsentAgents = a.listenAddr, a.silentAgents(view)
 	} else if view.Leader != 0 {
 		update.LeaderAddr = view.Addrs[view.Leader]
 	}
-	if view.No > after {
-		if base := a.voter.Past(after); base != nil && r.URL.Query().Get("changes") != "" {
-			update.Patch = a.patches.patch(after, base, view.No, view.Lean)
+	if view.LastCommand > after {
+		if base := a.voter.PastSnapshot(after); base != nil && r.URL.Query().Get("changes") != "" {
+			update.Patch = a.patches.patch(after, base, view.LastCommand, view.SnapshotForAgents)
 		}
 		// An agent gets the record without the sessions and the audit, which only voters need.
 		if update.Patch != nil {
-		} else if update.Record = view.Lean; agentName == "" {
-			update.Record = view.Raw
+		} else if update.Record = view.SnapshotForAgents; agentName == "" {
+			update.Record = view.Snapshot
 		}
 	}
 	writeJSON(w, 200, update)
@@ -265,8 +265,8 @@
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, m := range a.record.Of("agent") {
-		if now > max(a.heardAtMS[m.ID], view.LedAt)+absentAfterMS {
+	for _, m := range a.record.MembersOfKind("agent") {
+		if now > max(a.heardAtMS[m.ID], view.LeaderSinceMs)+absentAfterMS {
 			ids = append(ids, m.ID)
 		}
 	}
@@ -282,7 +282,7 @@
 		}
 		view, _ := a.voter.View()
 		record := fleet.NewRecord()
-		return record, record.Restore(view.Raw)
+		return record, record.Restore(view.Snapshot)
 	}
 	a.mu.Lock()
 	addrs := a.voterAddrs()
@@ -326,32 +326,32 @@
 		Fences map[string]uint64 `json:"fences"`
 		Out    map[string]string `json:"out"` // worker to the lease on its zone
 	}{record.No, err != nil, map[string]uint64{}, map[string]string{}}
-	for name, m := range record.Matters {
+	for name, m := range record.Leases {
 		answer.Fences[name] = m.Fence
 	}
-	for _, id := range record.OutIn("") {
-		answer.Out[id] = fleet.MatterOf(record.Workers[id].Zone)
+	for _, id := range record.WorkersOut("") {
+		answer.Out[id] = fleet.ZoneLease(record.Intents[id].Zone)
 	}
 	writeJSON(w, 200, answer)
 }
 
-// handleTold answers which schedulers have confirmed what is intended for a worker. Only the owner of the worker's zone
+// handleConfirmations answers which schedulers have confirmed what is intended for a worker. Only the owner of the worker's zone
 // knows it: any other agent forwards the request to the owner, over one hop at the most.
-func (a *Agent) handleTold(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) handleConfirmations(w http.ResponseWriter, r *http.Request) {
 	worker := r.URL.Query().Get("worker")
 	a.mu.Lock()
 	record := a.record
-	intent, known := record.Workers[worker]
-	name := fleet.MatterOf(intent.Zone)
+	intent, known := record.Intents[worker]
+	name := fleet.ZoneLease(intent.Zone)
 	owned := a.ownedLeases[name]
-	if owned != nil && owned.notifier != nil && owned.lease.Holds(a.clock.Now()) {
+	if owned != nil && owned.notifier != nil && owned.lease.Valid(a.clock.Now()) {
 		owned.notifier.Follow(a.clock.Now(), record, owned.zone)
-		told := Told{name, a.ownerID, owned.lease.Fence, intent, owned.notifier.Told(worker)}
+		confirmations := Confirmations{name, a.ownerID, owned.lease.Fence, intent, owned.notifier.Acknowledgements(worker)}
 		a.mu.Unlock()
-		writeJSON(w, 200, told)
+		writeJSON(w, 200, confirmations)
 		return
 	}
-	owner := fleet.AgentOf(record.Matters[name].Owner)
+	owner := fleet.AgentOfOwner(record.Leases[name].Owner)
 	addr := record.Members[owner].Addr
 	a.mu.Unlock()
 	switch {
@@ -360,32 +360,32 @@
 	case owner == "" || owner == a.config.Name || addr == "" || r.URL.Query().Get("hop") != "":
 		writeRefusal(w, 503, "no agent holds the lease "+name+" as far as this agent knows")
 	default:
-		var told Told
+		var confirmations Confirmations
 		if err := callJSON(r.Context(), a.httpClient, "GET", fmt.Sprintf("http://%s/v1/told?hop=1&worker=%s", addr, url.QueryEscape(worker)),
-			nil, &told); err != nil {
+			nil, &confirmations); err != nil {
 			writeRefusal(w, 503, "owner "+owner+" of the lease "+name+" does not answer: "+shortErrorText(err))
 			return
 		}
-		writeJSON(w, 200, told)
+		writeJSON(w, 200, confirmations)
 	}
 }
 
 // handleStatus answers with this agent's Status.
 func (a *Agent) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	now := a.clock.Now()
-	status := Status{Name: a.config.Name, Owner: a.ownerID, Zone: a.config.Zone, Holds: map[string]uint64{}, Leader: a.leaderAddr()}
+	status := Status{Name: a.config.Name, Owner: a.ownerID, Zone: a.config.Zone, Leases: map[string]uint64{}, Leader: a.leaderAddr()}
 	if a.voter != nil {
 		view, _ := a.voter.View()
-		status.Voter, status.Counts, status.Behind, status.Leads = a.voter.ID, view.Counts, view.Behind, view.Leads
-		status.Syncs, status.Bytes, status.Sent = view.Syncs, view.Bytes, a.voter.Traffic()
+		status.Voter, status.Participating, status.DiskBehind, status.IsLeader = a.voter.ID, view.Participating, view.DiskBehind, view.IsLeader
+		status.Syncs, status.LogBytes, status.Sent = view.Syncs, view.LogBytes, a.voter.Traffic()
 	}
-	status.Runs, status.Halts = a.supervisor.status()
+	status.Schedulers, status.Halts = a.supervisor.status()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	status.No = a.record.No
+	status.LastCommand = a.record.No
 	for name, owned := range a.ownedLeases {
-		if owned.lease.Holds(now) {
-			status.Holds[name] = owned.lease.Fence
+		if owned.lease.Valid(now) {
+			status.Leases[name] = owned.lease.Fence
 		}
 	}
 	writeJSON(w, 200, status)
--- a/lab/cluster/demo.go
+++ b/lab/cluster/demo.go
@@ -155,7 +155,7 @@
 		d.WaitUntil("all agents answer", func() bool {
 			for i := range d.agents {
 				var s agent.Status
-				if (&agent.Caller{HTTP: d.http, Addrs: d.AddrOf(i)}).Get(d.ctx, "/v1/status", &s) != nil || s.Voter != 0 && !s.Counts {
+				if (&agent.Caller{HTTP: d.http, Addrs: d.AddrOf(i)}).Get(d.ctx, "/v1/status", &s) != nil || s.Voter != 0 && !s.Participating {
 					return false
 				}
 			}
@@ -188,7 +188,7 @@
 		all.Go(func() {
 			h := agent.NewHTTP(nil, 2*time.Second)
 			for n := uint64(1); time.Now().Before(end); n++ {
-				c := fleet.Command{V: 1, Caller: fmt.Sprint("m", callers, "/", i), Number: n, Do: []string{"out", "in"}[n%2],
+				c := fleet.Command{FormatVersion: 1, Caller: fmt.Sprint("m", callers, "/", i), Number: n, Verb: []string{"out", "in"}[n%2],
 					ID: fmt.Sprint("m", i), Zone: "a", By: "m"}
 				if a, err := (&agent.Caller{HTTP: h, Addrs: d.agentAddrs(nil)}).Do(d.ctx, c); err == nil && a.No > 0 {
 					done[i]++
--- a/lab/council/simulation.go
+++ b/lab/council/simulation.go
@@ -4,7 +4,7 @@
 // that lose, delay or cut messages, and processes that crash or pause. Schedulers are models that remember the highest
 // fence (fencing token) they have seen, as scheduler/fleet.go does.
 //
-// A matter is what one agent at a time owns under a lease: a zone's workers ("zone/ZONE") or an operation ("op/ID").
+// A lease is on a zone's workers ("zone/ZONE") or an operation ("op/ID").
 package council
 
 import (
@@ -43,11 +43,11 @@
 type Result struct {
 	Breaks   []string // violated invariants; the run stops once there is one
 	Changes  int      // commands to take a worker out or back in that were acknowledged
-	Owners   int      // claims that succeeded, each of which makes an agent the owner of a matter
+	Owners   int      // claims that succeeded, each of which makes an agent the owner of a lease
 	Refused  int      // calls that a scheduler refused because of their fence, scheduler start or change number
 	Replaced int      // voters that were replaced because their disk lacked data that they had acknowledged
 	Left     int      // operations that ended halted with a reason and need an operator
-	Letters  int      // messages that voters sent to each other
+	Messages int      // messages that voters sent to each other
 	Calls    int      // calls at agents that operations made
 	Most     int      // most members that were out at once because of the operation, not of a fault
 	Ended    float64  // simulated time in ms at which the operation had ended, 0 if it had not
@@ -88,15 +88,15 @@
 type voter struct {
 	id                 uint64
 	node               *quorum.Node
-	disk               *quorum.Memory
+	disk               *quorum.MemoryDisk
 	clock              clock
-	pausedUntilMS      float64                       // simulated time; the process does nothing before it
-	joining            bool                          // it joins an existing group of voters
-	replacedID         uint64                        // the voter whose place it took, 0 for none
-	replacementPending bool                          // a new voter is about to take its place
-	lastCheckedCommand uint64                        // number of the command after which its record was last checked
-	pendingAnswers     map[string]func(fleet.Answer) // callbacks by "CALLER NUMBER" of a proposed command
-	heldMessages       []quorum.Letter               // messages that arrived during a pause
+	pausedUntilMS      float64                              // simulated time; the process does nothing before it
+	joining            bool                                 // it joins an existing group of voters
+	replacedID         uint64                               // the voter whose place it took, 0 for none
+	replacementPending bool                                 // a new voter is about to take its place
+	lastCheckedCommand uint64                               // number of the command after which its record was last checked
+	pendingAnswers     map[string]func(fleet.CommandResult) // callbacks by "CALLER NUMBER" of a proposed command
+	heldMessages       []quorum.Message                     // messages that arrived during a pause
 }
 
 // simAgent is one agent: the production decisions of package fleet on a simulated process.
@@ -107,33 +107,33 @@
 	clock             clock
 	up                bool
 	pausedUntilMS     float64 // simulated time; the process does nothing before it
-	duty              *fleet.Duty
-	owned             map[string]*ownership // by matter
+	leaseClaimer      *fleet.LeaseClaimer
+	owned             map[string]*ownership // by lease
 	record            *fleet.Record         // the record as it last read it; shared between agents, not to be changed
 	lastCommandNumber uint64
-	commandPending    map[string]bool // by matter, or by the name that sendCommand was given
+	commandPending    map[string]bool // by lease, or by the name that sendCommand was given
 	wakeScheduled     bool            // an update is scheduled within wakeDelayMS
 }
 
-// ownership is what an agent keeps for a matter that it owns. notifier and zone are set for a zone's matter,
+// ownership is what an agent keeps for a lease that it owns. notifier and zone are set for a zone's lease,
 // operationRunner for an operation's.
 type ownership struct {
-	lease           *fleet.Hold
-	notifier        *fleet.Teller
-	operationRunner *fleet.Carrier
+	lease           *fleet.HeldLease
+	notifier        *fleet.ZoneController
+	operationRunner *fleet.OperationController
 	zone            string
 	openCalls       int // calls at schedulers that have neither been answered nor timed out
 }
 
-// superseded tells whether a scheduler has named a higher fence, so that another agent must own the matter by now.
-func (o *ownership) superseded() bool { return o.notifier != nil && o.notifier.Passed > 0 }
+// superseded tells whether a scheduler has named a higher fence, so that another agent must own the lease by now.
+func (o *ownership) superseded() bool { return o.notifier != nil && o.notifier.SupersededBy > 0 }
 
 // simScheduler models how a scheduler treats the calls of agents.
 type simScheduler struct {
 	fleet.Member
 	startCount   int               // starts so far; a call meant for another start is refused
-	highestFence map[string]uint64 // by matter
-	outWorkers   map[string]string // the matter under which each worker is out
+	highestFence map[string]uint64 // by lease
+	outWorkers   map[string]string // the lease under which each worker is out
 	lastChange   map[string]uint64 // by worker: the number of the newest change on record that it was told
 }
 
@@ -202,7 +202,7 @@
 		sim.initialVoters[uint64(i+1)] = fmt.Sprint("v", i+1)
 	}
 	for i := range options.Voters {
-		v := &voter{id: uint64(i + 1), disk: quorum.NewMemory(), clock: sim.newClock(), pendingAnswers: map[string]func(fleet.Answer){}}
+		v := &voter{id: uint64(i + 1), disk: quorum.NewMemoryDisk(), clock: sim.newClock(), pendingAnswers: map[string]func(fleet.CommandResult){}}
 		sim.voters = append(sim.voters, v)
 		sim.openVoter(v)
 	}
@@ -252,7 +252,7 @@
 	maxMS := startupMS + 2*sim.options.For + recoveryMS
 	if sim.ops != nil {
 		// In the worst case members are taken out and brought back one after the other, after a wave has used up its time limit.
-		maxMS += memberStepsMS*float64(min(len(sim.schedulers), 40)+len(sim.ops.workers)) + sim.ops.requested.WaveMost
+		maxMS += memberStepsMS*float64(min(len(sim.schedulers), 40)+len(sim.ops.workers)) + sim.ops.requested.MaxWaveMs
 	}
 	return maxMS
 }
@@ -282,7 +282,7 @@
 func (sim *simulation) openVoter(v *voter) {
 	sim.voterStarts++
 	node, err := quorum.Open(quorum.Options{ID: v.id, Voters: sim.initialVoters, Join: v.joining, Replaces: v.replacedID, Disk: v.disk,
-		Start: sim.voterStarts, Bug: sim.options.Bug})
+		StartID: sim.voterStarts, InjectedFault: sim.options.Bug})
 	if v.node, v.heldMessages = node, nil; err != nil {
 		sim.reportViolation("voter %d does not start: %v", v.id, err)
 	}
@@ -292,8 +292,8 @@
 func (sim *simulation) startAgent(agent *simAgent) {
 	agent.startCount++
 	agent.up, agent.record, agent.owned, agent.commandPending = true, fleet.NewRecord(), map[string]*ownership{}, map[string]bool{}
-	agent.duty = fleet.NewDuty(agent.id, fmt.Sprint(agent.startCount), sim.leaseTermMS)
-	agent.duty.Hurry = sim.options.Bug == "new-leader-hurries"
+	agent.leaseClaimer = fleet.NewLeaseClaimer(agent.id, fmt.Sprint(agent.startCount), sim.leaseTermMS)
+	agent.leaseClaimer.ClaimWithoutWaiting = sim.options.Bug == "new-leader-hurries"
 	if sim.ops != nil && len(sim.ops.hosts) > 0 {
 		sim.ops.restoreAgent(agent)
 	}
@@ -316,8 +316,8 @@
 		}
 	}
 	for _, member := range members {
-		sim.submit("lab", fleet.Command{Caller: "lab" + member.ID, Number: 1, Do: "member", Member: &member}, noTimeoutMS,
-			func(fleet.Answer) {})
+		sim.submit("lab", fleet.Command{Caller: "lab" + member.ID, Number: 1, Verb: "member", Member: &member}, noTimeoutMS,
+			func(fleet.CommandResult) {})
 	}
 }
 
@@ -335,8 +335,8 @@
 
 // submit sends a command to every voter that takes itself for the leader, and again every resubmitMS until an answer has
 // come or timeoutMS is over. onAnswer is called once, or never.
-func (sim *simulation) submit(from string, command fleet.Command, timeoutMS float64, onAnswer func(fleet.Answer)) {
-	command.V = fleet.FormOf(&command)
+func (sim *simulation) submit(from string, command fleet.Command, timeoutMS float64, onAnswer func(fleet.CommandResult)) {
+	command.FormatVersion = fleet.FormatVersionOf(&command)
 	raw, _ := json.Marshal(command)
 	key, answered, untilMS := fmt.Sprint(command.Caller, " ", command.Number), false, sim.nowMS+timeoutMS
 	var attempt func()
@@ -354,7 +354,7 @@
 					if v.node != node || v.pausedUntilMS > sim.nowMS {
 						return
 					}
-					v.pendingAnswers[key] = func(answer fleet.Answer) {
+					v.pendingAnswers[key] = func(answer fleet.CommandResult) {
 						if delayMS, ok := sim.drawDelay(fmt.Sprint("v", v.id), from); ok {
 							sim.schedule(delayMS, func() {
 								if !answered {
@@ -385,7 +385,7 @@
 			_ = v.node.Tick()
 			sim.advanceVoter(v)
 		}
-		if v.node.Behind() && !v.replacementPending {
+		if v.node.DiskBehind() && !v.replacementPending {
 			sim.replaceVoter(v)
 		}
 	}
@@ -414,7 +414,7 @@
 		agent.record.No != leader.node.Record.No {
 		agent.record = sim.sharedCopy(leader.node.Record) // a disconnected agent goes on with the record it read last
 	}
-	if sim.runDuties(agent); sim.ops != nil {
+	if sim.workOnLeases(agent); sim.ops != nil {
 		sim.ops.superviseProcesses(agent)
 	}
 }
@@ -451,11 +451,11 @@
 // advanceVoter has a voter write to its disk and apply commands, sends its messages, wakes the agents that own something
 // when its record has changed, and passes on the answers to commands.
 func (sim *simulation) advanceVoter(v *voter) {
-	if err := v.node.Work(v.clock.read(sim.nowMS)); err != nil && !v.node.Behind() && !errors.Is(err, quorum.ErrReplaced) {
+	if err := v.node.Work(v.clock.read(sim.nowMS)); err != nil && !v.node.DiskBehind() && !errors.Is(err, quorum.ErrReplaced) {
 		sim.reportViolation("voter %d stopped: %v", v.id, err)
 	}
-	for message, ok := v.node.NextLetter(); ok; message, ok = v.node.NextLetter() {
-		sim.result.Letters++
+	for message, ok := v.node.NextMessage(); ok; message, ok = v.node.NextMessage() {
+		sim.result.Messages++
 		if delayMS, ok := sim.drawDelay(fmt.Sprint("v", message.From), fmt.Sprint("v", message.To)); ok {
 			sim.schedule(delayMS, func() { sim.deliver(message) })
 		}
@@ -468,11 +468,11 @@
 			}
 		}
 	}
-	for done, ok := v.node.NextDone(); ok; done, ok = v.node.NextDone() {
+	for done, ok := v.node.NextOutcome(); ok; done, ok = v.node.NextOutcome() {
 		key := fmt.Sprint(done.Caller, " ", done.Number)
 		if onAnswer := v.pendingAnswers[key]; onAnswer != nil {
 			delete(v.pendingAnswers, key)
-			onAnswer(done.Answer)
+			onAnswer(done.Result)
 		}
 	}
 }
@@ -480,7 +480,7 @@
 // deliver hands a message to the voter that it is addressed to. One for a voter that was replaced is dropped; but if it asks
 // what that voter has seen acknowledged, the process of the replacement answers in its name that it has lost data, and who
 // votes now.
-func (sim *simulation) deliver(message quorum.Letter) {
+func (sim *simulation) deliver(message quorum.Message) {
 	for _, v := range sim.voters {
 		switch {
 		case v.id == message.To && v.pausedUntilMS > sim.nowMS:
@@ -488,37 +488,37 @@
 		case v.id == message.To:
 			_ = v.node.Step(v.clock.read(sim.nowMS), message)
 			sim.advanceVoter(v)
-		case message.Ask != 0 && message.To == v.replacedID:
-			sim.deliver(quorum.Letter{From: message.To, To: message.From, Told: message.Ask, Behind: true, Voters: v.node.Record.Voters,
-				VotersNo: v.node.Record.VotersNo})
+		case message.Query != 0 && message.To == v.replacedID:
+			sim.deliver(quorum.Message{From: message.To, To: message.From, ReplyTo: message.Query, DiskBehind: true, Voters: v.node.Record.Voters,
+				VotersChangeNo: v.node.Record.VotersChangeNo})
 		}
 	}
 }
 
-// runDuties does an agent's work for the matters that it owns, and claims or passes on others, as agent.Agent does.
-func (sim *simulation) runDuties(agent *simAgent) {
+// workOnLeases does an agent's work for the leases that it owns, and claims or passes on others, as agent.Agent does.
+func (sim *simulation) workOnLeases(agent *simAgent) {
 	localNowMS := agent.clock.read(sim.nowMS)
-	for _, matterName := range slices.Sorted(maps.Keys(agent.owned)) {
-		owned := agent.owned[matterName]
-		if !owned.lease.Holds(localNowMS) || owned.superseded() || agent.record.Matters[matterName].Fence > owned.lease.Fence {
-			sim.traceEvent("lost %s %s", agent.id, matterName)
-			delete(agent.owned, matterName)
+	for _, leaseName := range slices.Sorted(maps.Keys(agent.owned)) {
+		owned := agent.owned[leaseName]
+		if !owned.lease.Valid(localNowMS) || owned.superseded() || agent.record.Leases[leaseName].Fence > owned.lease.Fence {
+			sim.traceEvent("lost %s %s", agent.id, leaseName)
+			delete(agent.owned, leaseName)
 			continue
 		}
-		if matter := agent.record.Matters[matterName]; matter.Wanted != "" && matter.Wanted != agent.id && matter.Owner == agent.duty.Owner {
-			if owned.openCalls == 0 && !agent.commandPending[matterName] {
-				delete(agent.owned, matterName)
-				sim.sendCommand(agent, matterName, fleet.Command{Do: "leave", Matter: matterName, Owner: agent.duty.Owner,
+		if recorded := agent.record.Leases[leaseName]; recorded.HandoverTo != "" && recorded.HandoverTo != agent.id && recorded.Owner == agent.leaseClaimer.Owner {
+			if owned.openCalls == 0 && !agent.commandPending[leaseName] {
+				delete(agent.owned, leaseName)
+				sim.sendCommand(agent, leaseName, fleet.Command{Verb: "leave", Lease: leaseName, Owner: agent.leaseClaimer.Owner,
 					Fence: owned.lease.Fence}, nil)
 			}
 			continue
 		}
 		if owned.operationRunner != nil {
-			if owned.operationRunner.Follow(localNowMS, agent.record); owned.operationRunner.Over() &&
-				agent.record.Matters[matterName].Owner == agent.duty.Owner {
-				if !agent.commandPending[matterName] {
-					delete(agent.owned, matterName)
-					sim.sendCommand(agent, matterName, fleet.Command{Do: "leave", Matter: matterName, Owner: agent.duty.Owner,
+			if owned.operationRunner.Follow(localNowMS, agent.record); owned.operationRunner.Finished() &&
+				agent.record.Leases[leaseName].Owner == agent.leaseClaimer.Owner {
+				if !agent.commandPending[leaseName] {
+					delete(agent.owned, leaseName)
+					sim.sendCommand(agent, leaseName, fleet.Command{Verb: "leave", Lease: leaseName, Owner: agent.leaseClaimer.Owner,
 						Fence: owned.lease.Fence}, nil)
 				}
 				continue
@@ -526,61 +526,61 @@
 		} else {
 			owned.notifier.Follow(localNowMS, agent.record, owned.zone)
 		}
-		if !agent.commandPending[matterName] && owned.lease.NextRenewal(localNowMS, owned.notifier != nil && owned.notifier.Urgent()) {
-			renewal := fleet.Command{Do: "renew", Matter: matterName, Owner: agent.duty.Owner, Fence: owned.lease.Fence}
+		if !agent.commandPending[leaseName] && owned.lease.NextRenewal(localNowMS, owned.notifier != nil && owned.notifier.Urgent()) {
+			renewal := fleet.Command{Verb: "renew", Lease: leaseName, Owner: agent.leaseClaimer.Owner, Fence: owned.lease.Fence}
 			if owned.notifier != nil {
 				var complete bool
-				if renewal.Seen, complete = owned.notifier.Report(localNowMS); complete {
-					renewal.To = fleet.Whole
+				if renewal.Health, complete = owned.notifier.Report(localNowMS); complete {
+					renewal.To = fleet.AllReported
 				}
 			}
-			sim.sendCommand(agent, matterName, renewal,
-				func(answer fleet.Answer) { owned.lease.Renewed(answer.Done) })
+			sim.sendCommand(agent, leaseName, renewal,
+				func(answer fleet.CommandResult) { owned.lease.Renewed(answer.Applied) })
 		}
 		if owned.operationRunner != nil {
-			sim.ops.driveOperation(agent, localNowMS, matterName, owned)
+			sim.ops.driveOperation(agent, localNowMS, leaseName, owned)
 			continue
 		}
 		for call, ok := owned.notifier.Next(localNowMS); ok; call, ok = owned.notifier.Next(localNowMS) {
 			sim.callScheduler(agent, owned, call)
 		}
 	}
-	if command, ok := agent.duty.NextClaim(localNowMS, agent.record, sim.absentAgents()); ok && agent.owned[command.Matter] == nil &&
-		!agent.commandPending[command.Matter] {
-		sim.sendCommand(agent, command.Matter, command, func(answer fleet.Answer) {
-			if answer.Done {
-				sim.traceEvent("owned %s %s %d", agent.id, command.Matter, answer.Fence)
+	if command, ok := agent.leaseClaimer.NextClaim(localNowMS, agent.record, sim.absentAgents()); ok && agent.owned[command.Lease] == nil &&
+		!agent.commandPending[command.Lease] {
+		sim.sendCommand(agent, command.Lease, command, func(answer fleet.CommandResult) {
+			if answer.Applied {
+				sim.traceEvent("owned %s %s %d", agent.id, command.Lease, answer.Fence)
 				sim.result.Owners++
-				lease := fleet.Held(localNowMS, answer.Fence, sim.leaseTermMS)
+				lease := fleet.NewHeldLease(localNowMS, answer.Fence, sim.leaseTermMS)
 				for _, other := range sim.agents {
 					// An agent that was paused may learn that its claim succeeded only after the lease has run out: it
 					// holds nothing then, and there is no conflict.
-					if !lease.Holds(agent.clock.read(sim.nowMS)) {
+					if !lease.Valid(agent.clock.read(sim.nowMS)) {
 						break
 					}
-					if otherOwned := other.owned[command.Matter]; other != agent && other.up && other.pausedUntilMS <= sim.nowMS &&
-						otherOwned != nil && otherOwned.lease.Holds(other.clock.read(sim.nowMS)) {
-						sim.reportViolation("%s claimed %s, and %s still held it", agent.id, command.Matter, other.id)
+					if otherOwned := other.owned[command.Lease]; other != agent && other.up && other.pausedUntilMS <= sim.nowMS &&
+						otherOwned != nil && otherOwned.lease.Valid(other.clock.read(sim.nowMS)) {
+						sim.reportViolation("%s claimed %s, and %s still held it", agent.id, command.Lease, other.id)
 					}
 				}
 				newOwned := &ownership{lease: lease}
-				if id, isOp := strings.CutPrefix(command.Matter, "op/"); isOp {
-					newOwned.operationRunner = fleet.NewCarrier(id, agent.duty.Owner, answer.Fence)
-					newOwned.operationRunner.Bug = sim.options.Bug
+				if id, isOp := strings.CutPrefix(command.Lease, "op/"); isOp {
+					newOwned.operationRunner = fleet.NewOperationController(id, agent.leaseClaimer.Owner, answer.Fence)
+					newOwned.operationRunner.InjectedFault = sim.options.Bug
 				} else {
-					newOwned.notifier, newOwned.zone = fleet.NewTeller(command.Matter, answer.Fence), command.Matter[len("zone/"):]
-					if newOwned.notifier.Bug = sim.options.Bug; sim.ops != nil {
-						newOwned.notifier.Holds = func(intent fleet.Intent) bool {
-							return sim.ops.stepExecutors[agent.id].Holds(agent.record, intent)
+					newOwned.notifier, newOwned.zone = fleet.NewZoneController(command.Lease, answer.Fence), command.Lease[len("zone/"):]
+					if newOwned.notifier.InjectedFault = sim.options.Bug; sim.ops != nil {
+						newOwned.notifier.Halted = func(intent fleet.Intent) bool {
+							return sim.ops.stepExecutors[agent.id].Halted(agent.record, intent)
 						}
 					}
 				}
-				agent.owned[command.Matter] = newOwned
+				agent.owned[command.Lease] = newOwned
 			}
 		})
 	}
-	if command, ok := agent.duty.NextPass(localNowMS, agent.record, sim.absentAgents()); ok && !agent.commandPending[command.Matter] {
-		sim.sendCommand(agent, command.Matter, command, nil)
+	if command, ok := agent.leaseClaimer.NextHandover(localNowMS, agent.record, sim.absentAgents()); ok && !agent.commandPending[command.Lease] {
+		sim.sendCommand(agent, command.Lease, command, nil)
 	}
 }
 
@@ -596,25 +596,25 @@
 	return gone
 }
 
-// sendCommand submits an agent's command. Until it is answered or has timed out, commandPending is true for matterName.
+// sendCommand submits an agent's command. Until it is answered or has timed out, commandPending is true for leaseName.
 // onAnswer may be nil; it is not called if the agent was restarted in between.
-func (sim *simulation) sendCommand(agent *simAgent, matterName string, command fleet.Command, onAnswer func(fleet.Answer)) {
+func (sim *simulation) sendCommand(agent *simAgent, leaseName string, command fleet.Command, onAnswer func(fleet.CommandResult)) {
 	agent.lastCommandNumber++
 	startCount := agent.startCount
-	command.Caller, command.Number = fmt.Sprint(agent.duty.Owner, "/", matterName), agent.lastCommandNumber
-	agent.commandPending[matterName] = true
+	command.Caller, command.Number = fmt.Sprint(agent.leaseClaimer.Owner, "/", leaseName), agent.lastCommandNumber
+	agent.commandPending[leaseName] = true
 	sim.schedule(agentCommandTimeoutMS, func() {
 		if agent.startCount == startCount {
-			delete(agent.commandPending, matterName) // no answer came: the command may or may not have been applied
+			delete(agent.commandPending, leaseName) // no answer came: the command may or may not have been applied
 		}
 	})
-	sim.submit(agent.id, command, agentCommandTimeoutMS, func(answer fleet.Answer) {
+	sim.submit(agent.id, command, agentCommandTimeoutMS, func(answer fleet.CommandResult) {
 		if agent.startCount != startCount || !agent.up {
 			return
 		}
 		handle := func() {
 			if agent.startCount == startCount {
-				delete(agent.commandPending, matterName)
+				delete(agent.commandPending, leaseName)
 				if onAnswer != nil {
 					onAnswer(answer)
 				}
@@ -630,11 +630,11 @@
 }
 
 // callScheduler makes a call at a scheduler. The reply is decided when the call arrives there, however late that is.
-func (sim *simulation) callScheduler(agent *simAgent, owned *ownership, call fleet.Call) {
+func (sim *simulation) callScheduler(agent *simAgent, owned *ownership, call fleet.SchedulerCall) {
 	startCount := agent.startCount
 	owned.openCalls++
 	answered := false
-	answer := func(reply fleet.Reply) {
+	answer := func(reply fleet.SchedulerReply) {
 		if !answered && agent.startCount == startCount && agent.up {
 			answered = true
 			owned.openCalls--
@@ -642,7 +642,7 @@
 			sim.wakeAgent(agent)
 		}
 	}
-	sim.schedule(schedulerCallTimeoutMS, func() { answer(fleet.Reply{Why: "no answer"}) })
+	sim.schedule(schedulerCallTimeoutMS, func() { answer(fleet.SchedulerReply{Reason: "no answer"}) })
 	delayMS, ok := sim.drawDelay(agent.id, call.To.ID)
 	if !ok {
 		return
@@ -653,7 +653,7 @@
 				continue
 			}
 			reply := sim.handleSchedulerCall(scheduler, call)
-			if sim.ops != nil && !sim.ops.schedulerStatus(scheduler, strings.TrimPrefix(call.Matter, "zone/"), &reply) {
+			if sim.ops != nil && !sim.ops.schedulerStatus(scheduler, strings.TrimPrefix(call.Lease, "zone/"), &reply) {
 				continue
 			}
 			if delayMS, ok := sim.drawDelay(scheduler.ID, agent.id); ok {
@@ -665,14 +665,14 @@
 
 // handleSchedulerCall applies a call at a scheduler and returns the reply. A call is refused if it is meant for another
 // start of the scheduler, has a lower fence than one seen, or an older change of the worker than one seen.
-func (sim *simulation) handleSchedulerCall(scheduler *simScheduler, call fleet.Call) fleet.Reply {
+func (sim *simulation) handleSchedulerCall(scheduler *simScheduler, call fleet.SchedulerCall) fleet.SchedulerReply {
 	start := fmt.Sprint(scheduler.startCount)
-	reply := fleet.Reply{Reached: true, Start: start, Fence: scheduler.highestFence[call.Matter]}
+	reply := fleet.SchedulerReply{Reached: true, Start: start, Fence: scheduler.highestFence[call.Lease]}
 	switch {
-	case call.Act == fleet.Look:
+	case call.Kind == fleet.CallStatus:
 		reply.Done, reply.Phase = true, "serving"
-		for id, matter := range scheduler.outWorkers {
-			if matter == call.Matter {
+		for id, leaseName := range scheduler.outWorkers {
+			if leaseName == call.Lease {
 				reply.Out = append(reply.Out, id)
 			}
 		}
@@ -680,24 +680,24 @@
 		return reply
 	case call.Start != start && sim.options.Bug != "former-start":
 		sim.result.Refused++
-		reply.Why = "start " + start
+		reply.Reason = "start " + start
 		return reply
-	case call.Fence < scheduler.highestFence[call.Matter]:
+	case call.Fence < scheduler.highestFence[call.Lease]:
 		if sim.result.Refused++; sim.options.Bug != "no-fence" {
-			reply.Why = "fence"
+			reply.Reason = "fence"
 			return reply
 		}
-		sim.reportViolation("%s took number %d of %s after %d", scheduler.ID, call.Fence, call.Matter, scheduler.highestFence[call.Matter])
+		sim.reportViolation("%s took number %d of %s after %d", scheduler.ID, call.Fence, call.Lease, scheduler.highestFence[call.Lease])
 	}
-	if call.Act == fleet.Tell && call.Since < scheduler.lastChange[call.Worker] && sim.options.Bug != "no-change" {
+	if call.Kind == fleet.CallSetWorker && call.Since < scheduler.lastChange[call.Worker] && sim.options.Bug != "no-change" {
 		sim.result.Refused++
-		reply.Why = "change"
+		reply.Reason = "change"
 		return reply
 	}
-	scheduler.highestFence[call.Matter] = max(call.Fence, scheduler.highestFence[call.Matter])
-	if reply.Done, reply.Fence = true, call.Fence; call.Act == fleet.Tell {
+	scheduler.highestFence[call.Lease] = max(call.Fence, scheduler.highestFence[call.Lease])
+	if reply.Done, reply.Fence = true, call.Fence; call.Kind == fleet.CallSetWorker {
 		scheduler.lastChange[call.Worker] = call.Since
-		if scheduler.outWorkers[call.Worker] = call.Matter; !call.Out {
+		if scheduler.outWorkers[call.Worker] = call.Lease; !call.Out {
 			delete(scheduler.outWorkers, call.Worker)
 		}
 		sim.traceEvent("told %s %s %v %d", scheduler.ID, call.Worker, call.Out, call.Fence)
@@ -712,10 +712,10 @@
 	}
 	verb := []string{"out", "in"}[sim.random.IntN(2)]
 	sim.sequence++
-	command := fleet.Command{Caller: fmt.Sprint("client", sim.sequence), Number: 1, Do: verb, ID: fmt.Sprint("w", sim.random.IntN(6)),
+	command := fleet.Command{Caller: fmt.Sprint("client", sim.sequence), Number: 1, Verb: verb, ID: fmt.Sprint("w", sim.random.IntN(6)),
 		Zone: "a", By: "ann", Force: true}
-	sim.submit("client", command, changeTimeoutMS, func(answer fleet.Answer) {
-		if answer.Done {
+	sim.submit("client", command, changeTimeoutMS, func(answer fleet.CommandResult) {
+		if answer.Applied {
 			sim.result.Changes++
 			sim.acknowledged[command.Caller] = answer.No
 			sim.traceEvent("yes %s %d", command.Caller, answer.No)
@@ -734,7 +734,7 @@
 	spanMS := 100 + 3000*sim.random.Float64()
 	v := sim.voters[sim.random.IntN(len(sim.voters))]
 	agent := sim.agents[sim.random.IntN(min(len(sim.agents), 6))]
-	for _, candidate := range sim.agents { // agents that own a matter are hit more often
+	for _, candidate := range sim.agents { // agents that own a lease are hit more often
 		if len(candidate.owned) > 0 && sim.random.IntN(3) == 0 {
 			agent = candidate
 		}
@@ -774,12 +774,12 @@
 		// A scheduler that starts first asks its agent, which makes a quorum read, for the fences and the workers that are
 		// out. If the record can't be read it starts without them; 1 in 4 starts stands for that.
 		if leader := sim.leader(); leader != nil && sim.random.IntN(4) > 0 {
-			for name, matter := range leader.node.Record.Matters {
-				scheduler.highestFence[name] = matter.Fence
+			for name, recorded := range leader.node.Record.Leases {
+				scheduler.highestFence[name] = recorded.Fence
 			}
-			for id, intent := range leader.node.Record.Workers {
+			for id, intent := range leader.node.Record.Intents {
 				if intent.Out {
-					scheduler.outWorkers[id] = fleet.MatterOf(intent.Zone)
+					scheduler.outWorkers[id] = fleet.ZoneLease(intent.Zone)
 				}
 			}
 		}
@@ -793,10 +793,10 @@
 		}
 	case 8: // a voter's disk acknowledges syncs without keeping the data, or an older copy is put back; the voter then crashes
 		// Only one voter's disk at a time is faulty: with two at once the record's guarantees don't hold.
-		if victim := sim.voters[sim.diskFaultVoter]; !sim.diskFaulty && !victim.node.Behind() {
+		if victim := sim.voters[sim.diskFaultVoter]; !sim.diskFaulty && !victim.node.DiskBehind() {
 			sim.diskFaulty = true
 			if sim.random.IntN(2) == 0 {
-				victim.disk.Lies = true
+				victim.disk.LoseSyncs = true
 				sim.schedule(spanMS, func() { sim.crashVoter(victim) })
 			} else {
 				oldDisk := victim.disk.Copy()
@@ -815,7 +815,7 @@
 	sim.traceEvent("kill %d", v.id)
 	v.disk.Crash(sim.random)
 	v.pausedUntilMS = 0
-	v.pendingAnswers = map[string]func(fleet.Answer){}
+	v.pendingAnswers = map[string]func(fleet.CommandResult){}
 	sim.openVoter(v)
 }
 
@@ -837,7 +837,7 @@
 		}
 		if leader := sim.leader(); leader != nil {
 			err := leader.node.ProposeVoters(newID, fmt.Sprint("v", newID), oldID)
-			if sim.advanceVoter(leader); errors.Is(err, quorum.ErrUsed) {
+			if sim.advanceVoter(leader); errors.Is(err, quorum.ErrInvalidVoterChange) {
 				return // the replacement was applied already, or another voter has taken the place
 			}
 		}
@@ -845,8 +845,8 @@
 	}
 	propose()
 	sim.schedule(replacementStartMS, func() {
-		v.id, v.joining, v.replacedID, v.disk, v.replacementPending = newID, true, oldID, quorum.NewMemory(), false
-		v.pendingAnswers = map[string]func(fleet.Answer){}
+		v.id, v.joining, v.replacedID, v.disk, v.replacementPending = newID, true, oldID, quorum.NewMemoryDisk(), false
+		v.pendingAnswers = map[string]func(fleet.CommandResult){}
 		sim.openVoter(v)
 		sim.diskFaulty = false
 	})
@@ -859,7 +859,7 @@
 	clear(sim.disconnected)
 	for _, v := range sim.voters {
 		v.pausedUntilMS = 0
-		v.disk.Lies = false
+		v.disk.LoseSyncs = false
 	}
 	for _, agent := range sim.agents {
 		if agent.pausedUntilMS = 0; !agent.up {
@@ -870,7 +870,7 @@
 
 // ---- invariants ----
 
-// checkInvariants checks that at this moment of simulated time each matter has at most one owner, and that all voters had
+// checkInvariants checks that at this moment of simulated time each lease has at most one owner, and that all voters had
 // the same record after the same command.
 func (sim *simulation) checkInvariants() {
 	owners := map[string]string{}
@@ -879,7 +879,7 @@
 			continue
 		}
 		for name, owned := range agent.owned {
-			if owned.lease.Holds(agent.clock.read(sim.nowMS)) && !owned.superseded() {
+			if owned.lease.Valid(agent.clock.read(sim.nowMS)) && !owned.superseded() {
 				if other := owners[name]; other != "" {
 					sim.reportViolation("%s and %s both own %s", other, agent.id, name)
 				}
@@ -910,7 +910,7 @@
 		details := ""
 		for _, v := range sim.voters {
 			id, _ := v.node.Leader()
-			details += fmt.Sprintf("; %d counts %t behind %t follows %d err %v, voters %v", v.id, v.node.Counts(), v.node.Behind(), id,
+			details += fmt.Sprintf("; %d counts %t behind %t follows %d err %v, voters %v", v.id, v.node.Participating(), v.node.DiskBehind(), id,
 				v.node.Err(), v.node.Record.Voters)
 		}
 		sim.reportViolation("no leader at the end%s", details)
@@ -918,7 +918,7 @@
 	}
 	record := leader.node.Record
 	for _, caller := range slices.Sorted(maps.Keys(sim.acknowledged)) {
-		if session, ok := record.Sessions[caller]; !ok || session.Answer.No != sim.acknowledged[caller] {
+		if session, ok := record.Sessions[caller]; !ok || session.Result.No != sim.acknowledged[caller] {
 			sim.reportViolation("%s was answered yes as %d, and is not on record so", caller, sim.acknowledged[caller])
 		}
 	}
@@ -928,7 +928,7 @@
 	if sim.ops != nil {
 		sim.ops.checkFinalState(record)
 	}
-	wantOut := record.OutIn("")
+	wantOut := record.WorkersOut("")
 	for _, scheduler := range sim.schedulers {
 		if sim.ops != nil && !sim.ops.hostByScheduler[scheduler.ID].serves(sim.nowMS) {
 			continue // it needs an operator
