--- a/agent/agent.go
+++ b/agent/agent.go
@@ -488,7 +488,7 @@
 	reply := a.sendToScheduler(ctx, fleet.SchedulerCall{To: scheduler, Kind: fleet.CallStatus, Lease: "-"})
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if owned.callsInFlight--; reply.Done {
+	if owned.callsInFlight--; reply.Applied {
 		owned.operation.Sampled(scheduler.ID, reply.Txns)
 	}
 }
@@ -521,7 +521,7 @@
 	owned.callsInFlight--
 	owned.notifier.Answered(a.clock.Now(), call, reply)
 	a.requestWork()
-	if call.Kind == fleet.CallSetWorker && reply.Done {
+	if call.Kind == fleet.CallSetWorker && reply.Applied {
 		a.log.Info("told", "scheduler", call.To.ID, "worker", call.Worker, "out", call.Out, "fence", call.Fence, "since", call.Since)
 	}
 }
@@ -585,7 +585,7 @@
 		if state.Name != call.To.ID {
 			return fleet.SchedulerReply{Reached: true, Reason: "another scheduler answers there: " + state.Name}
 		}
-		reply.Done, reply.Start, reply.Fence = true, state.Start, state.Fences[call.Lease]
+		reply.Applied, reply.Start, reply.Fence = true, state.Start, state.Fences[call.Lease]
 		reply.Phase, reply.Workers, reply.Txns = state.Phase, state.Workers, state.Txns
 		for id, lease := range state.Out {
 			if lease == call.Lease {
@@ -596,7 +596,7 @@
 		return reply
 	}
 	if status == 200 {
-		reply.Done, reply.Fence = true, call.Fence
+		reply.Applied, reply.Fence = true, call.Fence
 		return reply
 	}
 	reply.Reason = text
--- a/cmd/beamctl/main.go
+++ b/cmd/beamctl/main.go
@@ -1,8 +1,8 @@
 // Command beamctl is the command-line client of the fleet's agents, which it calls over HTTP. It reads the fleet record,
 // the replicated state that the voters among the agents keep: members, owners, operations, halts, limits and the audit
 // log. It takes workers out of service and back at every scheduler, and runs drains, restarts, maintenance and releases.
-// A command that schedulers or agents have to follow ends with a table of which obeyed, which refused and why, which were
-// not reached, and which have not answered yet.
+// A command that schedulers or agents have to follow ends with a table of which applied it, which refused and why, which
+// were not reached, and which have not answered yet.
 package main
 
 import (
@@ -395,7 +395,7 @@
 	g.printResult(rows, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "NO\tWHAT\tOF\tBY\tWHY")
 		for _, row := range rows {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", row.No, row.What, row.Of, row.By, row.Reason)
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", row.No, row.Change, row.Object, row.By, row.Reason)
 		}
 	})
 	return nil
--- a/cmd/beamctl/ops.go
+++ b/cmd/beamctl/ops.go
@@ -170,16 +170,16 @@
 		for i, wave := range forecast.Waves {
 			fmt.Fprintf(w, "%d\t%s\n", i+1, strings.Join(wave, " "))
 		}
-		for _, zone := range slices.Sorted(maps.Keys(forecast.Most)) {
-			fmt.Fprintf(w, "zone %s\tat most %d out together\n", zone, forecast.Most[zone])
+		for _, zone := range slices.Sorted(maps.Keys(forecast.MaxOutByZone)) {
+			fmt.Fprintf(w, "zone %s\tat most %d out together\n", zone, forecast.MaxOutByZone[zone])
 		}
-		fmt.Fprintf(w, "time\tabout %v at %v a member\n", time.Duration(forecast.Seconds*float64(time.Second)).Round(time.Second), timePerMember)
-		for _, reason := range forecast.Blocks {
+		fmt.Fprintf(w, "time\tabout %v at %v a member\n", time.Duration(forecast.DurationSeconds*float64(time.Second)).Round(time.Second), timePerMember)
+		for _, reason := range forecast.Blockers {
 			fmt.Fprintf(w, "blocked\t%s\n", reason)
 		}
 	})
-	if len(forecast.Blocks) > 0 {
-		return exitError{exitFailed, fmt.Sprintf("the operation cannot begin now (blocking reasons: %d)", len(forecast.Blocks))}
+	if len(forecast.Blockers) > 0 {
+		return exitError{exitFailed, fmt.Sprintf("the operation cannot begin now (blocking reasons: %d)", len(forecast.Blockers))}
 	}
 	return nil
 }
--- a/fleet/lease_terms.go
+++ b/fleet/lease_terms.go
@@ -65,50 +65,50 @@
 }
 
 // BecomeLeader takes note that this process is the leader from now on.
-func (k *LeaseTerms) BecomeLeader(now float64) {
-	*k = LeaseTerms{isLeader: true, leaderSince: now, appliedAt: map[string]float64{}, fullReportAt: map[string]float64{}, NoInitialWait: k.NoInitialWait}
+func (t *LeaseTerms) BecomeLeader(now float64) {
+	*t = LeaseTerms{isLeader: true, leaderSince: now, appliedAt: map[string]float64{}, fullReportAt: map[string]float64{}, NoInitialWait: t.NoInitialWait}
 }
 
 // StepDown takes note that this process is no longer the leader.
-func (k *LeaseTerms) StepDown() { *k = LeaseTerms{NoInitialWait: k.NoInitialWait} }
+func (t *LeaseTerms) StepDown() { *t = LeaseTerms{NoInitialWait: t.NoInitialWait} }
 
 // Applied takes note that a claim or renewal of a lease was carried out.
-func (k *LeaseTerms) Applied(now float64, c *Command) {
-	if k.isLeader {
-		if k.appliedAt[c.Lease] = now; c.Verb == "renew" && c.To == AllReported {
-			k.fullReportAt[c.Lease] = now
+func (t *LeaseTerms) Applied(now float64, c *Command) {
+	if t.isLeader {
+		if t.appliedAt[c.Lease] = now; c.Verb == "renew" && c.To == AllReported {
+			t.fullReportAt[c.Lease] = now
 		}
 	}
 }
 
 // staleReportReason returns why the health on record of a zone's members may be out of date, "" if the zone's owner reported
 // on it within a term.
-func (k *LeaseTerms) staleReportReason(now float64, r *Record, zone string) string {
+func (t *LeaseTerms) staleReportReason(now float64, r *Record, zone string) string {
 	lease := r.Leases[ZoneLease(zone)]
-	if at, reported := k.fullReportAt[ZoneLease(zone)]; !reported || now > at+lease.TermMs {
+	if at, reported := t.fullReportAt[ZoneLease(zone)]; !reported || now > at+lease.TermMs {
 		return "the health of the members of zone " + zone + " was not fully reported within the term of its lease"
 	}
 	return ""
 }
 
 // OwnerTermExpired reports whether the term of a lease's owner has expired, so that another agent may claim the lease.
-func (k *LeaseTerms) OwnerTermExpired(now float64, leaseName string, lease Lease) bool {
-	if !k.isLeader {
+func (t *LeaseTerms) OwnerTermExpired(now float64, leaseName string, lease Lease) bool {
+	if !t.isLeader {
 		return false
 	}
-	if _, applied := k.appliedAt[leaseName]; lease.Owner == "" || k.NoInitialWait && !applied {
+	if _, applied := t.appliedAt[leaseName]; lease.Owner == "" || t.NoInitialWait && !applied {
 		return true
 	}
-	return now >= max(k.leaderSince, k.appliedAt[leaseName])+leaderTermFraction*lease.TermMs
+	return now >= max(t.leaderSince, t.appliedAt[leaseName])+leaderTermFraction*lease.TermMs
 }
 
 // ProposalRefusal returns why the leader refuses a command before it is replicated, "" if it accepts it. It refuses a claim of a
 // lease whose owner's term has not expired, and a command that takes a member out while the health that the limits count by
 // may be out of date. These depend on the leader's clock; everything else is decided when the record applies the command.
-func (k *LeaseTerms) ProposalRefusal(now float64, r *Record, c *Command) string {
+func (t *LeaseTerms) ProposalRefusal(now float64, r *Record, c *Command) string {
 	if c.Verb == "step" && c.To == StepGranted || c.Verb == "out" && r.Members[c.ID].Kind == "worker" && !c.Force {
 		for _, zone := range r.zonesCountedWith(c.ID) {
-			if why := k.staleReportReason(now, r, zone); why != "" {
+			if why := t.staleReportReason(now, r, zone); why != "" {
 				return why
 			}
 		}
@@ -116,7 +116,7 @@
 	if c.Verb != "claim" {
 		return ""
 	}
-	if lease := r.Leases[c.Lease]; lease.Owner != "" && !k.OwnerTermExpired(now, c.Lease, lease) {
+	if lease := r.Leases[c.Lease]; lease.Owner != "" && !t.OwnerTermExpired(now, c.Lease, lease) {
 		return "the term of " + lease.Owner + " has not expired"
 	}
 	return ""
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -38,18 +38,18 @@
 
 // Forecast is what an operation would do in the current state of the fleet.
 type Forecast struct {
-	Waves   [][]string     `json:"waves"`
-	Most    map[string]int `json:"most"`    // by zone: how many members would be out at the same time at most, by the limits
-	Seconds float64        `json:"seconds"` // duration of the whole operation
-	Blocks  []string       `json:"blocks"`  // what would keep it from beginning now; permits are only checked for waves of one member
+	Waves           [][]string     `json:"waves"`
+	MaxOutByZone    map[string]int `json:"most"`    // by zone: how many members would be out at the same time at most, by the limits
+	DurationSeconds float64        `json:"seconds"` // duration of the whole operation
+	Blockers        []string       `json:"blocks"`  // what would keep it from beginning now; permits are only checked for waves of one member
 }
 
 // Forecast estimates the waves and the duration of an operation, given how many seconds each member takes.
 func (r *Record) Forecast(op *Operation, secondsEach float64) (forecast Forecast) {
-	forecast.Waves, forecast.Most = op.Waves, map[string]int{}
+	forecast.Waves, forecast.MaxOutByZone = op.Waves, map[string]int{}
 	for _, scope := range []string{"all", op.ID} {
 		if halt, ok := r.Halts[scope]; ok {
-			forecast.Blocks = append(forecast.Blocks, fmt.Sprintf("halted (%s) by %s: %s", scope, halt.By, halt.Reason))
+			forecast.Blockers = append(forecast.Blockers, fmt.Sprintf("halted (%s) by %s: %s", scope, halt.By, halt.Reason))
 		}
 	}
 	for _, wave := range op.Waves {
@@ -57,7 +57,7 @@
 		for _, id := range wave {
 			member, known := r.Members[id]
 			if !known {
-				forecast.Blocks = append(forecast.Blocks, id+": no such member")
+				forecast.Blockers = append(forecast.Blockers, id+": no such member")
 				continue
 			}
 			inZone[member.Zone]++
@@ -68,17 +68,17 @@
 				maxOut = min(maxOut, op.MaxOut)
 			}
 			if maxOut < 1 {
-				forecast.Blocks = append(forecast.Blocks, fmt.Sprintf("%s can never go out: %s", id, limit))
+				forecast.Blockers = append(forecast.Blockers, fmt.Sprintf("%s can never go out: %s", id, limit))
 				continue
 			}
 			zone := r.Members[id].Zone
-			forecast.Most[zone] = max(forecast.Most[zone], min(maxOut, inZone[zone]))
+			forecast.MaxOutByZone[zone] = max(forecast.MaxOutByZone[zone], min(maxOut, inZone[zone]))
 			rounds = max(rounds, math.Ceil(float64(len(wave))/float64(maxOut)))
-			if why := r.GrantRefusal(op, id); why != "" && len(forecast.Blocks) < 20 && len(wave) == 1 {
-				forecast.Blocks = append(forecast.Blocks, id+": "+why)
+			if why := r.GrantRefusal(op, id); why != "" && len(forecast.Blockers) < 20 && len(wave) == 1 {
+				forecast.Blockers = append(forecast.Blockers, id+": "+why)
 			}
 		}
-		forecast.Seconds += rounds*secondsEach + op.WatchMs/1000
+		forecast.DurationSeconds += rounds*secondsEach + op.WatchMs/1000
 	}
 	return forecast
 }
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -77,8 +77,8 @@
 // AuditEntry describes one applied change.
 type AuditEntry struct {
 	No     uint64 `json:"no"`   // number of the command
-	What   string `json:"what"` // the kind of change, such as "member", "owner" or "out"
-	Of     string `json:"of"`   // the object that was changed
+	Change string `json:"what"` // the kind of change, such as "member", "owner" or "out"
+	Object string `json:"of"`   // the object that was changed
 	By     string `json:"by"`
 	Reason string `json:"why,omitempty"`
 }
--- a/fleet/record_test.go
+++ b/fleet/record_test.go
@@ -150,13 +150,13 @@
 		}
 	}
 	expectState(AckNotReached)
-	step(CallStatus, SchedulerReply{Reached: true, Done: true, Start: "x", Fence: 4})
+	step(CallStatus, SchedulerReply{Reached: true, Applied: true, Start: "x", Fence: 4})
 	expectState(AckPending)
-	step(CallRaiseFence, SchedulerReply{Reached: true, Done: true, Start: "x", Fence: 5})
+	step(CallRaiseFence, SchedulerReply{Reached: true, Applied: true, Start: "x", Fence: 5})
 	call := step(CallSetWorker, SchedulerReply{Reason: "timeout"})
 	expectState(AckNotReached)
 	now += initialBackoffMs
-	if again := step(CallSetWorker, SchedulerReply{Reached: true, Done: true, Start: "x", Fence: 5}); again != call {
+	if again := step(CallSetWorker, SchedulerReply{Reached: true, Applied: true, Start: "x", Fence: 5}); again != call {
 		t.Errorf("the retry is %+v", again)
 	}
 	expectState(AckDone)
@@ -164,16 +164,16 @@
 		t.Fatalf("everything is confirmed, and the next call is %+v", call)
 	}
 	now += statusIntervalMs
-	step(CallStatus, SchedulerReply{Reached: true, Done: true, Start: "y"})
+	step(CallStatus, SchedulerReply{Reached: true, Applied: true, Start: "y"})
 	expectState(AckPending)
 	step(CallRaiseFence, SchedulerReply{Reached: true, Reason: "start z", Start: "z"})
 	now += initialBackoffMs
-	step(CallStatus, SchedulerReply{Reached: true, Done: true, Start: "z"})
-	step(CallRaiseFence, SchedulerReply{Reached: true, Done: true, Start: "z", Fence: 5})
-	step(CallSetWorker, SchedulerReply{Reached: true, Done: true, Start: "z", Fence: 5})
+	step(CallStatus, SchedulerReply{Reached: true, Applied: true, Start: "z"})
+	step(CallRaiseFence, SchedulerReply{Reached: true, Applied: true, Start: "z", Fence: 5})
+	step(CallSetWorker, SchedulerReply{Reached: true, Applied: true, Start: "z", Fence: 5})
 	expectState(AckDone)
 	now += statusIntervalMs
-	step(CallStatus, SchedulerReply{Reached: true, Done: true, Start: "z", Fence: 6})
+	step(CallStatus, SchedulerReply{Reached: true, Applied: true, Start: "z", Fence: 6})
 	if _, ok := controller.Next(now + 9000); ok || controller.SupersededBy != 6 {
 		t.Error("the owner continues to act after it has seen a higher fencing token")
 	}
--- a/fleet/zone_controller.go
+++ b/fleet/zone_controller.go
@@ -39,7 +39,7 @@
 // SchedulerReply is the result of a SchedulerCall.
 type SchedulerReply struct {
 	Reached bool              // the scheduler answered; if it did not, the call may have taken effect nevertheless
-	Done    bool              // the scheduler carried out the call
+	Applied bool              // the scheduler carried out the call
 	Start   string            // the start of the process that answered
 	Fence   uint64            // the fencing token that the scheduler has for the lease
 	Out     []string          // ids of the workers that the scheduler has as out under the lease, of a CallStatus
@@ -204,7 +204,7 @@
 		clear(scheduler.acknowledged)
 	}
 	switch {
-	case !reply.Done:
+	case !reply.Applied:
 		scheduler.reason, scheduler.nextStatusAt, scheduler.nextCallAt = reply.Reason, now, now+initialBackoffMs
 	case call.Kind == CallStatus:
 		scheduler.nextStatusAt, scheduler.reportedOut = now+statusIntervalMs, map[string]bool{}
--- a/lab/cluster/checks.go
+++ b/lab/cluster/checks.go
@@ -128,7 +128,7 @@
 	}
 	d.history.mu.Lock()
 	if raw, err := json.MarshalIndent(r, "", " "); err == nil {
-		_ = os.WriteFile(filepath.Join(d.dir, "record.json"), raw, 0o600) // for whoever keeps the day's folder with --keep
+		_ = os.WriteFile(filepath.Join(d.dir, "record.json"), raw, 0o600) // for whoever keeps the day's directory with --keep
 	}
 	workers := map[string]bool{}
 	for _, c := range d.history.all {
@@ -143,9 +143,9 @@
 	}
 	applied := map[string]int{} // by the command's reason, which names its caller and number: how many times it was applied
 	for _, row := range r.Audit {
-		if (row.What == "out" || row.What == "in") && strings.HasPrefix(row.Reason, "caller") {
+		if (row.Change == "out" || row.Change == "in") && strings.HasPrefix(row.Reason, "caller") {
 			if applied[row.Reason]++; applied[row.Reason] == 2 {
-				d.reportBreak("a change was carried out twice: %s %s, %s", row.What, row.Of, row.Reason)
+				d.reportBreak("a change was carried out twice: %s %s, %s", row.Change, row.Object, row.Reason)
 			}
 		}
 	}
@@ -355,7 +355,7 @@
 // passedOn reports whether an agent ever passed a lease on, which frees it before it expires.
 func passedOn(r *fleet.Record, leaseName, agent string) bool {
 	for _, row := range r.Audit {
-		if row.What == "left" && strings.HasPrefix(row.Of, leaseName+" "+agent+"#") {
+		if row.Change == "left" && strings.HasPrefix(row.Object, leaseName+" "+agent+"#") {
 			return true
 		}
 	}
--- a/lab/cluster/cluster_test.go
+++ b/lab/cluster/cluster_test.go
@@ -34,7 +34,7 @@
 	os.Exit(code)
 }
 
-// playDay runs a day, in the folder CLUSTER_KEEP if that is set, and logs its events.
+// playDay runs a day, in the directory CLUSTER_KEEP if that is set, and logs its events.
 func playDay(t *testing.T, o Options) *Report {
 	t.Helper()
 	o.Program, o.Agent, o.Dir = filepath.Join(programDir, "shalebeam"), filepath.Join(programDir, "beamagent"), t.TempDir()
--- a/lab/cluster/day.go
+++ b/lab/cluster/day.go
@@ -256,7 +256,7 @@
 	return &d.report, nil
 }
 
-// assignAddresses gives every agent its address, configuration and data folder, and a relay to each agent that it calls.
+// assignAddresses gives every agent its address, configuration and data directory, and a relay to each agent that it calls.
 func (d *day) assignAddresses() error {
 	var voters []agent.VoterConfig
 	for i := range d.opt.Agents {
@@ -337,12 +337,12 @@
 			break
 		}
 		for _, p := range d.agents {
-			if err := d.addRelay(p, m.ID, m.Mgmt); err != nil {
+			if err := d.addRelay(p, m.ID, m.ManagementAddr); err != nil {
 				return err
 			}
 		}
 		p := d.agents[i%len(d.agents)]
-		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.Mgmt})
+		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.ManagementAddr})
 	}
 	for _, p := range d.agents {
 		if d.opt.Runs {
@@ -824,16 +824,16 @@
 
 // schedulerState asks a scheduler which workers it has out and which fencing tokens are in force there.
 func (d *day) schedulerState(s int) (state schedulerState, err error) {
-	addrs := []string{d.Scheduler(s).Mgmt}
+	addrs := []string{d.Scheduler(s).ManagementAddr}
 	if d.opt.Runs { // during and after an upgrade its process may listen at the second address
-		addrs = append(addrs, d.live.Minders()[s].Beside)
+		addrs = append(addrs, d.live.ManagedSchedulers()[s].UpgradeAddr)
 	}
 	return state, (&agent.Caller{HTTP: d.http, Addrs: addrs}).Get(d.ctx, "/ops/fence", &state)
 }
 
 // checkReady returns an error unless a scheduler's readiness endpoint answers 200.
 func (d *day) checkReady(s int) error {
-	response, err := d.http.Get("http://" + d.Scheduler(s).Mgmt + "/ops/readiness")
+	response, err := d.http.Get("http://" + d.Scheduler(s).ManagementAddr + "/ops/readiness")
 	if err == nil {
 		if response.Body.Close(); response.StatusCode != 200 {
 			err = fmt.Errorf("readiness of s%d: got status %d, expected 200", s, response.StatusCode)
--- a/lab/cluster/ops.go
+++ b/lab/cluster/ops.go
@@ -27,7 +27,7 @@
 const sampleInterval = 25 * time.Millisecond // between two counts of the schedulers that are out
 
 // environmentMark returns the start of the environment variable that agents set for each scheduler process that they start, with
-// this day's folder; the lab finds the processes by it. It is "" on days on which the lab starts the schedulers itself.
+// this day's directory; the lab finds the processes by it. It is "" on days on which the lab starts the schedulers itself.
 func (d *day) environmentMark() string {
 	if !d.opt.Runs {
 		return ""
@@ -37,11 +37,11 @@
 
 // startAgents configures the agents to run the schedulers and to renew the workers, and starts them.
 func (d *day) startAgents(f *live.Fleet) error {
-	for i, m := range f.Minders() {
+	for i, m := range f.ManagedSchedulers() {
 		for _, p := range d.agents {
-			for _, addr := range []string{m.Mgmt, m.Beside} {
+			for _, addr := range []string{m.ManagementAddr, m.UpgradeAddr} {
 				name := m.ID
-				if addr == m.Beside {
+				if addr == m.UpgradeAddr {
 					name += "'"
 				}
 				if err := d.addRelay(p, name, addr); err != nil {
@@ -50,7 +50,7 @@
 			}
 		}
 		p := d.agents[i%len(d.agents)]
-		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.Mgmt, UpgradeAddr: m.Beside, Program: d.opt.Program,
+		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.ManagementAddr, UpgradeAddr: m.UpgradeAddr, Program: d.opt.Program,
 			Config: m.Config, TempDir: m.Dir})
 	}
 	if err := os.MkdirAll(filepath.Join(d.dir, "renew"), 0o755); err != nil {
--- a/lab/council/simulation.go
+++ b/lab/council/simulation.go
@@ -670,7 +670,7 @@
 	reply := fleet.SchedulerReply{Reached: true, Start: start, Fence: scheduler.highestFence[call.Lease]}
 	switch {
 	case call.Kind == fleet.CallStatus:
-		reply.Done, reply.Phase = true, "serving"
+		reply.Applied, reply.Phase = true, "serving"
 		for id, leaseName := range scheduler.outWorkers {
 			if leaseName == call.Lease {
 				reply.Out = append(reply.Out, id)
@@ -695,7 +695,7 @@
 		return reply
 	}
 	scheduler.highestFence[call.Lease] = max(call.Fence, scheduler.highestFence[call.Lease])
-	if reply.Done, reply.Fence = true, call.Fence; call.Kind == fleet.CallSetWorker {
+	if reply.Applied, reply.Fence = true, call.Fence; call.Kind == fleet.CallSetWorker {
 		scheduler.lastChange[call.Worker] = call.Since
 		if scheduler.outWorkers[call.Worker] = call.Lease; !call.Out {
 			delete(scheduler.outWorkers, call.Worker)
--- a/lab/live/agents.go
+++ b/lab/live/agents.go
@@ -26,18 +26,18 @@
 	healthTimeout       = 250 * time.Millisecond
 )
 
-// Minded is what an agent needs to know of a scheduler in order to run its processes.
-type Minded struct {
-	ID, Zone     string
-	Mgmt, Beside string // management addresses: of its process, and of a process that takes over from it
-	Config       string // path of its configuration
-	Dir          string // value of $TMPDIR for its processes
+// ManagedScheduler is what an agent needs to know of a scheduler in order to run its processes.
+type ManagedScheduler struct {
+	ID, Zone                    string
+	ManagementAddr, UpgradeAddr string // management addresses: of its process, and of a process that takes over from it
+	Config                      string // path of its configuration
+	Dir                         string // value of $TMPDIR for its processes
 }
 
-// Minders lists the schedulers for the agents that run them.
-func (f *Fleet) Minders() (all []Minded) {
+// ManagedSchedulers lists the schedulers for the agents that run them.
+func (f *Fleet) ManagedSchedulers() (all []ManagedScheduler) {
 	for _, s := range f.exp.schedulers {
-		all = append(all, Minded{s.id(), f.exp.plan.Schedulers.Zones[s.zone], s.managementAddr, s.takeoverAddr, s.configPath, f.exp.dir})
+		all = append(all, ManagedScheduler{s.id(), f.exp.plan.Schedulers.Zones[s.zone], s.managementAddr, s.takeoverAddr, s.configPath, f.exp.dir})
 	}
 	return all
 }
--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -85,7 +85,7 @@
 type Fleet struct{ exp *experiment }
 
 // Member is a scheduler: its ID, its zone, its management address and the path of its log.
-type Member struct{ ID, Zone, Mgmt, Log string }
+type Member struct{ ID, Zone, ManagementAddr, Log string }
 
 // Schedulers lists the schedulers.
 func (f *Fleet) Schedulers() (all []Member) {
