--- a/balance/balance.go
+++ b/balance/balance.go
@@ -477,8 +477,8 @@
 
 // recordConnectionFailure ejects a worker after a failed or reset connection. since is when the posting or probe
 // that could not connect was made (for a reset: now). If connecting failed only after a long wait, the worker's
-// postings in flight are queued for a second copy: a cut link sends no reset, so those postings would never be
-// answered. A refusal or a reset is an answer, after which second copies only used up capacity.
+// postings in flight are queued for a hedge: a cut link sends no reset, so those postings would never be
+// answered. A refusal or a reset is an answer, after which hedges only used up capacity.
 func (s *Scheduler) recordConnectionFailure(now float64, w *worker, since float64) {
 	w.connectionFailures, w.ejectedUntil =
 		w.connectionFailures+1, now+ejectionBaseMs*math.Exp2(float64(min(w.connectionFailures, 4)))
@@ -838,7 +838,7 @@
 
 // hedgeAt returns when an unstarted posting is taken to wait in a queue, or on a silent connection, so that its
 // txn may be posted to another worker too. Txns with a key are not hedged: the second worker fetched the key,
-// evicting other keys, and some copies ran although cancelled. With few schedulers it is known where slots are
+// evicting other keys, and some hedges ran although cancelled. With few schedulers it is known where slots are
 // free and waits are mostly short, so the delay is longer.
 func (s *Scheduler) hedgeAt(p *posting) float64 {
 	if !s.terms.ReportsStart || !p.txn.terms.Hedging || !s.terms.Cancels || p.cancelled || p.txn.Key != "" ||
@@ -877,7 +877,7 @@
 	row := t.schemeRow()
 	for _, p := range t.postings {
 		if p.worker == w && (!p.ended || p.calledInvalid) {
-			return false // a second copy at the same worker gains nothing
+			return false // a second posting at the same worker gains nothing
 		}
 		if p.ended && !p.mayHaveRun || row.Effect == Repeatable {
 			continue
@@ -1257,7 +1257,7 @@
 	}
 	overloaded := s.overloaded(now)
 	for _, p := range s.unstarted {
-		// Of two unstarted copies the first keeps its place in its queue and the newer one is cancelled so that
+		// Of two unstarted postings the first keeps its place in its queue and the newer one is cancelled so that
 		// it can be posted elsewhere. Postings left in a queue to run late would make everything behind them
 		// late too.
 		superseded := p.txn.inFlight > 1 && p.number == len(p.txn.postings)-1 && now >= s.hedgeAt(p)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -347,7 +347,7 @@
 }
 
 // A cut link causes neither resets nor failed connections for postings in flight. The first connection that
-// fails shows it, and txns that may run again get a second copy at another worker.
+// fails shows it, and txns that may run again get a hedge at another worker.
 func TestCutLinkLeadsToSecondCopies(t *testing.T) {
 	s := newTestScheduler(testTerms, 2)
 	arrive(s, 0, "out", 0, 1000)
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -103,11 +103,11 @@
 	s.arrivals, s.extraPostings = nil, nil
 	queued := &txn{Txn: Txn{Ref: "y"}, terms: s.terms, postings: []*posting{{ended: true}}}
 	if !s.budgetAllows(30000, queued) {
-		t.Error("BudgetFree can't be used")
+		t.Error("RetryBudgetMin can't be used")
 	}
 	s.YieldLead()
 	if s.budgetAllows(30000, queued) {
-		t.Error("two processes of one scheduler would both use BudgetFree")
+		t.Error("two processes of one scheduler would both use RetryBudgetMin")
 	}
 	if s.TakeLead(30000); s.budgetAllows(31000, queued) || !s.budgetAllows(32001, queued) {
 		t.Error("a process that just took the lead does not wait for exactly one window")
@@ -220,14 +220,14 @@
 			s.rerank(1)
 			w := s.list[0]
 			if got := s.capacityOf(w); got != 8 {
-				t.Fatalf("FallTimes %g: estimated capacity %g, observed 8", times, got)
+				t.Fatalf("SlowStartMultiple %g: estimated capacity %g, observed 8", times, got)
 			}
 			budget = slowstart.RequestBudget(s.slowStartLimits().AllowedRequests(0, 8, s.meanWork()))
 			fleet := slowstart.Fleet{Number: terms.Index, Size: terms.Schedulers}
 			requests += s.slowStartLimits().Quota(fleet, w.idHash, 0, 8, s.requestStats()).MaxRequests
 		}
 		if n := float64(requests); n > budget || n < budget/2 {
-			t.Errorf("FallTimes %g: the quotas are %.0f requests, %.1f are allowed", times, n, budget)
+			t.Errorf("SlowStartMultiple %g: the quotas are %.0f requests, %.1f are allowed", times, n, budget)
 		}
 	}
 }
--- a/scheduler/eventloop/errors.go
+++ b/scheduler/eventloop/errors.go
@@ -68,7 +68,8 @@
 	return reactionTo(err)
 }
 
-// FailureCounts returns how many system calls failed, by call and error. EAGAIN is not counted: it only says that nothing was ready.
+// FailureCounts returns how many system calls failed, by call and error. EAGAIN is not counted: it only says that nothing was
+// ready.
 func (l *Loop) FailureCounts() map[FailedCall]uint64 { return l.failures }
 
 // startRetryLimit is how long a call that fails with transient errors is repeated before the creation of a loop or of a listener
--- a/scheduler/eventloop/loop_test.go
+++ b/scheduler/eventloop/loop_test.go
@@ -308,8 +308,8 @@
 	}
 }
 
-// EarliestArrival is the earliest time at which the bytes may have arrived: not before they were sent if the loop was idle, and not after
-// they were sent if a callback kept the loop busy meanwhile.
+// EarliestArrival is the earliest time at which the bytes may have arrived: not before they were sent if the loop was idle, and
+// not after they were sent if a callback kept the loop busy meanwhile.
 func TestEarliestArrivalBoundsTheArrivalOfBytes(t *testing.T) {
 	since := make(chan time.Time, 10)
 	l, addr := run(t, &recorder{traffic: func(c Conn) {
