--- a/balance/balance.go
+++ b/balance/balance.go
@@ -63,7 +63,7 @@
 	tenantWindowMs = 4000.0
 	// first ejection, doubled with each further failure: a restart takes seconds, a transient fault less
 	ejectionBaseMs = 500.0
-	// first backoff of a watch, doubled with each failure; kept well below watch.ToldIn, after which a list
+	// first backoff of a watch, doubled with each failure; kept well below watch.StalenessBoundMs, after which a list
 	// change counts as known
 	watchBackoffBaseMs   = 250.0
 	watchCallGapMs       = 100.0  // between the first watch calls of two schedulers that start together
