--- a/cmd/beamlab/cluster.go
+++ b/cmd/beamlab/cluster.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"shalebeam/lab/cluster"
-	"shalebeam/lab/council"
+	"shalebeam/lab/fleetsim"
 )
 
 // clusterCmd groups the commands that play agents and schedulers together.
@@ -127,7 +127,7 @@
 	return ctx.Err()
 }
 
-// operationStartMS is the time of a council run, in ms, at which its operation starts.
+// operationStartMS is the time of a fleetsim run, in ms, at which its operation starts.
 const operationStartMS = 3000
 
 type clusterRuns struct {
@@ -149,21 +149,21 @@
 	played := 0
 	calls, mostCalls, seconds := 0, 0, []float64{}
 	for seed := c.Seed; seed < c.Seed+uint64(c.Runs) && ctx.Err() == nil; seed++ {
-		r := council.Play(council.Options{Seed: seed, Voters: c.Voters, Agents: c.Agents, Schedulers: c.Schedulers, For: c.For, Bug: c.Plant, Ops: c.Ops,
-			Workers: c.Workers, Calm: c.Calm})
+		r := fleetsim.Run(fleetsim.Options{Seed: seed, Voters: c.Voters, Agents: c.Agents, Schedulers: c.Schedulers, FaultsMs: c.For, PlantedBug: c.Plant, Operations: c.Ops,
+			Workers: c.Workers, NoFaults: c.Calm})
 		played++
-		changes, owners, refused, replaced, messages = changes+r.Changes, owners+r.Owners, refused+r.Refused, replaced+r.Replaced, messages+r.Messages
-		calls, mostCalls, halted = calls+r.Calls, max(mostCalls, r.Most), halted+r.Left
-		if r.Ended > 0 {
-			seconds = append(seconds, (r.Ended-operationStartMS)/1000)
+		changes, owners, refused, replaced, messages = changes+r.AcknowledgedChanges, owners+r.Claims, refused+r.RefusedCalls, replaced+r.ReplacedVoters, messages+r.Messages
+		calls, mostCalls, halted = calls+r.AgentCalls, max(mostCalls, r.MaxOut), halted+r.LeftToOperator
+		if r.OperationEndedMs > 0 {
+			seconds = append(seconds, (r.OperationEndedMs-operationStartMS)/1000)
 		}
-		if c.Calm && r.Ended > 0 {
-			fmt.Printf("run %d: over after %.1f s, at the least %.1f s: %.2f times\n", seed, (r.Ended-operationStartMS)/1000, r.Least/1000, (r.Ended-operationStartMS)/r.Least)
+		if c.Calm && r.OperationEndedMs > 0 {
+			fmt.Printf("run %d: over after %.1f s, at the least %.1f s: %.2f times\n", seed, (r.OperationEndedMs-operationStartMS)/1000, r.LowerBoundMs/1000, (r.OperationEndedMs-operationStartMS)/r.LowerBoundMs)
 		}
-		if len(r.Breaks) > 0 {
+		if len(r.Violations) > 0 {
 			broken++
 			fmt.Printf("run %d: %s\n  again: beamlab cluster runs --runs 1 --seed %d --agents %d --voters %d --schedulers %d --for %g --ops=%t --workers %d%s\n", seed,
-				r.Breaks[0], seed, c.Agents, c.Voters, c.Schedulers, c.For, c.Ops, c.Workers, map[bool]string{true: " --plant " + c.Plant}[c.Plant != ""])
+				r.Violations[0], seed, c.Agents, c.Voters, c.Schedulers, c.For, c.Ops, c.Workers, map[bool]string{true: " --plant " + c.Plant}[c.Plant != ""])
 		}
 	}
 	fmt.Printf("%d runs: %d broken; %d changes, %d owners, %d late calls refused, %d voters replaced, %d letters\n", played, broken, changes, owners,
--- a/lab/council/operations.go
+++ b/lab/fleetsim/operations.go
@@ -1,4 +1,4 @@
-package council
+package fleetsim
 
 import (
 	"encoding/json"
@@ -157,7 +157,7 @@
 		ops.requested.WatchMs, ops.requested.AutoRollBack = 400, sim.random.IntN(2) == 0
 		ops.requested.Version = fleet.Version{Program: "/new", Digest: "new", Name: "new"}
 	}
-	if sim.options.Calm {
+	if sim.options.NoFaults {
 		ops.releasedProgram, ops.requested.Kind, ops.requested.WatchMs, ops.requested.MaxWaveMs = "", "release", 0, 0
 		// One wave, so that only the limits bound how many members are out.
 		ops.requested.Waves = [][]string{slices.Concat(ops.requested.Waves...)}
@@ -167,7 +167,7 @@
 	}
 	sim.schedule(startupMS, ops.requestOperation)
 	if ops.haltOnGrant = sim.random.IntN(4) == 0; !ops.haltOnGrant && sim.random.IntN(2) == 0 {
-		ops.haltAtMS = 4000 + sim.options.For*sim.random.Float64()
+		ops.haltAtMS = 4000 + sim.options.FaultsMs*sim.random.Float64()
 		sim.schedule(ops.haltAtMS, ops.requestHalt)
 	}
 }
@@ -219,7 +219,7 @@
 	_ = json.Unmarshal(ops.agentDisks[agent.id], &disk)
 	ops.lyingDisks[agent.id] = false
 	executor := disk.Executor
-	executor.Start, executor.InjectedFault = fmt.Sprint(agent.startCount), ops.sim.options.Bug
+	executor.Start, executor.InjectedFault = fmt.Sprint(agent.startCount), ops.sim.options.PlantedBug
 	for id, note := range executor.Notes {
 		if note.Call == "command" && note.State == "going" {
 			note.State = "unknown"
@@ -520,7 +520,7 @@
 		if leader := ops.quorumLeader(agent); leader != nil {
 			record = sim.sharedCopy(leader.node.Record)
 		}
-		if sim.options.Bug == "stale-step" && record == nil {
+		if sim.options.PlantedBug == "stale-step" && record == nil {
 			record = agent.record
 		}
 		sim.schedule(1+2*sim.random.Float64(), func() {
@@ -844,7 +844,7 @@
 	sim := ops.sim
 	op := record.Ops[ops.currentID]
 	if ops.leftToOperator(record, op) {
-		sim.result.Left++
+		sim.result.LeftToOperator++
 		return
 	}
 	if op == nil || !op.Done {
--- a/lab/council/simulation.go
+++ b/lab/fleetsim/simulation.go
@@ -1,11 +1,11 @@
-// Package council simulates the fleet's replicated record and its agents in simulated time, from a seed. It runs the
+// Package fleetsim simulates the fleet's replicated record and its agents in simulated time, from a seed. It runs the
 // production code of packages quorum and fleet (voters, leases, claims and the calls that tell schedulers which workers are
 // out) under injected faults: disks that acknowledge syncs without keeping the data, clocks that run fast or slow, links
 // that lose, delay or cut messages, and processes that crash or pause. Schedulers are models that remember the highest
 // fence (fencing token) they have seen, as scheduler/fleet.go does.
 //
 // A lease is on a zone's workers ("zone/ZONE") or an operation ("op/ID").
-package council
+package fleetsim
 
 import (
 	"container/heap"
@@ -30,29 +30,29 @@
 	Voters     int
 	Agents     int
 	Schedulers int
-	// For is how long, in ms, faults are injected. The run then goes on without faults for as long again and recoveryMS, or
+	// FaultsMs is how long, in ms, faults are injected. The run then goes on without faults for as long again and recoveryMS, or
 	// until afterOperationMS after its operation has ended.
-	For     float64
-	Bug     string // name of a bug planted in the tested code, "" for none
-	Ops     bool   // agents run the schedulers' processes, and an operation (release, restart, drain, maintain) is executed
-	Workers int    // workers that take part in the operation; used with Ops only
-	Calm    bool   // no faults and no halts; the operation is a release of a program that works
+	FaultsMs   float64
+	PlantedBug string // name of a bug planted in the tested code, "" for none
+	Operations bool   // agents run the schedulers' processes, and an operation (release, restart, drain, maintain) is executed
+	Workers    int    // workers that take part in the operation; used with Operations only
+	NoFaults   bool   // no faults and no halts; the operation is a release of a program that works
 }
 
 // Result summarizes a run.
 type Result struct {
-	Breaks   []string // violated invariants; the run stops once there is one
-	Changes  int      // commands to take a worker out or back in that were acknowledged
-	Owners   int      // claims that succeeded, each of which makes an agent the owner of a lease
-	Refused  int      // calls that a scheduler refused because of their fence, scheduler start or change number
-	Replaced int      // voters that were replaced because their disk lacked data that they had acknowledged
-	Left     int      // operations that ended halted with a reason and need an operator
-	Messages int      // messages that voters sent to each other
-	Calls    int      // calls at agents that operations made
-	Most     int      // most members that were out at once because of the operation, not of a fault
-	Ended    float64  // simulated time in ms at which the operation had ended, 0 if it had not
-	Least    float64  // lower bound in ms for the operation's duration under its limits
-	Digest   uint32   // CRC-32 of the traced events: the same for the same seed
+	Violations          []string // violated invariants; the run stops once there is one
+	AcknowledgedChanges int      // commands to take a worker out or back in that were acknowledged
+	Claims              int      // claims that succeeded, each of which makes an agent the owner of a lease
+	RefusedCalls        int      // calls that a scheduler refused because of their fence, scheduler start or change number
+	ReplacedVoters      int      // voters that were replaced because their disk lacked data that they had acknowledged
+	LeftToOperator      int      // operations that ended halted with a reason and need an operator
+	Messages            int      // messages that voters sent to each other
+	AgentCalls          int      // calls at agents that operations made
+	MaxOut              int      // most members that were out at once because of the operation, not of a fault
+	OperationEndedMs    float64  // simulated time in ms at which the operation had ended, 0 if it had not
+	LowerBoundMs        float64  // lower bound in ms for the operation's duration under its limits
+	Digest              uint32   // CRC-32 of the traced events: the same for the same seed
 }
 
 // event is a function that runs at a point of simulated time; sequence orders events of the same time.
@@ -187,7 +187,7 @@
 // Play simulates one run and returns its result. The raft library draws its election timeouts from crypto/rand.Reader,
 // which is replaced by a generator seeded with Options.Seed for the duration of the run: a process can therefore simulate
 // only one run at a time.
-func Play(options Options) *Result {
+func Run(options Options) *Result {
 	systemRandom := cryptorand.Reader
 	var seed [32]byte
 	binary.BigEndian.PutUint64(seed[:], options.Seed)
@@ -216,32 +216,32 @@
 			Zone: []string{"a", "b"}[i%2], Addr: fmt.Sprint("s", i)}, highestFence: map[string]uint64{}, outWorkers: map[string]string{},
 			lastChange: map[string]uint64{}})
 	}
-	if options.Ops {
+	if options.Operations {
 		sim.ops = newOperations(sim)
 		sim.ops.initialize()
 	}
 	sim.diskFaultVoter = sim.random.IntN(options.Voters)
 	sim.registerMembers()
 	sim.schedule(0, sim.tick)
-	if !options.Calm {
+	if !options.NoFaults {
 		sim.schedule(startupMS, sim.injectFault)
 	}
 	sim.schedule(startupMS, sim.changeWorkers)
-	for len(sim.queue) > 0 && len(sim.result.Breaks) == 0 {
+	for len(sim.queue) > 0 && len(sim.result.Violations) == 0 {
 		e := heap.Pop(&sim.queue).(event)
 		if sim.nowMS = e.atMS; sim.nowMS > sim.maxDurationMS() ||
 			sim.ops != nil && sim.ops.endedMS > 0 && sim.nowMS > sim.ops.endedMS+afterOperationMS {
 			break
 		}
-		if !sim.faultsEnded && sim.nowMS > startupMS+options.For {
+		if !sim.faultsEnded && sim.nowMS > startupMS+options.FaultsMs {
 			sim.endFaults()
 		}
 		e.run()
 	}
 	sim.checkFinalState()
 	if sim.ops != nil {
-		sim.result.Calls, sim.result.Most = sim.ops.agentCalls, sim.ops.maxOut
-		sim.result.Ended, sim.result.Least = sim.ops.endedMS, sim.ops.lowerBoundMS()
+		sim.result.AgentCalls, sim.result.MaxOut = sim.ops.agentCalls, sim.ops.maxOut
+		sim.result.OperationEndedMs, sim.result.LowerBoundMs = sim.ops.endedMS, sim.ops.lowerBoundMS()
 	}
 	sim.result.Digest = sim.checksum
 	return &sim.result
@@ -249,7 +249,7 @@
 
 // maxDurationMS returns the simulated time, in ms, at which a run ends at the latest.
 func (sim *simulation) maxDurationMS() float64 {
-	maxMS := startupMS + 2*sim.options.For + recoveryMS
+	maxMS := startupMS + 2*sim.options.FaultsMs + recoveryMS
 	if sim.ops != nil {
 		// In the worst case members are taken out and brought back one after the other, after a wave has used up its time limit.
 		maxMS += memberStepsMS*float64(min(len(sim.schedulers), 40)+len(sim.ops.workers)) + sim.ops.requested.MaxWaveMs
@@ -275,14 +275,14 @@
 
 // reportViolation adds a violated invariant to the result, which ends the run.
 func (sim *simulation) reportViolation(format string, args ...any) {
-	sim.result.Breaks = append(sim.result.Breaks, fmt.Sprintf("%.0f ms: ", sim.nowMS)+fmt.Sprintf(format, args...))
+	sim.result.Violations = append(sim.result.Violations, fmt.Sprintf("%.0f ms: ", sim.nowMS)+fmt.Sprintf(format, args...))
 }
 
 // openVoter starts a voter from what its disk has.
 func (sim *simulation) openVoter(v *voter) {
 	sim.voterStarts++
 	node, err := quorum.Open(quorum.Options{ID: v.id, Voters: sim.initialVoters, Join: v.joining, Replaces: v.replacedID, Disk: v.disk,
-		StartID: sim.voterStarts, InjectedFault: sim.options.Bug})
+		StartID: sim.voterStarts, InjectedFault: sim.options.PlantedBug})
 	if v.node, v.heldMessages = node, nil; err != nil {
 		sim.reportViolation("voter %d does not start: %v", v.id, err)
 	}
@@ -293,7 +293,7 @@
 	agent.startCount++
 	agent.up, agent.record, agent.owned, agent.commandPending = true, fleet.NewRecord(), map[string]*ownership{}, map[string]bool{}
 	agent.leaseClaimer = fleet.NewLeaseClaimer(agent.id, fmt.Sprint(agent.startCount), sim.leaseTermMS)
-	agent.leaseClaimer.ClaimWithoutWaiting = sim.options.Bug == "new-leader-hurries"
+	agent.leaseClaimer.ClaimWithoutWaiting = sim.options.PlantedBug == "new-leader-hurries"
 	if sim.ops != nil && len(sim.ops.hosts) > 0 {
 		sim.ops.restoreAgent(agent)
 	}
@@ -550,7 +550,7 @@
 		sim.sendCommand(agent, command.Lease, command, func(answer fleet.CommandResult) {
 			if answer.Applied {
 				sim.traceEvent("owned %s %s %d", agent.id, command.Lease, answer.Fence)
-				sim.result.Owners++
+				sim.result.Claims++
 				lease := fleet.NewHeldLease(localNowMS, answer.Fence, sim.leaseTermMS)
 				for _, other := range sim.agents {
 					// An agent that was paused may learn that its claim succeeded only after the lease has run out: it
@@ -566,10 +566,10 @@
 				newOwned := &ownership{lease: lease}
 				if id, isOp := strings.CutPrefix(command.Lease, "op/"); isOp {
 					newOwned.operationRunner = fleet.NewOperationController(id, agent.leaseClaimer.Owner, answer.Fence)
-					newOwned.operationRunner.InjectedFault = sim.options.Bug
+					newOwned.operationRunner.InjectedFault = sim.options.PlantedBug
 				} else {
 					newOwned.notifier, newOwned.zone = fleet.NewZoneController(command.Lease, answer.Fence), command.Lease[len("zone/"):]
-					if newOwned.notifier.InjectedFault = sim.options.Bug; sim.ops != nil {
+					if newOwned.notifier.InjectedFault = sim.options.PlantedBug; sim.ops != nil {
 						newOwned.notifier.Halted = func(intent fleet.Intent) bool {
 							return sim.ops.stepExecutors[agent.id].Halted(agent.record, intent)
 						}
@@ -678,19 +678,19 @@
 		}
 		slices.Sort(reply.Out)
 		return reply
-	case call.Start != start && sim.options.Bug != "former-start":
-		sim.result.Refused++
+	case call.Start != start && sim.options.PlantedBug != "former-start":
+		sim.result.RefusedCalls++
 		reply.Reason = "start " + start
 		return reply
 	case call.Fence < scheduler.highestFence[call.Lease]:
-		if sim.result.Refused++; sim.options.Bug != "no-fence" {
+		if sim.result.RefusedCalls++; sim.options.PlantedBug != "no-fence" {
 			reply.Reason = "fence"
 			return reply
 		}
 		sim.reportViolation("%s took number %d of %s after %d", scheduler.ID, call.Fence, call.Lease, scheduler.highestFence[call.Lease])
 	}
-	if call.Kind == fleet.CallSetWorker && call.Since < scheduler.lastChange[call.Worker] && sim.options.Bug != "no-change" {
-		sim.result.Refused++
+	if call.Kind == fleet.CallSetWorker && call.Since < scheduler.lastChange[call.Worker] && sim.options.PlantedBug != "no-change" {
+		sim.result.RefusedCalls++
 		reply.Reason = "change"
 		return reply
 	}
@@ -716,7 +716,7 @@
 		Zone: "a", By: "ann", Force: true}
 	sim.submit("client", command, changeTimeoutMS, func(answer fleet.CommandResult) {
 		if answer.Applied {
-			sim.result.Changes++
+			sim.result.AcknowledgedChanges++
 			sim.acknowledged[command.Caller] = answer.No
 			sim.traceEvent("yes %s %d", command.Caller, answer.No)
 		}
@@ -822,7 +822,7 @@
 // replaceVoter plays the operator who puts a new voter in the place of one whose disk is known to have lost data.
 func (sim *simulation) replaceVoter(v *voter) {
 	v.replacementPending = true // otherwise it would be replaced twice, and one of the two new voters would never start
-	sim.result.Replaced++
+	sim.result.ReplacedVoters++
 	sim.lastVoterID++
 	newID, oldID := sim.lastVoterID, v.id
 	sim.traceEvent("replace %d by %d", oldID, newID)
@@ -902,7 +902,7 @@
 // checkFinalState checks, at the end of the time without faults, that there is a leader, that every acknowledged command is
 // on record, and that every scheduler that serves has the same workers out as the record.
 func (sim *simulation) checkFinalState() {
-	if len(sim.result.Breaks) > 0 {
+	if len(sim.result.Violations) > 0 {
 		return
 	}
 	leader := sim.leader()
--- a/lab/council/simulation_test.go
+++ b/lab/fleetsim/simulation_test.go
@@ -1,4 +1,4 @@
-package council
+package fleetsim
 
 import (
 	"testing"
@@ -14,14 +14,14 @@
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
-		options := Options{Seed: seed, Voters: 3 + 2*int(seed%2), Agents: 9, Schedulers: 4, For: 15000}
-		r := Play(options)
-		for _, b := range r.Breaks {
+		options := Options{Seed: seed, Voters: 3 + 2*int(seed%2), Agents: 9, Schedulers: 4, FaultsMs: 15000}
+		r := Run(options)
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
-		changes, owners, refused, replaced = changes+r.Changes, owners+r.Owners, refused+r.Refused, replaced+r.Replaced
+		changes, owners, refused, replaced = changes+r.AcknowledgedChanges, owners+r.Claims, refused+r.RefusedCalls, replaced+r.ReplacedVoters
 		if seed < 5 {
-			if again := Play(options); again.Digest != r.Digest {
+			if again := Run(options); again.Digest != r.Digest {
 				t.Errorf("seed %d: two runs differ", seed)
 			}
 		}
@@ -42,13 +42,13 @@
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
-		options := Options{Seed: seed, Voters: 5, Agents: 9, Schedulers: 8, Workers: 4, For: 15000, Ops: true}
-		r := Play(options)
-		for _, b := range r.Breaks {
+		options := Options{Seed: seed, Voters: 5, Agents: 9, Schedulers: 8, Workers: 4, FaultsMs: 15000, Operations: true}
+		r := Run(options)
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
-		if calls, maxOut = calls+r.Calls, max(maxOut, r.Most); seed == 3 {
-			if again := Play(options); again.Digest != r.Digest {
+		if calls, maxOut = calls+r.AgentCalls, max(maxOut, r.MaxOut); seed == 3 {
+			if again := Run(options); again.Digest != r.Digest {
 				t.Error("two runs differ")
 			}
 		}
@@ -62,8 +62,8 @@
 // divided by how many members may be out at once. It took 1.5 to 1.8 times the bound when each of a member's five steps
 // waited for the next tick of the operation's owner or of the member's agent.
 func TestReleaseTimeNearLowerBound(t *testing.T) {
-	r := Play(Options{Seed: 1, Voters: 3, Agents: 8, Schedulers: 40, For: 15000, Ops: true, Calm: true})
-	if tookMS := r.Ended - startupMS; len(r.Breaks) > 0 || r.Least == 0 || tookMS > 1.3*r.Least {
-		t.Errorf("%.1f s, at the least %.1f s, %v", tookMS/1000, r.Least/1000, r.Breaks)
+	r := Run(Options{Seed: 1, Voters: 3, Agents: 8, Schedulers: 40, FaultsMs: 15000, Operations: true, NoFaults: true})
+	if tookMS := r.OperationEndedMs - startupMS; len(r.Violations) > 0 || r.LowerBoundMs == 0 || tookMS > 1.3*r.LowerBoundMs {
+		t.Errorf("%.1f s, at the least %.1f s, %v", tookMS/1000, r.LowerBoundMs/1000, r.Violations)
 	}
 }
