--- a/cmd/beamlab/commands.go
+++ b/cmd/beamlab/commands.go
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	if sets = append(append([]string{}, c.Set...), sets...); len(sets) > 0 {
-		if raw, err = plan.With(raw, sets...); err != nil {
+		if raw, err = plan.WithKeys(raw, sets...); err != nil {
 			return nil, fmt.Errorf("%s: %w", c.File, err)
 		}
 	}
@@ -468,7 +468,7 @@
 func (c *searchCmd) Run(ctx context.Context) error {
 	var plans []*plan.Plan
 	for i := range c.Days {
-		plans = append(plans, plan.Rough(c.From+uint64(i)))
+		plans = append(plans, plan.Random(c.From+uint64(i)))
 	}
 	s := &runner.Search{Policy: c.Policy, Baseline: c.Yardstick, MaxParallel: c.Jobs,
 		Progress: func(text string) { fmt.Fprintln(os.Stderr, "shrunk to", text) }}
@@ -498,7 +498,7 @@
 	}
 	fmt.Printf("%s: %s cut down in %d runs to %d faults, %.0f ms, %d schedulers, %d workers: G %.3f, %.3f below the "+
 		"yardstick, rules broken: %v\n", c.Out, all[0].Plan.Name, worst.Played, len(worst.Plan.Faults),
-		float64(worst.Plan.Length), worst.Plan.Schedulers.Count, worst.Plan.Fleet(), worst.G, worst.Shortfall, worst.Rules)
+		float64(worst.Plan.Length), worst.Plan.Schedulers.Count, worst.Plan.WorkerCount(), worst.G, worst.Shortfall, worst.Rules)
 	if len(worst.Rules) > 0 {
 		return errRuleBroken
 	}
@@ -524,12 +524,12 @@
 	}
 	var tasks []runner.Task
 	for i := range c.Days {
-		p := plan.Rough(c.From + uint64(i))
+		p := plan.Random(c.From + uint64(i))
 		if c.Staff {
-			p = plan.Operated(c.From + uint64(i))
+			p = plan.RandomWithOperators(c.From + uint64(i))
 		}
 		if c.Told {
-			p = plan.Told(c.From + uint64(i))
+			p = plan.RandomWatchFaults(c.From + uint64(i))
 		}
 		tasks = append(tasks, runner.Task{Plan: p, Seed: p.Seed, Policy: c.Policy, Play: play})
 	}
@@ -668,8 +668,8 @@
 func (c *checkCmd) Run() error {
 	p, err := plan.Load(c.File)
 	if err == nil {
-		fmt.Printf("%s: ok, %d schedulers, %d workers, %.1f txns a second\n", c.File, p.Schedulers.Count, p.Fleet(),
-			p.PerSecond())
+		fmt.Printf("%s: ok, %d schedulers, %d workers, %.1f txns a second\n", c.File, p.Schedulers.Count, p.WorkerCount(),
+			p.ArrivalsPerSecond())
 	}
 	return err
 }
--- a/cmd/beamlab/demo.go
+++ b/cmd/beamlab/demo.go
@@ -41,7 +41,7 @@
 			text = fmt.Appendf(text, "%s = %s\n", key, value)
 		}
 	}
-	text, err := plan.With(text, fmt.Sprintf("length=%q", c.For.String()))
+	text, err := plan.WithKeys(text, fmt.Sprintf("length=%q", c.For.String()))
 	if err != nil {
 		return fmt.Errorf("--fault: %w", err)
 	}
@@ -61,7 +61,7 @@
 		Tell: func(text string) { fmt.Fprintf(os.Stderr, "\r%-78s\n", "* "+text) },
 		Serving: func(addr, scheme string) {
 			fmt.Printf("%d workers, %d schedulers and discovery run on loopback until Ctrl-C. An example of a txn that settles:\n\n"+
-				"    curl -d body -H \"Request-Id: $RANDOM\" -H 'Request-Timeout: 5000m' http://%s/%s\n\n", p.Fleet(),
+				"    curl -d body -H \"Request-Id: $RANDOM\" -H 'Request-Timeout: 5000m' http://%s/%s\n\n", p.WorkerCount(),
 				p.Schedulers.Count, addr, scheme)
 		}})
 	if err != nil {
--- a/lab/fleetsim/simulation.go
+++ b/lab/fleetsim/simulation.go
@@ -162,7 +162,7 @@
 	notifiedCommand uint64        // number of the newest command that agents were woken for
 	recordCopy      *fleet.Record // the copy that sharedCopy last made
 	copiedRecord    *fleet.Record // the record that it was made of
-	ops             *operations   // nil without Options.Ops
+	ops             *operations   // nil without Options.Operations
 	leaseTermMS     float64       // by seed either shorter or longer than a leader election takes
 }
 
@@ -184,7 +184,7 @@
 	maxRegisteredAgents = 300 // agents beyond that are not put on record
 )
 
-// Play simulates one run and returns its result. The raft library draws its election timeouts from crypto/rand.Reader,
+// Run simulates one run and returns its result. The raft library draws its election timeouts from crypto/rand.Reader,
 // which is replaced by a generator seeded with Options.Seed for the duration of the run: a process can therefore simulate
 // only one run at a time.
 func Run(options Options) *Result {
--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -174,7 +174,7 @@
 	openJobs        int                              // jobs whose clients are still running
 	clients         sync.WaitGroup                   // running clients
 	schemeRows      []balance.SchemeRow              // all schemes, followed by their twins
-	settingsPhase   plan.Phase                       // of a change of settings at run time: which schemes schedulers are given
+	settingsPhase   plan.RetunePhase                 // of a change of settings at run time: which schemes schedulers are given
 	useTwinSchemes  bool                             // clients send their txns under the twins of the schemes
 	withdrawals     map[string]int                   // by worker: how many maintenances have it out of service
 	crashErr        error
@@ -244,7 +244,7 @@
 }
 
 // currentPhase returns which schemes schedulers are given now.
-func (exp *experiment) currentPhase() plan.Phase {
+func (exp *experiment) currentPhase() plan.RetunePhase {
 	exp.mu.Lock()
 	defer exp.mu.Unlock()
 	return exp.settingsPhase
@@ -306,7 +306,7 @@
 	if i < 0 {
 		return nil
 	}
-	return &load.Job{Scheme: i, Work: exp.plan.Schemes[i].Cost.Expect(), Slots: exp.plan.Schemes[i].Slots}
+	return &load.Job{Scheme: i, Work: exp.plan.Schemes[i].Cost.ExpectedValue(), Slots: exp.plan.Schemes[i].Slots}
 }
 
 // recordPostingEnd tells the auditor of the outcome of a posting, as of beforeMs ago but not before it arrived.
@@ -321,7 +321,7 @@
 func Play(ctx context.Context, p *plan.Plan, seed uint64, opt Options) (*tally.Result, error) {
 	exp := &experiment{plan: p, seed: seed, options: opt, program: opt.Program, dir: opt.Dir,
 		result: tally.New(p, "adus", "sockets", seed), jobsByReference: map[string]*load.Job{}, postingCounts: map[string]int{},
-		cancelFuncs: map[*load.Job]context.CancelFunc{}, schemeRows: p.Rows(), withdrawals: map[string]int{}}
+		cancelFuncs: map[*load.Job]context.CancelFunc{}, schemeRows: p.AllSchemeRows(), withdrawals: map[string]int{}}
 	created := time.Now()
 	exp.startTime.Store(&created)
 	exp.cutsChanged = sync.NewCond(&exp.mu)
@@ -423,8 +423,8 @@
 	exp.auditor = audit.New(terms)
 	keyShelves, checkpointShelves := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
 	meanWork := p.MeanWork()
-	for i, box := range p.Boxes() {
-		wk := &worker{exp: exp, number: i, Box: box, model: machine.New(p.Spec(box.Group, meanWork)), running: p.Workers[box.Group].Joins == 0,
+	for i, box := range p.PlacedWorkers() {
+		wk := &worker{exp: exp, number: i, PlacedWorker: box, model: machine.New(p.Spec(box.Group, meanWork)), running: p.Workers[box.Group].Joins == 0,
 			random: load.Rand(exp.seed, "worker"+box.Name), postings: map[*machine.Job]*posting{}, conns: map[*workerConn]bool{},
 			idempotencyKeys: map[balance.DedupGroup]*machine.Shelf{}}
 		wk.model.Change(exp.wallClockMs(), func() {})
@@ -686,7 +686,7 @@
 		if fault.Do == "twins" {
 			exp.useTwinSchemes = fault.Begin
 		} else {
-			exp.settingsPhase = plan.Phase(fault.Part)
+			exp.settingsPhase = plan.RetunePhase(fault.Part)
 			for _, s := range exp.schedulers {
 				go exp.reload(s)
 			}
--- a/lab/live/schedulers.go
+++ b/lab/live/schedulers.go
@@ -25,14 +25,14 @@
 
 // schedulerSettings returns the settings object of a scheduler's configuration, in the form that README.md describes. Its
 // times are in microseconds. number is the scheduler's.
-func schedulerSettings(p *plan.Plan, number int, phase plan.Phase) map[string]any {
+func schedulerSettings(p *plan.Plan, number int, phase plan.RetunePhase) map[string]any {
 	micros := func(s plan.Span) int64 { return int64(float64(s) * 1000) }
 	var schemes, orgs []map[string]any
 	var kinds []int
 	effects := map[balance.RepeatEffect]string{balance.Repeatable: "retryable", balance.Referenced: "dedup",
 		balance.OnceOnly: "fragile"}
-	rows := p.Rows()
-	for _, i := range p.In(phase) {
+	rows := p.AllSchemeRows()
+	for _, i := range p.SchemesIn(phase) {
 		c := p.Schemes[i%len(p.Schemes)]
 		schemes = append(schemes, map[string]any{"name": rows[i].Name, "effect": effects[rows[i].Effect], "key_scope": c.Group,
 			"window": micros(c.Window), "sla_time": micros(c.SLA), "aim_stretch": c.Stretch, "expiry": micros(c.Expiry),
@@ -47,7 +47,7 @@
 		"surplus_gain": s.OverShare, "weights": p.Discovery.Weights, "zones": p.Zones(), "kinds": p.Kinds(),
 		"schemes": schemes, "orgs": orgs,
 		"domain": map[string]any{"class_kind": kinds, "tells_start": true, "report_x0": "free slots"},
-		"policy_limits": map[string]any{"max_postings": p.PostsIn(phase), "parallel_tries": s.Copies, "cancel": s.Cancels,
+		"policy_limits": map[string]any{"max_postings": p.MaxPostingsIn(phase), "parallel_tries": s.Copies, "cancel": s.Cancels,
 			"max_retry_after": micros(s.Advice), "retry_after": s.Advice > 0, "peers": s.Peers, "probes": s.Probes,
 			"conn_idle": micros(s.Idle), "connect_timeout": micros(s.Dial)},
 		"guarantees": map[string]any{"cold_from": c.From, "cold": micros(c.For), "fall": micros(c.Fall),
--- a/lab/live/workers.go
+++ b/lab/live/workers.go
@@ -22,7 +22,7 @@
 
 // worker stands in for a worker: the model that the simulation uses too, behind one real listener for each scheduler.
 type worker struct {
-	plan.Box
+	plan.PlacedWorker
 	exp              *experiment
 	number           int
 	addrs            []string // by scheduler
@@ -175,7 +175,7 @@
 		post.number = wk.exp.recordPosting(arrivedMs, schedulerNumber, wk, ref)
 	}
 	time.Sleep(wk.exp.network.drawDelay())
-	row := wk.exp.plan.Row(j.Scheme)
+	row := wk.exp.plan.SchemeRow(j.Scheme)
 	job := &machine.Job{Ref: ref, Work: j.Work, Slots: j.Slots, Rank: wk.exp.plan.Schemes[j.Scheme].Gain,
 		Window: row.Window}
 	if row.Effect == balance.Referenced {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -62,7 +62,7 @@
 
 // NewStream returns the stream of jobs that a seed gives.
 func NewStream(p *plan.Plan, seed uint64) *Stream {
-	s := &Stream{plan: p, rand: Rand(seed, "jobs"), baseRate: p.PerSecond() / 1000,
+	s := &Stream{plan: p, rand: Rand(seed, "jobs"), baseRate: p.ArrivalsPerSecond() / 1000,
 		quotaTokens: make([]float64, len(p.Clients.Tenants)), refilledAt: make([]float64, len(p.Clients.Tenants))}
 	for _, c := range p.Schemes {
 		s.schemeParts += c.Part
--- a/lab/plan/check.go
+++ b/lab/plan/check.go
@@ -27,7 +27,7 @@
 	"stop":      {"schedulers", 0},                   // graceful shutdown
 	"reload":    {"schedulers", 0},                   // reads its settings again
 	"maintain":  {"workers", 0},                      // operators take it out, it restarts, and they put it back after For
-	"retune":    {"schedulers", 0},                   // the settings of all schedulers change, and change back after For, see RetuneUse
+	"retune":    {"schedulers", 0},                   // the settings of all schedulers change, and change back after For, see RetuneSwitchMs
 	"clock":     {"schedulers", 2},                   // it is killed, and factor is by how many ms its clock has jumped when it restarts
 	"mute":      {"schedulers", 0},                   // its open watch falls silent, and neither side notices
 	"unwatch":   {"schedulers", 0},                   // the connection of its watch is reset
@@ -143,7 +143,7 @@
 	for i, f := range p.Faults {
 		key := fmt.Sprintf("fault[%d].", i)
 		action, ok := FaultActions[f.Do]
-		kind, _, _, err := Part(f.On)
+		kind, _, _, err := ParseTarget(f.On)
 		switch {
 		case !ok:
 			return invalid(key+"do", "%q is no fault; see docs/lab.md", f.Do)
@@ -173,12 +173,12 @@
 			return invalid(key+"at", "is not before length")
 		}
 		if f.To != "" {
-			if to, _, _, err := Part(f.To); err != nil || to == "clients" || to == "network" {
+			if to, _, _, err := ParseTarget(f.To); err != nil || to == "clients" || to == "network" {
 				return invalid(key+"to", "%q is not workers, schedulers or discovery", f.To)
 			}
 		}
 		if kind == "workers" || kind == "schedulers" {
-			if _, name, zone, _ := Part(f.On); name != "" && kind == "workers" && !groups[name] {
+			if _, name, zone, _ := ParseTarget(f.On); name != "" && kind == "workers" && !groups[name] {
 				return invalid(key+"on", "no workers are named %q", name)
 			} else if zone != "" && !slices.Contains(p.Zones(), zone) {
 				return invalid(key+"on", "no zone is named %q", zone)
@@ -231,9 +231,9 @@
 	return nil
 }
 
-// Part parses the target of a fault: "workers", "schedulers", "discovery", "clients" or "network", then optionally
+// ParseTarget parses the target of a fault: "workers", "schedulers", "discovery", "clients" or "network", then optionally
 // ":NAME" (of a group of workers, or the number of a scheduler) and "@ZONE".
-func Part(on string) (kind, name, zone string, err error) {
+func ParseTarget(on string) (kind, name, zone string, err error) {
 	kind, zone, _ = strings.Cut(on, "@")
 	kind, name, _ = strings.Cut(kind, ":")
 	if !slices.Contains([]string{"workers", "schedulers", "discovery", "clients", "network"}, kind) {
@@ -284,9 +284,9 @@
 	return x
 }
 
-// Expect returns the mean of Draw in milliseconds. It is summed over a uniform grid, so that it includes the effect of
+// ExpectedValue returns the mean of Draw in milliseconds. It is summed over a uniform grid, so that it includes the effect of
 // Least and Most.
-func (l *Distribution) Expect() float64 {
+func (l *Distribution) ExpectedValue() float64 {
 	const n = 200
 	sum := 0.0
 	for i := range n {
--- a/lab/plan/layout.go
+++ b/lab/plan/layout.go
@@ -8,16 +8,16 @@
 	"shalebeam/lab/machine"
 )
 
-// Box is one worker of the fleet. Zone and Kind are indexes in Plan.Zones and Plan.Kinds; cells are numbered from 0.
-type Box struct {
+// PlacedWorker is one worker of the fleet. Zone and Kind are indexes in Plan.Zones and Plan.Kinds; cells are numbered from 0.
+type PlacedWorker struct {
 	Name             string
 	Group            int // index in Plan.Workers
 	Zone, Cell, Kind int
 }
 
-// Boxes returns all workers: a group's workers are assigned to its zones round-robin, and those of one zone fill one
+// PlacedWorkers returns all workers: a group's workers are assigned to its zones round-robin, and those of one zone fill one
 // cell after another.
-func (p *Plan) Boxes() (boxes []Box) {
+func (p *Plan) PlacedWorkers() (placedWorkers []PlacedWorker) {
 	zones, kinds := p.Zones(), p.Kinds()
 	cells := 0
 	for g, w := range p.Workers {
@@ -31,11 +31,11 @@
 			}
 			cell[1]++
 			lastCell[zone] = cell
-			boxes = append(boxes, Box{Name: fmt.Sprintf("%s%d", w.Name, i), Group: g, Zone: zone, Cell: cell[0],
+			placedWorkers = append(placedWorkers, PlacedWorker{Name: fmt.Sprintf("%s%d", w.Name, i), Group: g, Zone: zone, Cell: cell[0],
 				Kind: slices.Index(kinds, w.Kind)})
 		}
 	}
-	return boxes
+	return placedWorkers
 }
 
 // Spec returns the specification of a worker of a group. meanWork is the mean cost of a txn, see MeanWork. The limit
@@ -56,8 +56,8 @@
 var groups = map[string]balance.DedupGroup{"all": balance.GroupAll, "zone": balance.GroupZone,
 	"cell": balance.GroupCell}
 
-// Row returns the settings of scheme i in the form that package balance takes.
-func (p *Plan) Row(i int) balance.SchemeRow {
+// SchemeRow returns the settings of scheme i in the form that package balance takes.
+func (p *Plan) SchemeRow(i int) balance.SchemeRow {
 	c := p.Schemes[i]
 	row := balance.SchemeRow{Name: c.Name, Effect: effects[c.Effect], Group: groups[c.Group], Window: float64(c.Window),
 		SLA: float64(c.SLA), Stretch: c.Stretch, Expiry: float64(c.Expiry), Gain: c.Gain, LateGain: c.Late}
@@ -76,7 +76,7 @@
 		ReportsStart: true, WeightShowsLoad: d.Weights == "live", MaxStayAwayMs: float64(s.Advice),
 		SlowStartInitialShare: c.From, SlowStartMs: float64(c.For), SlowStartWindowMs: float64(c.Fall), SlowStartMultiple: c.Times}
 	for i := range p.Schemes {
-		t.Schemes = append(t.Schemes, p.Row(i))
+		t.Schemes = append(t.Schemes, p.SchemeRow(i))
 	}
 	for _, tenant := range p.Clients.Tenants {
 		t.Quota = append(t.Quota, tenant.Quota)
--- a/lab/plan/plan.go
+++ b/lab/plan/plan.go
@@ -336,17 +336,17 @@
 	return zones
 }
 
-// Fleet returns the number of workers.
-func (p *Plan) Fleet() (n int) {
+// WorkerCount returns the number of workers.
+func (p *Plan) WorkerCount() (n int) {
 	for _, w := range p.Workers {
 		n += w.Count
 	}
 	return n
 }
 
-// PerSecond returns the mean rate of arrivals in txns per second: Clients.Rate or, without it, Clients.Load times
+// ArrivalsPerSecond returns the mean rate of arrivals in txns per second: Clients.Rate or, without it, Clients.Load times
 // the capacity of the workers that run from the start.
-func (p *Plan) PerSecond() float64 {
+func (p *Plan) ArrivalsPerSecond() float64 {
 	if p.Clients.Rate > 0 {
 		return p.Clients.Rate
 	}
@@ -364,7 +364,7 @@
 	weights, work := 0.0, 0.0
 	for _, s := range p.Schemes {
 		weights += s.Part
-		work += s.Part * s.Cost.Expect() * float64(s.Slots)
+		work += s.Part * s.Cost.ExpectedValue() * float64(s.Slots)
 	}
 	return work / weights
 }
--- a/lab/plan/plan_test.go
+++ b/lab/plan/plan_test.go
@@ -94,14 +94,14 @@
 			t.Fatal(err)
 		}
 		q, err := Parse(text)
-		if err != nil || q.Length != p.Length || len(q.Faults) != len(p.Faults) || q.PerSecond() != p.PerSecond() {
+		if err != nil || q.Length != p.Length || len(q.Faults) != len(p.Faults) || q.ArrivalsPerSecond() != p.ArrivalsPerSecond() {
 			t.Errorf("%s: read back from Plan.Text: %v", f, err)
 		}
 	}
 }
 
 func TestWithSetsKeys(t *testing.T) {
-	raw, err := With([]byte(validPlan), "clients.load=0.9", "workers.w.count=7", "fault.0.at=2s", "schedulers.copies=true")
+	raw, err := WithKeys([]byte(validPlan), "clients.load=0.9", "workers.w.count=7", "fault.0.at=2s", "schedulers.copies=true")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,13 +110,13 @@
 		t.Errorf("%+v %v", p, err)
 	}
 	for _, set := range []string{"clients", "workers.v.count=1", "name.x=1"} {
-		if _, err := With([]byte(validPlan), set); err == nil {
+		if _, err := WithKeys([]byte(validPlan), set); err == nil {
 			t.Errorf("With accepted %s", set)
 		}
 	}
 }
 
-// The mean of Draw is Expect, from which the offered load is computed.
+// The mean of Draw is ExpectedValue, from which the offered load is computed.
 func TestDrawHasExpectedMean(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for _, l := range []Distribution{{Law: "fixed", Mean: 50}, {Law: "exp", Mean: 100}, {Law: "exp", Mean: 100, Most: 150},
@@ -126,7 +126,7 @@
 		for range n {
 			sum += l.Draw(r.Float64(), r.Float64())
 		}
-		if got, want := sum/float64(n), l.Expect(); math.Abs(got/want-1) > 0.03 {
+		if got, want := sum/float64(n), l.ExpectedValue(); math.Abs(got/want-1) > 0.03 {
 			t.Errorf("%+v: mean %.1f, Expect returns %.1f", l, got, want)
 		}
 	}
--- a/lab/plan/random.go
+++ b/lab/plan/random.go
@@ -5,10 +5,10 @@
 	"math/rand/v2"
 )
 
-// Rough returns a small random plan that depends on the seed alone: a few schedulers and workers with varying
+// Random returns a small random plan that depends on the seed alone: a few schedulers and workers with varying
 // settings, a scheme of each effect, and one to eight faults that may overlap. Many such plans are played to find
 // violations of the auditor's rules.
-func Rough(seed uint64) *Plan {
+func Random(seed uint64) *Plan {
 	r := rand.New(rand.NewPCG(seed, 0x726f756768)) // stream "rough" in ASCII
 	intBetween := func(from, to int) int { return from + r.IntN(to-from+1) }
 	spanBetween := func(from, to int) Span { return Span(intBetween(from, to)) }
@@ -73,10 +73,10 @@
 	return p
 }
 
-// Operated returns Rough's plan of a seed with operator actions added: workers are taken out for maintenance and the
+// RandomWithOperators returns Random's plan of a seed with operator actions added: workers are taken out for maintenance and the
 // settings change.
-func Operated(seed uint64) *Plan {
-	p := Rough(seed)
+func RandomWithOperators(seed uint64) *Plan {
+	p := Random(seed)
 	r := rand.New(rand.NewPCG(seed, 0x7374616666)) // stream "staff" in ASCII
 	timeWithin := func(part float64) Span { return Span(float64(int(part * r.Float64() * float64(p.Length)))) }
 	for range 1 + r.IntN(3) {
@@ -90,10 +90,10 @@
 	return p
 }
 
-// Told returns a random plan, of 2 to 350 schedulers, in which schedulers learn late or never that workers leave:
+// RandomWatchFaults returns a random plan, of 2 to 350 schedulers, in which schedulers learn late or never that workers leave:
 // watches fall silent, are reset or moved, or discovery is down or cut off, while workers drain.
-func Told(seed uint64) *Plan {
-	p := Rough(seed)
+func RandomWatchFaults(seed uint64) *Plan {
+	p := Random(seed)
 	r := rand.New(rand.NewPCG(seed, 0x746f6c64)) // stream "told" in ASCII
 	spanBetween := func(from, to int) Span { return Span(from + r.IntN(to-from+1)) }
 	n := []int{2, 3, 6, 8, 20, 60, 150, 350}[r.IntN(8)]
--- a/lab/plan/with.go
+++ b/lab/plan/with.go
@@ -9,10 +9,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// With returns an experiment file's text with some keys changed. A change is written as "clients.load=0.9",
+// WithKeys returns an experiment file's text with some keys changed. A change is written as "clients.load=0.9",
 // "workers.w.count=40" or "fault.0.at=5s": members of a list are given by name or by index. The value is read as TOML
 // and, if it is not valid TOML, as plain text. Only Parse checks the keys and their values.
-func With(raw []byte, sets ...string) ([]byte, error) {
+func WithKeys(raw []byte, sets ...string) ([]byte, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(raw, &tree); err != nil {
 		return nil, tomlError(err)
--- a/lab/runner/runner_test.go
+++ b/lab/runner/runner_test.go
@@ -15,7 +15,7 @@
 func TestResultsDoNotDependOnParallelism(t *testing.T) {
 	var tasks []Task
 	for seed := range uint64(10) {
-		p := plan.Rough(100 + seed)
+		p := plan.Random(100 + seed)
 		p.Length = 4000
 		p.Faults = slices.DeleteFunc(p.Faults, func(f plan.Fault) bool { return f.At >= p.Length })
 		tasks = append(tasks, Task{Plan: p, Seed: seed, Policy: "adus"}, Task{Plan: p, Seed: seed, Policy: "two"})
@@ -40,7 +40,7 @@
 // When the context ends, the result of a run that has begun is partial, and that of one that has not is nil.
 func TestStoppedRunsArePartial(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	p := plan.Rough(1)
+	p := plan.Random(1)
 	tasks := []Task{{Plan: p, Seed: 1, Policy: "adus"}, {Plan: p, Seed: 2, Policy: "adus"}, {Plan: p, Seed: 3, Policy: "adus"}}
 	tasks[1].Play = func(ctx context.Context, x Task) (*tally.Result, error) {
 		stop()
@@ -74,7 +74,7 @@
 	if testing.Short() {
 		t.Skip("the short run is for the race detector, and no part of this test runs concurrently")
 	}
-	p := plan.Rough(2)
+	p := plan.Random(2)
 	p.Length, p.Schedulers.Count = 6000, 3
 	p.Faults = nil
 	for i := range 5 {
--- a/lab/runner/search.go
+++ b/lab/runner/search.go
@@ -128,7 +128,7 @@
 			got.Played = found.Played
 			if s.Progress != nil {
 				s.Progress(fmt.Sprintf("%d faults, %v ms, %d schedulers, %d workers", len(smaller.Faults), smaller.Length,
-					smaller.Schedulers.Count, smaller.Fleet()))
+					smaller.Schedulers.Count, smaller.WorkerCount()))
 			}
 			found, shrunk = got, true
 			break
--- a/lab/script/script.go
+++ b/lab/script/script.go
@@ -19,7 +19,7 @@
 	Begin  bool    // the fault begins; false: it ends
 	Do     string  // name of the fault, such as kill or slow, or a step of a change of settings: phase or twins
 	Kind   string  // of the part: workers, schedulers, discovery, clients, network or settings
-	Part   int     // index among the parts of that kind; with Do phase, the plan.Phase to enter
+	Part   int     // index among the parts of that kind; with Do phase, the plan.RetunePhase to enter
 	Factor float64 // strength of the fault; its meaning and unit depend on Do
 	Cut    *Cut    // the links that are cut, else nil
 	Seed   uint64  // for the random choices that carrying out the fault takes
@@ -43,7 +43,7 @@
 // fault that hits a share of its parts draws which; with Over it hits them one after another, evenly spread over that
 // time.
 func Play(p *plan.Plan, seed uint64) (acts []Act) {
-	boxes := p.Boxes()
+	boxes := p.PlacedWorkers()
 	for i, b := range boxes {
 		if at := p.Workers[b.Group].Joins; at > 0 {
 			acts = append(acts, Act{At: float64(at), Begin: true, Do: "join", Kind: "workers", Part: i})
@@ -66,9 +66,9 @@
 			continue
 		}
 		if f.Do == "retune" {
-			acts = appendRetune(acts, float64(f.At), true, plan.Twins)
+			acts = appendRetune(acts, float64(f.At), true, plan.PhaseTwins)
 			if f.For > 0 {
-				acts = appendRetune(acts, float64(f.At+f.For), false, plan.First)
+				acts = appendRetune(acts, float64(f.At+f.For), false, plan.PhaseOriginal)
 			}
 			continue
 		}
@@ -97,17 +97,17 @@
 	return acts
 }
 
-// appendRetune adds the steps of a settings change that replaces each scheme by its twin (see plan.Plan.Rows), or the twins
+// appendRetune adds the steps of a settings change that replaces each scheme by its twin (see plan.Plan.AllSchemeRows), or the twins
 // by the original schemes: schedulers get both sets, then clients use the new set, then schedulers drop the old set.
-func appendRetune(acts []Act, at float64, twins bool, last plan.Phase) []Act {
-	return append(acts, Act{At: at, Begin: true, Do: "phase", Kind: "settings", Part: int(plan.Both)},
-		Act{At: at + plan.RetuneUse, Begin: twins, Do: "twins", Kind: "settings"},
-		Act{At: at + plan.RetuneDrop, Begin: true, Do: "phase", Kind: "settings", Part: int(last)})
+func appendRetune(acts []Act, at float64, twins bool, last plan.RetunePhase) []Act {
+	return append(acts, Act{At: at, Begin: true, Do: "phase", Kind: "settings", Part: int(plan.PhaseBoth)},
+		Act{At: at + plan.RetuneSwitchMs, Begin: twins, Do: "twins", Kind: "settings"},
+		Act{At: at + plan.RetuneDropMs, Begin: true, Do: "phase", Kind: "settings", Part: int(last)})
 }
 
 // partsNamed lists the parts that the text of a fault's "on" or "to" key names.
-func partsNamed(p *plan.Plan, boxes []plan.Box, on string) (parts []Part) {
-	kind, name, zone, _ := plan.Part(on)
+func partsNamed(p *plan.Plan, boxes []plan.PlacedWorker, on string) (parts []Part) {
+	kind, name, zone, _ := plan.ParseTarget(on)
 	zones := p.Zones()
 	switch kind {
 	case "workers":
--- a/lab/sim/schedulers.go
+++ b/lab/sim/schedulers.go
@@ -160,7 +160,7 @@
 	if attempt.useTwin {
 		scheme += len(s.sim.plan.Schemes)
 	}
-	schemePlace := slices.Index(s.sim.plan.In(s.sim.phase), scheme)
+	schemePlace := slices.Index(s.sim.plan.SchemesIn(s.sim.phase), scheme)
 	if schemePlace < 0 { // the host itself answers that there is no such scheme; the decider is not told
 		s.sim.after(s.sim.net.delay(), func() { s.sim.endAttempt(attempt, load.Reversed, 0) })
 		return
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -55,7 +55,7 @@
 // counts as told after 6 s. This test is known to fail, see docs/design/told.md: if such refusals are not taken as a sign
 // of an outage, G of the experiment herd+mass falls from 0.787 to 0.694, since a discovery that is down shows the same.
 func TestACrowdAfterEndedWatchesIsNotAnOutage(t *testing.T) {
-	for _, r := range playPlans(t, plan.Told, 242, 1, "adus") {
+	for _, r := range playPlans(t, plan.RandomWatchFaults, 242, 1, "adus") {
 		for _, b := range r.Breaks {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
@@ -66,7 +66,7 @@
 // 3,106 ms of work where 3,061 ms are allowed, when capacity was estimated from a high quantile of runs: such hints put
 // the runs whose work they overstate there.
 func TestNoColdWorkerIsOverloadedInRoughPlan874(t *testing.T) {
-	for _, r := range playPlans(t, plan.Rough, 874, 1, "adus") {
+	for _, r := range playPlans(t, plan.Random, 874, 1, "adus") {
 		for _, b := range r.Breaks {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
@@ -77,7 +77,7 @@
 // plays more such plans.
 func TestRoughPlansBreakNoRule(t *testing.T) {
 	txns := 0
-	for _, r := range append(playPlans(t, plan.Rough, 1, 60, "adus"), playPlans(t, plan.Operated, 1, 30, "adus")...) {
+	for _, r := range append(playPlans(t, plan.Random, 1, 60, "adus"), playPlans(t, plan.RandomWithOperators, 1, 30, "adus")...) {
 		for _, b := range r.Breaks {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
@@ -94,12 +94,12 @@
 	for _, b := range policy.Bugs {
 		t.Run(b.Name, func(t *testing.T) {
 			found := 0
-			made := plan.Rough
+			made := plan.Random
 			switch b.Name {
 			case "ignores-staff", "new-rules-for-open":
-				made = plan.Operated
+				made = plan.RandomWithOperators
 			case "late-notice", "asks-late", "skips-last-check", "forgets-removals":
-				made = plan.Told
+				made = plan.RandomWatchFaults
 			}
 			for _, r := range playPlans(t, made, 1, 20, "adus:"+b.Name) {
 				if found += r.Counts[b.Rule]; r.Counts[b.Rule] > 0 && b.Rule != "flooded" && b.Name != "posts-after" {
@@ -120,7 +120,7 @@
 // Two runs of a plan with the same seed give the same result to the byte.
 func TestSameSeedSameBytes(t *testing.T) {
 	for seed := range uint64(6) {
-		p := plan.Rough(seed)
+		p := plan.Random(seed)
 		var got [2][]byte
 		for i := range got {
 			raw, err := json.Marshal(playPlan(t, p, seed, "adus"))
@@ -139,7 +139,7 @@
 func TestPoliciesGetTheSameJobs(t *testing.T) {
 	want := ""
 	for _, name := range policy.Names() {
-		r := playPlan(t, plan.Rough(3), 3, name)
+		r := playPlan(t, plan.Random(3), 3, name)
 		got := ""
 		for _, c := range r.Schemes {
 			got += fmt.Sprint(c.Offered, " ")
@@ -163,7 +163,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw, err = plan.With(raw, fmt.Sprintf("schedulers.count=%d", n), fmt.Sprintf("workers.w.count=%d", n*3/5),
+		raw, err = plan.WithKeys(raw, fmt.Sprintf("schedulers.count=%d", n), fmt.Sprintf("workers.w.count=%d", n*3/5),
 			"schedulers.peer_price=0.1")
 		if err != nil {
 			t.Fatal(err)
@@ -187,7 +187,7 @@
 // No scheduler posts to a draining worker after the change counts as told, even if discovery reports it late or never.
 // beamlab soak --told plays more such plans.
 func TestDrainsAreKeptHoweverDiscoveryReportsThem(t *testing.T) {
-	for _, r := range playPlans(t, plan.Told, 1, 60, "adus") {
+	for _, r := range playPlans(t, plan.RandomWatchFaults, 1, 60, "adus") {
 		for _, b := range r.Breaks {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
--- a/lab/sim/simulation.go
+++ b/lab/sim/simulation.go
@@ -107,8 +107,8 @@
 	result     *tally.Result
 	progress   func(done float64)
 	digest     *xxhash.Digest      // of all decisions
-	rows       []balance.SchemeRow // all schemes, followed by their twins (see plan.Plan.Rows)
-	phase      plan.Phase          // which schemes the schedulers have now
+	rows       []balance.SchemeRow // all schemes, followed by their twins (see plan.Plan.AllSchemeRows)
+	phase      plan.RetunePhase    // which schemes the schedulers have now
 	useTwins   bool                // clients send to the schemes' twins
 	withdrawn  map[string]int      // by worker: maintenance periods that are on, during which staff took it out
 	err        error               // ends the run
@@ -126,7 +126,7 @@
 func Play(ctx context.Context, p *plan.Plan, seed uint64, name string, opt Options) (*tally.Result, error) {
 	sim := &simulation{plan: p, seed: seed, policy: name, attempts: map[int]*attempt{},
 		postings: map[*machine.Job]*posting{}, moreJobs: true, progress: opt.Progress,
-		digest: xxhash.New(), rows: p.Rows(), withdrawn: map[string]int{},
+		digest: xxhash.New(), rows: p.AllSchemeRows(), withdrawn: map[string]int{},
 		result: tally.New(p, name, "simulated", seed), stream: load.NewStream(p, seed)}
 	sim.result.Fleet = &tally.Fleet{}
 	terms := audit.Terms{Copies: p.Schedulers.Copies, MaxPosts: p.Schedulers.MaxPosts, AnswerIn: answerGraceMs,
@@ -167,8 +167,8 @@
 	p := sim.plan
 	idempotencyKeys, checkpoints := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
 	meanWork := p.MeanWork()
-	for i, b := range p.Boxes() {
-		w := &worker{sim: sim, no: i, Box: b, model: machine.New(p.Spec(b.Group, meanWork)),
+	for i, b := range p.PlacedWorkers() {
+		w := &worker{sim: sim, no: i, PlacedWorker: b, model: machine.New(p.Spec(b.Group, meanWork)),
 			up: p.Workers[b.Group].Joins == 0, rand: load.Rand(sim.seed, "worker"+b.Name)}
 		if checkpoints[b.Cell] == nil {
 			checkpoints[b.Cell] = machine.NewShelf()
@@ -339,7 +339,7 @@
 		if a.Do == "twins" {
 			sim.useTwins = a.Begin
 		} else {
-			sim.enterPhase(plan.Phase(a.Part))
+			sim.enterPhase(plan.RetunePhase(a.Part))
 		}
 	case "clients":
 		if a.Do == "cancel" && a.Begin {
@@ -349,7 +349,7 @@
 }
 
 // enterPhase applies the settings of a phase to all schedulers.
-func (sim *simulation) enterPhase(phase plan.Phase) {
+func (sim *simulation) enterPhase(phase plan.RetunePhase) {
 	sim.phase = phase
 	for _, s := range sim.schedulers {
 		if s.alive {
--- a/lab/sim/workers.go
+++ b/lab/sim/workers.go
@@ -12,7 +12,7 @@
 
 // worker is one worker: its model, its process and how it answers schedulers.
 type worker struct {
-	plan.Box
+	plan.PlacedWorker
 	sim             *simulation
 	no              int
 	model           *machine.Machine
