--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -33,25 +33,25 @@
 	DeclinedMayHaveRun  = "declined"     // declined though a posting may have run
 	PostedToDrained     = "drain"        // posted to a worker of whose drain or removal the scheduler was told
 	ColdWorkerOverload  = "flooded"      // a worker in slow start failed under load from schedulers that knew of its start
-	AnswerDelayed       = "held back"    // the scheduler could only answer the txn, and did not within Terms.GivenUp
+	AnswerDelayed       = "held back"    // the scheduler could only answer the txn, and did not within Terms.GiveUpGraceMs
 	ResultNotFromWorker = "made up"      // settled with a result that no worker returned for the txn
 	RanTwice            = "two effects"  // a once-only txn ran twice
 )
 
 // Terms are the settings of the auditor. Times are milliseconds.
 type Terms struct {
-	Schemes  []balance.SchemeRow // a txn is judged by the scheme under which it arrived
-	Copies   bool                // a txn may have two postings in flight
-	MaxPosts int                 // postings that one txn may have in all
-	AnswerIn float64             // a final answer may come this long after the expiry
-	Grace    float64             // a posting may be sent this long after the scheduler was told of the worker's drain
-	MustAsk  float64             // a change counts as known to a scheduler without a watch after this; 0: it never does
-	GivenUp  float64             // a txn for which nothing else can be done is to be answered within this
-	SentIn   float64             // greatest delay after which a posting written to a socket is seen; 0 in simulated time
-	// Late returns by how much the lab itself ran late between two times of the run, and so may have seen what was sent
+	Schemes             []balance.SchemeRow // a txn is judged by the scheme under which it arrived
+	Copies              bool                // a txn may have two postings in flight
+	MaxPosts            int                 // postings that one txn may have in all
+	AnswerGraceMs       float64             // a final answer may come this long after the expiry
+	DrainGraceMs        float64             // a posting may be sent this long after the scheduler was told of the worker's drain
+	KnownWithoutWatchMs float64             // a change counts as known to a scheduler without a watch after this; 0: it never does
+	GiveUpGraceMs       float64             // a txn for which nothing else can be done is to be answered within this
+	SocketDelayMs       float64             // greatest delay after which a posting written to a socket is seen; 0 in simulated time
+	// LabDelayMs returns by how much the lab itself ran late between two times of the run, and so may have seen what was sent
 	// in time too late; nil: it never does.
-	Late          func(from, to float64) float64
-	Keep          string // ref of a txn whose history is kept in any case
+	LabDelayMs    func(from, to float64) float64
+	KeepTxn       string // ref of a txn whose history is kept in any case
 	MaxViolations int    // number that are kept with their text; further ones are only counted. 0: 20
 }
 
@@ -92,9 +92,9 @@
 	no   int    // of the posting; below 0: the event is of no posting
 }
 
-// Staffed reports that operators took a worker out at a scheduler, from the time of the scheduler's confirmation on, or
+// TakenOut reports that operators took a worker out at a scheduler, from the time of the scheduler's confirmation on, or
 // put it back. It outlives restarts of the scheduler's process.
-func (a *Auditor) Staffed(at float64, sched, worker string, out bool) {
+func (a *Auditor) TakenOut(at float64, sched, worker string, out bool) {
 	l := a.takenOut[sched]
 	if l == nil {
 		l = map[string]float64{}
@@ -105,8 +105,8 @@
 	}
 }
 
-// Stood reports that a scheduler's process was paused: in that time it could do nothing that was due.
-func (a *Auditor) Stood(sched string, from, to float64) {
+// SchedulerPaused reports that a scheduler's process was paused: in that time it could do nothing that was due.
+func (a *Auditor) SchedulerPaused(sched string, from, to float64) {
 	a.pauses[sched] = append(a.pauses[sched], [2]float64{from, to})
 }
 
@@ -116,8 +116,8 @@
 	for _, s := range a.pauses[sched] {
 		ms += max(0, min(to, s[1])-max(from, s[0]))
 	}
-	if a.terms.Late != nil {
-		ms += a.terms.Late(from, to)
+	if a.terms.LabDelayMs != nil {
+		ms += a.terms.LabDelayMs(from, to)
 	}
 	return ms
 }
@@ -133,7 +133,7 @@
 type Auditor struct {
 	terms      Terms
 	txns       map[string]*txn               // by ref: the open ones, and those in closed
-	kept       *txn                          // the one named by Terms.Keep
+	kept       *txn                          // the one named by Terms.KeepTxn
 	lists      map[string]map[string]listed  // by scheduler process, by worker
 	takenOut   map[string]map[string]float64 // by scheduler, by worker: when operators took it out
 	closed     []*txn                        // the last closed ones, oldest first
@@ -190,11 +190,11 @@
 	return lines
 }
 
-// Took reports that a scheduler has accepted a txn, which must be answered by the time until.
-func (a *Auditor) Took(at float64, sched, ref string, scheme int, until float64) {
+// Accepted reports that a scheduler has accepted a txn, which must be answered by the time until.
+func (a *Auditor) Accepted(at float64, sched, ref string, scheme int, until float64) {
 	t := &txn{ref: ref, sched: sched, scheme: scheme, takenAt: at, expiresAt: until, stuckAt: math.Inf(1)}
 	a.txns[ref] = t
-	if ref == a.terms.Keep {
+	if ref == a.terms.KeepTxn {
 		a.kept = t
 	}
 	a.taken++
@@ -211,7 +211,7 @@
 	}
 	a.record(t, at, worker, no, "posted")
 	row := &a.terms.Schemes[t.scheme]
-	if t.final != "" && at > t.finalAt+a.terms.SentIn && (a.terms.Late == nil || at > t.finalAt+a.terms.SentIn+a.terms.Late(t.finalAt, at)) {
+	if t.final != "" && at > t.finalAt+a.terms.SocketDelayMs && (a.terms.LabDelayMs == nil || at > t.finalAt+a.terms.SocketDelayMs+a.terms.LabDelayMs(t.finalAt, at)) {
 		a.violated(PostedAfterAnswer, t, at, "posted to %s after its answer", worker)
 	}
 	for _, p := range t.postings {
@@ -239,7 +239,7 @@
 // the scheduler was told that it drains or is removed.
 func (a *Auditor) checkDrained(at float64, sched, ref, worker string) {
 	name, _, _ := strings.Cut(sched, ".") // drops the number of the process, which simulated time does not have
-	if since, ok := a.takenOut[name][worker]; ok && at > since+a.terms.Grace {
+	if since, ok := a.takenOut[name][worker]; ok && at > since+a.terms.DrainGraceMs {
 		a.violated(PostedToDrained, a.txns[ref], at, "%s posted %s to %s, %.0f ms after staff took it out", sched, ref,
 			worker, at-since)
 	}
@@ -247,7 +247,7 @@
 	if c, knownAt, known := a.presumedKnown(at, sched, worker); known {
 		w, ok = listed{c.state, knownAt, c.start}, true
 	}
-	if ok && w.state != balance.Running && at > w.at+a.terms.Grace {
+	if ok && w.state != balance.Running && at > w.at+a.terms.DrainGraceMs {
 		a.violated(PostedToDrained, a.txns[ref], at, "%s posted %s to %s, %.0f ms after it was told of its drain", sched,
 			ref, worker, at-w.at)
 	}
@@ -260,9 +260,9 @@
 	}
 }
 
-// Made reports that a worker has run a posting, and its result. With drop the posting was a repeat that the worker
+// Ran reports that a worker has run a posting, and its result. With drop the posting was a repeat that the worker
 // recognised and did not run.
-func (a *Auditor) Made(at float64, ref string, no int, worker, result string, drop bool) {
+func (a *Auditor) Ran(at float64, ref string, no int, worker, result string, drop bool) {
 	t := a.txns[ref]
 	if t == nil {
 		return
@@ -293,7 +293,7 @@
 	a.record(t, at, "", no, outcomeName(how))
 	// On sockets a result that the worker wrote may never have reached the scheduler, if the worker was killed or cut
 	// off just then. Only the scheduler's answer shows from outside what it knows.
-	if t.final == "" && a.mustAnswer(t) && !(how == balance.Done && a.terms.SentIn > 0) {
+	if t.final == "" && a.mustAnswer(t) && !(how == balance.Done && a.terms.SocketDelayMs > 0) {
 		t.stuckAt = at
 	}
 	a.closeIfDone(t)
@@ -353,7 +353,7 @@
 	}
 	t.final, t.finalAt = kind, at
 	row := &a.terms.Schemes[t.scheme]
-	if at > t.expiresAt+a.terms.AnswerIn {
+	if at > t.expiresAt+a.terms.AnswerGraceMs {
 		a.violated(LostTxn, t, at, "answered %.0f ms after its expiry", at-t.expiresAt)
 	}
 	if kind == Settled && !slices.Contains(t.results, result) {
@@ -368,14 +368,14 @@
 			}
 		}
 	}
-	if kind != Settled && at > t.stuckAt+a.terms.GivenUp && at > t.stuckAt+a.terms.GivenUp+a.excusedMs(t.sched, t.stuckAt, at) {
+	if kind != Settled && at > t.stuckAt+a.terms.GiveUpGraceMs && at > t.stuckAt+a.terms.GiveUpGraceMs+a.excusedMs(t.sched, t.stuckAt, at) {
 		a.violated(AnswerDelayed, t, at, "nothing was left to be done for %.0f ms before it was %s", at-t.stuckAt, kind)
 	}
 	a.closeIfDone(t)
 }
 
-// Left reports that a scheduler has learned that the client of a txn has disconnected: no answer is owed any more.
-func (a *Auditor) Left(at float64, ref string) {
+// ClientLeft reports that a scheduler has learned that the client of a txn has disconnected: no answer is owed any more.
+func (a *Auditor) ClientLeft(at float64, ref string) {
 	if t := a.txns[ref]; t != nil && t.final == "" {
 		t.final, t.finalAt = "left", at
 		a.record(t, at, "", -1, "client left")
@@ -422,24 +422,24 @@
 	l[worker] = listed{state, at, start}
 }
 
-// Knows reports whether the list that a scheduler was told has a worker's start at the time start.
-func (a *Auditor) Knows(sched, worker string, start float64) bool {
+// KnowsStart reports whether the list that a scheduler was told has a worker's start at the time start.
+func (a *Auditor) KnowsStart(sched, worker string, start float64) bool {
 	l, ok := a.lists[sched][worker]
 	return ok && l.start == start
 }
 
-// Fell reports that a worker in slow start failed under its load, which part of that load came from schedulers that
+// WorkerOverloaded reports that a worker in slow start failed under its load, which part of that load came from schedulers that
 // knew of its start, and a description of the load. The rule is violated where that part is above two thirds.
-func (a *Auditor) Fell(at float64, worker string, part float64, why string) {
+func (a *Auditor) WorkerOverloaded(at float64, worker string, part float64, why string) {
 	if part > 2.0/3 {
 		a.violated(ColdWorkerOverload, nil, at, "%s fell over, with %.2f of the pressure from schedulers that knew of its start: %s",
 			worker, part, why)
 	}
 }
 
-// Died reports that a scheduler's process ended. Its open txns are excused where it was killed, and lost where it
+// SchedulerEnded reports that a scheduler's process ended. Its open txns are excused where it was killed, and lost where it
 // stopped as planned.
-func (a *Auditor) Died(at float64, sched string, killed bool) {
+func (a *Auditor) SchedulerEnded(at float64, sched string, killed bool) {
 	delete(a.lists, sched)
 	for _, ref := range a.sortedRefs() {
 		t := a.txns[ref]
@@ -471,7 +471,7 @@
 // Close ends the run: a txn without an answer past its expiry is lost.
 func (a *Auditor) Close(at float64) {
 	for _, ref := range a.sortedRefs() {
-		if t := a.txns[ref]; t.final == "" && !t.orphaned && at > t.expiresAt+a.terms.AnswerIn {
+		if t := a.txns[ref]; t.final == "" && !t.orphaned && at > t.expiresAt+a.terms.AnswerGraceMs {
 			a.violated(LostTxn, t, at, "it has no answer, %.0f ms after its expiry", at-t.expiresAt)
 		}
 	}
@@ -483,10 +483,10 @@
 // Counts returns the number of all violations by rule.
 func (a *Auditor) Counts() map[string]int { return a.counts }
 
-// Taken returns the number of txns that schedulers accepted.
-func (a *Auditor) Taken() int { return a.taken }
+// TxnCount returns the number of txns that schedulers accepted.
+func (a *Auditor) TxnCount() int { return a.taken }
 
-// History returns the events of the txn that Terms.Keep names, one a line.
+// History returns the events of the txn that Terms.KeepTxn names, one a line.
 func (a *Auditor) History() []string {
 	if a.kept == nil {
 		return nil
--- a/lab/audit/listknowledge.go
+++ b/lab/audit/listknowledge.go
@@ -11,7 +11,7 @@
 //     of discovery, a change counts 4 s after that. In both cases a change made after that time counts at once, until an
 //     answer is written.
 //   - If the scheduler has no watch, a change that it was not told of, also one from before its process began, counts
-//     after Terms.MustAsk, from when the change was made or, if that is later, from the scheduler's last call, but at
+//     after Terms.KnownWithoutWatchMs, from when the change was made or, if that is later, from the scheduler's last call, but at
 //     the latest 6 s after the change was made. While discovery is down no change counts in this way, and the times run
 //     anew from when it is back.
 //
@@ -43,21 +43,21 @@
 	a.changes[worker] = append(a.changes[worker], change{at, seq, state, start})
 }
 
-// Hears reports that a scheduler's process starts with version seq of the list.
-func (a *Auditor) Hears(at float64, sched string, seq int) {
+// ProcessStarted reports that a scheduler's process starts with version seq of the list.
+func (a *Auditor) ProcessStarted(at float64, sched string, seq int) {
 	a.watches[sched] = &watch{seq: seq, calledAt: at, allKnownAt: -1}
 }
 
-// Asked reports that a scheduler called discovery: with anew for a new watch, else to renew its watch.
-func (a *Auditor) Asked(at float64, sched string, anew bool) {
+// DiscoveryCalled reports that a scheduler called discovery: with anew for a new watch, else to renew its watch.
+func (a *Auditor) DiscoveryCalled(at float64, sched string, anew bool) {
 	if w := a.watches[sched]; w != nil {
 		w.calledAt, w.on = at, w.on && !anew
 	}
 }
 
-// Wrote reports that discovery wrote all changes up to version seq to a scheduler. An answer from a former address of
+// ListWritten reports that discovery wrote all changes up to version seq to a scheduler. An answer from a former address of
 // discovery does not end the watch's silence.
-func (a *Auditor) Wrote(sched string, seq int, former bool) {
+func (a *Auditor) ListWritten(sched string, seq int, former bool) {
 	if w := a.watches[sched]; w != nil {
 		if w.seq = max(w.seq, seq); !former {
 			w.on, w.allKnownAt = true, -1
@@ -65,20 +65,22 @@
 	}
 }
 
-// Unwatched reports that a scheduler's watch ended, or that a call for one failed.
-func (a *Auditor) Unwatched(sched string) {
+// WatchEnded reports that a scheduler's watch ended, or that a call for one failed.
+func (a *Auditor) WatchEnded(sched string) {
 	if w := a.watches[sched]; w != nil {
 		w.on = false
 	}
 }
 
-// Muted reports that a scheduler's watch fell silent. Its call was made at called and may wait for wait ms.
-func (a *Auditor) Muted(at float64, sched string, called, wait float64) {
+// WatchSilent reports that a scheduler's watch fell silent. Its call was made at called and may wait for wait ms.
+func (a *Auditor) WatchSilent(at float64, sched string, called, wait float64) {
 	a.knowsAllFrom(sched, max(at+silentKnownMs, called+wait+afterCallWaitMs))
 }
 
-// Moved reports that a scheduler was told of a new address of discovery.
-func (a *Auditor) Moved(at float64, sched string) { a.knowsAllFrom(sched, at+newAddressKnownMs) }
+// AddressChanged reports that a scheduler was told of a new address of discovery.
+func (a *Auditor) AddressChanged(at float64, sched string) {
+	a.knowsAllFrom(sched, at+newAddressKnownMs)
+}
 
 // knowsAllFrom has every change count as known to a scheduler from a time on, or from an earlier one if that is set.
 func (a *Auditor) knowsAllFrom(sched string, at float64) {
@@ -87,8 +89,8 @@
 	}
 }
 
-// Down reports that discovery went down or came back.
-func (a *Auditor) Down(at float64, down bool) {
+// DiscoveryDown reports that discovery went down or came back.
+func (a *Auditor) DiscoveryDown(at float64, down bool) {
 	if a.discoveryDown = down; !down {
 		a.discoveryUpAt = at
 	}
@@ -105,8 +107,8 @@
 		if w.allKnownAt >= 0 && at >= max(w.allKnownAt, all[i].at) {
 			return all[i], max(w.allKnownAt, all[i].at), true
 		}
-		knownAt := min(max(all[i].at, w.calledAt, a.discoveryUpAt)+a.terms.MustAsk, max(all[i].at, a.discoveryUpAt)+silentKnownMs)
-		if a.terms.MustAsk > 0 && !w.on && !a.discoveryDown && at >= knownAt {
+		knownAt := min(max(all[i].at, w.calledAt, a.discoveryUpAt)+a.terms.KnownWithoutWatchMs, max(all[i].at, a.discoveryUpAt)+silentKnownMs)
+		if a.terms.KnownWithoutWatchMs > 0 && !w.on && !a.discoveryDown && at >= knownAt {
 			return all[i], knownAt, true
 		}
 	}
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -125,7 +125,7 @@
 	}
 	exp.setHeaders(request, j, ref, expiryMs)
 	process := s.processName()
-	exp.recordEvent(func(at float64) { exp.auditor.Took(at, process, ref, scheme, expiresMs) })
+	exp.recordEvent(func(at float64) { exp.auditor.Accepted(at, process, ref, scheme, expiresMs) })
 	response, err := s.httpClient.Do(request)
 	var result []byte
 	if err == nil {
@@ -182,7 +182,9 @@
 // scheduler's process ended.
 func (exp *experiment) classifyFailure(ctx context.Context, ref string, err error, sent bool) string {
 	// Recorded later than it happened, because the scheduler learns of it with a delay.
-	withdraw := func() { exp.recordEventAt(exp.nowMs()+inTransitMs, func(at float64) { exp.auditor.Left(at, ref) }) }
+	withdraw := func() {
+		exp.recordEventAt(exp.nowMs()+inTransitMs, func(at float64) { exp.auditor.ClientLeft(at, ref) })
+	}
 	switch {
 	case ctx.Err() != nil:
 		withdraw()
--- a/lab/live/discovery.go
+++ b/lab/live/discovery.go
@@ -178,7 +178,7 @@
 	rows := d.entriesLocked(schedulerNumber, 0, true)
 	d.recordToldLocked(schedulerNumber, rows)
 	name, version := d.exp.schedulers[schedulerNumber].processName(), d.version
-	d.exp.recordEvent(func(at float64) { d.exp.auditor.Hears(at, name, version) })
+	d.exp.recordEvent(func(at float64) { d.exp.auditor.ProcessStarted(at, name, version) })
 	raw, err := json.Marshal(map[string]any{"seq": d.version, "whole": true, "hosts": rows})
 	if err != nil {
 		return nil
@@ -232,7 +232,7 @@
 	s.discoveryAddr = addr
 	s.mu.Unlock()
 	name := s.processName()
-	d.exp.recordEvent(func(at float64) { d.exp.auditor.Moved(at, name) })
+	d.exp.recordEvent(func(at float64) { d.exp.auditor.AddressChanged(at, name) })
 	d.exp.reload(s)
 	old.listener.Close()
 	d.mu.Lock()
@@ -252,10 +252,10 @@
 		}
 		if called, wait := conn.calledMs, conn.waitMs; silently {
 			conn.muted = true
-			d.exp.recordEvent(func(at float64) { d.exp.auditor.Muted(at, name, called, wait) })
+			d.exp.recordEvent(func(at float64) { d.exp.auditor.WatchSilent(at, name, called, wait) })
 		} else {
 			conn.conn.Close()
-			d.exp.recordEvent(func(float64) { d.exp.auditor.Unwatched(name) })
+			d.exp.recordEvent(func(float64) { d.exp.auditor.WatchEnded(name) })
 		}
 	}
 }
@@ -297,7 +297,7 @@
 		delete(conn.endpoint.conns, conn)
 		d.mu.Unlock()
 	}()
-	d.exp.recordEvent(func(at float64) { d.exp.auditor.Asked(at, name, !renewal) })
+	d.exp.recordEvent(func(at float64) { d.exp.auditor.DiscoveryCalled(at, name, !renewal) })
 	if !renewal {
 		d.waitForTurn()
 	}
@@ -318,7 +318,7 @@
 		}
 		if d.down {
 			d.mu.Unlock()
-			d.exp.recordEvent(func(float64) { d.exp.auditor.Unwatched(name) })
+			d.exp.recordEvent(func(float64) { d.exp.auditor.WatchEnded(name) })
 			w.Header().Set("Connection", "close")
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
@@ -332,7 +332,7 @@
 			}
 			rows, version, former := d.entriesLocked(schedulerNumber, after, whole), d.version, conn.endpoint.former
 			d.recordToldLocked(schedulerNumber, rows)
-			d.exp.recordEvent(func(float64) { d.exp.auditor.Wrote(name, version, former) })
+			d.exp.recordEvent(func(float64) { d.exp.auditor.ListWritten(name, version, former) })
 			conn.watching = true
 			d.mu.Unlock()
 			d.reply(w, version, whole, rows)
@@ -381,7 +381,7 @@
 		}
 	case "down":
 		d.down = fault.Begin
-		d.exp.recordEvent(func(at float64) { d.exp.auditor.Down(at, fault.Begin) })
+		d.exp.recordEvent(func(at float64) { d.exp.auditor.DiscoveryDown(at, fault.Begin) })
 		if !fault.Begin {
 			for _, c := range d.deferred {
 				d.applyChangeLocked(c.worker, c.state, c.startMs)
--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -108,7 +108,7 @@
 // again.
 func (f *Fleet) Out(worker string, out bool) {
 	for _, s := range f.exp.schedulers {
-		f.exp.recordEvent(func(at float64) { f.exp.auditor.Staffed(at, s.id(), worker, out) })
+		f.exp.recordEvent(func(at float64) { f.exp.auditor.TakenOut(at, s.id(), worker, out) })
 	}
 }
 
@@ -140,7 +140,7 @@
 	if from, name := f.exp.nowMs(), s.processName(); s.signal(syscall.SIGSTOP) {
 		time.AfterFunc(duration, func() {
 			// Recorded before the events that follow SIGCONT.
-			f.exp.recordEvent(func(at float64) { f.exp.auditor.Stood(name, from, at) })
+			f.exp.recordEvent(func(at float64) { f.exp.auditor.SchedulerPaused(name, from, at) })
 			s.signal(syscall.SIGCONT)
 		})
 	}
@@ -411,14 +411,14 @@
 	p := exp.plan
 	// Parallel postings are allowed here even where the plan forbids them: a worker sees the end of a connection too late for
 	// the lab to judge whether two postings were outstanding at the same time.
-	terms := audit.Terms{Copies: true, MaxPosts: p.Schedulers.MaxPosts, AnswerIn: lateAnswerLimitMs,
-		Grace: float64(p.Discovery.Grace) + drainGraceMarginMs, GivenUp: stuckAnswerLimitMs, SentIn: hangUpDelayMs, Keep: exp.options.Keep,
-		Late: exp.maxLabDelayMs}
+	terms := audit.Terms{Copies: true, MaxPosts: p.Schedulers.MaxPosts, AnswerGraceMs: lateAnswerLimitMs,
+		DrainGraceMs: float64(p.Discovery.Grace) + drainGraceMarginMs, GiveUpGraceMs: stuckAnswerLimitMs, SocketDelayMs: hangUpDelayMs, KeepTxn: exp.options.Keep,
+		LabDelayMs: exp.maxLabDelayMs}
 	go exp.watchLabDelay()
 	terms.Schemes = exp.schemeRows
 	// Where agents start the processes, the lab does not see exactly when they start.
 	if exp.options.Mark == "" && p.Discovery.Mode != "push" {
-		terms.MustAsk = float64(p.Discovery.MustAsk)
+		terms.KnownWithoutWatchMs = float64(p.Discovery.MustAsk)
 	}
 	exp.auditor = audit.New(terms)
 	keyShelves, checkpointShelves := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
@@ -535,7 +535,7 @@
 		exp.stop()
 	}
 	// Recorded later than it was noticed, because an answer that the process wrote may still be in transit to its client.
-	exp.recordEventAt(exp.nowMs()+inTransitMs, func(at float64) { exp.auditor.Died(at, process, killed) })
+	exp.recordEventAt(exp.nowMs()+inTransitMs, func(at float64) { exp.auditor.SchedulerEnded(at, process, killed) })
 	exp.afterMs(float64(exp.plan.Clients.FrontLag), func() {
 		s.mu.Lock()
 		if s.cmd == nil {
--- a/lab/live/schedulers.go
+++ b/lab/live/schedulers.go
@@ -228,13 +228,13 @@
 	defer s.operatorCalls.Unlock()
 	for s.exp.ctx.Err() == nil && s.exp.isWithdrawn(worker) == out {
 		if !out {
-			s.exp.recordEvent(func(at float64) { s.exp.auditor.Staffed(at, s.id(), worker, false) })
+			s.exp.recordEvent(func(at float64) { s.exp.auditor.TakenOut(at, s.id(), worker, false) })
 		}
 		response, err := s.httpClient.Post("http://"+s.managementAddr+"/ops/workers/"+call, "text/plain", strings.NewReader(worker))
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode == 200 && out {
-				s.exp.recordEvent(func(at float64) { s.exp.auditor.Staffed(at, s.id(), worker, true) })
+				s.exp.recordEvent(func(at float64) { s.exp.auditor.TakenOut(at, s.id(), worker, true) })
 			}
 			if response.StatusCode == 200 {
 				return
--- a/lab/live/workers.go
+++ b/lab/live/workers.go
@@ -261,7 +261,7 @@
 		wk.random.Float64() < wk.lateShare, wk.random.Float64() < wk.wrongIDShare
 	wk.mu.Unlock()
 	result := post.reference + " by " + wk.Name
-	wk.exp.recordPostingEvent(post, func(at float64) { wk.exp.auditor.Made(at, post.reference, post.number, wk.Name, result, note.Drop) })
+	wk.exp.recordPostingEvent(post, func(at float64) { wk.exp.auditor.Ran(at, post.reference, post.number, wk.Name, result, note.Drop) })
 	fields := wk.loadReport()
 	fields["result"] = result
 	switch {
@@ -333,7 +333,7 @@
 	}
 	if collapsed {
 		share, reason := wk.model.Blame, wk.model.Tipped
-		wk.exp.recordEvent(func(at float64) { wk.exp.auditor.Fell(at, wk.Name, share, reason) })
+		wk.exp.recordEvent(func(at float64) { wk.exp.auditor.WorkerOverloaded(at, wk.Name, share, reason) })
 		wk.stopProcess(false)
 		go wk.exp.discovery.announce(wk, balance.Removed)
 		wk.exp.afterMs(float64(wk.exp.plan.Cold.Down), wk.restart)
--- a/lab/sim/discovery.go
+++ b/lab/sim/discovery.go
@@ -170,7 +170,7 @@
 // makeCall makes a scheduler's call, on its connection or on a new one, which is up after a round trip.
 func (d *discovery) makeCall(s *scheduler, call watch.Call) {
 	conn := s.conn
-	d.sim.auditor.Asked(d.sim.now, s.name, conn == nil)
+	d.sim.auditor.DiscoveryCalled(d.sim.now, s.name, conn == nil)
 	if conn != nil {
 		d.sim.result.Fleet.Renewals++
 		d.sendCall(conn, call)
@@ -272,7 +272,7 @@
 		// For the auditor the scheduler has the list from when it was written. What a network cut holds back is no
 		// exception: it was written on a watch that had fallen silent.
 		conn.answerInFlight = false
-		d.sim.auditor.Wrote(s.name, version, conn.formerAddress)
+		d.sim.auditor.ListWritten(s.name, version, conn.formerAddress)
 		d.sim.auditListed(writtenAt, s, rows)
 		if whole {
 			d.sim.auditListed(writtenAt, s, removed)
@@ -321,7 +321,7 @@
 		d.sim.result.Fleet.Failed++
 	}
 	conn.scheduler.conn = nil
-	d.sim.auditor.Unwatched(conn.scheduler.name)
+	d.sim.auditor.WatchEnded(conn.scheduler.name)
 	if conn.reset {
 		failure = watch.ConnectionFailed
 	}
@@ -399,7 +399,7 @@
 func (d *discovery) silence(conn *connection) {
 	wasSilent := conn.silent
 	if conn.silent = true; conn.watching && !wasSilent && conn == conn.scheduler.conn {
-		d.sim.auditor.Muted(d.sim.now, conn.scheduler.name, conn.sentAt, conn.call.WaitMs)
+		d.sim.auditor.WatchSilent(d.sim.now, conn.scheduler.name, conn.sentAt, conn.call.WaitMs)
 	}
 }
 
@@ -409,7 +409,7 @@
 	if !s.alive {
 		return
 	}
-	d.sim.auditor.Moved(d.sim.now, s.name)
+	d.sim.auditor.AddressChanged(d.sim.now, s.name)
 	s.watch.DiscoveryMoved(s.clock())
 	if conn := s.conn; conn != nil {
 		conn.formerAddress = true
@@ -426,7 +426,7 @@
 		d.extraLag += signOf(a) * a.Factor
 	case a.Do == "down" && a.Begin:
 		d.down, d.busyUntil = true, 0
-		d.sim.auditor.Down(d.sim.now, true)
+		d.sim.auditor.DiscoveryDown(d.sim.now, true)
 		for _, s := range d.sim.schedulers {
 			s.pushQueued = false
 			if conn := s.conn; s.alive && conn != nil && !conn.silent {
@@ -436,7 +436,7 @@
 		}
 	case a.Do == "down":
 		d.down = false
-		d.sim.auditor.Down(d.sim.now, false)
+		d.sim.auditor.DiscoveryDown(d.sim.now, false)
 		for _, entry := range d.pending {
 			d.recordChange(entry)
 		}
--- a/lab/sim/schedulers.go
+++ b/lab/sim/schedulers.go
@@ -118,7 +118,7 @@
 	if s.decider = s.sim.newDecider(s.no, s.generation); s.decider == nil {
 		return
 	}
-	s.sim.auditor.Hears(s.sim.now, s.name, s.listVersion)
+	s.sim.auditor.ProcessStarted(s.sim.now, s.name, s.listVersion)
 	s.sim.auditListed(s.sim.now, s, s.sim.discovery.listAt(s.listVersion))
 	s.followWatch() // tells the decider how long the list may be relied on, before it gets the list
 	s.applyList(s.sim.discovery.listAt(s.listVersion), true)
@@ -167,7 +167,7 @@
 	}
 	txn := &openTxn{ref: attempt.ref, attempt: attempt, scheme: scheme, until: min(expiry, s.stopBy)}
 	s.txns[txn.ref] = txn
-	s.sim.auditor.Took(s.sim.now, s.name, txn.ref, txn.scheme, txn.until)
+	s.sim.auditor.Accepted(s.sim.now, s.name, txn.ref, txn.scheme, txn.until)
 	s.decider.Arrived(s.clock(), balance.Txn{Ref: txn.ref, Scheme: schemePlace, Tenant: attempt.job.Tenant,
 		Key: attempt.job.Key, Hint: attempt.job.Hint, Slots: float64(attempt.job.Slots), TimeLeftMs: expiry - s.sim.now,
 		Repeat: attempt.job.Tries > 0})
@@ -198,7 +198,7 @@
 		return
 	}
 	txn.closed = true
-	s.sim.auditor.Left(s.sim.now, ref)
+	s.sim.auditor.ClientLeft(s.sim.now, ref)
 	s.decider.TxnClosed(s.clock(), ref)
 	s.forgetIfDone(txn)
 	s.runDecisions()
@@ -579,7 +579,7 @@
 		return
 	}
 	s.alive = false
-	s.sim.auditor.Died(s.sim.now, s.name, killed)
+	s.sim.auditor.SchedulerEnded(s.sim.now, s.name, killed)
 	for _, ref := range sortedRefs(s.txns) {
 		txn := s.txns[ref]
 		attempt := txn.attempt
--- a/lab/sim/simulation.go
+++ b/lab/sim/simulation.go
@@ -129,8 +129,8 @@
 		digest: xxhash.New(), rows: p.AllSchemeRows(), withdrawn: map[string]int{},
 		result: tally.New(p, name, "simulated", seed), stream: load.NewStream(p, seed)}
 	sim.result.Fleet = &tally.Fleet{}
-	terms := audit.Terms{Copies: p.Schedulers.Copies, MaxPosts: p.Schedulers.MaxPosts, AnswerIn: answerGraceMs,
-		Grace: float64(p.Discovery.Grace), MustAsk: mustAskMs(p), GivenUp: giveUpGraceMs, Keep: opt.Keep}
+	terms := audit.Terms{Copies: p.Schedulers.Copies, MaxPosts: p.Schedulers.MaxPosts, AnswerGraceMs: answerGraceMs,
+		DrainGraceMs: float64(p.Discovery.Grace), KnownWithoutWatchMs: mustAskMs(p), GiveUpGraceMs: giveUpGraceMs, KeepTxn: opt.Keep}
 	terms.Schemes = sim.rows
 	sim.auditor = audit.New(terms)
 	sim.net.init(sim)
@@ -374,7 +374,7 @@
 	sim.withdrawn[w.Name] = max(sim.withdrawn[w.Name]+int(signOf(a)), 0)
 	if sim.withdrawn[w.Name] == 1 && a.Begin || sim.withdrawn[w.Name] == 0 {
 		for _, s := range sim.schedulers {
-			sim.auditor.Staffed(sim.now, s.name, w.Name, a.Begin)
+			sim.auditor.TakenOut(sim.now, s.name, w.Name, a.Begin)
 			if s.alive {
 				s.applyWithdrawal(w.Name, a.Begin)
 				s.runDecisions()
--- a/lab/sim/workers.go
+++ b/lab/sim/workers.go
@@ -58,7 +58,7 @@
 	scheme := &w.sim.plan.Schemes[p.txn.attempt.job.Scheme]
 	row := w.sim.rows[p.txn.scheme]
 	job := &machine.Job{Ref: p.txn.ref, Work: p.txn.attempt.job.Work, Slots: p.txn.attempt.job.Slots, Rank: scheme.Gain,
-		Window: float64(scheme.Window), Warned: w.sim.auditor.Knows(p.scheduler.name, w.Name, w.model.Start)}
+		Window: float64(scheme.Window), Warned: w.sim.auditor.KnowsStart(p.scheduler.name, w.Name, w.model.Start)}
 	if row.Effect == balance.Referenced {
 		job.Mark = p.txn.attempt.job.Mark
 	}
@@ -133,14 +133,14 @@
 	case machine.Settled:
 		if w.rand.Float64() < w.errorRate {
 			if w.rand.Float64() < 0.5 { // half of them fail after they had their effect; the scheduler cannot tell which
-				w.sim.auditor.Made(w.sim.now, p.txn.ref, p.no, w.Name, "", note.Drop)
+				w.sim.auditor.Ran(w.sim.now, p.txn.ref, p.no, w.Name, "", note.Drop)
 			}
 			w.addWasted(note.Job)
 			reportEnd(balance.Failed)
 			return
 		}
 		result := p.txn.ref + " by " + w.Name
-		w.sim.auditor.Made(w.sim.now, p.txn.ref, p.no, w.Name, result, note.Drop)
+		w.sim.auditor.Ran(w.sim.now, p.txn.ref, p.no, w.Name, result, note.Drop)
 		p.ranUnused = !note.Drop
 		if w.rand.Float64() < w.wrongIDRate {
 			reportEnd(balance.Reset) // a scheduler that reads the id of another txn closes the connection
@@ -210,7 +210,7 @@
 
 // goDown ends the process of a cold worker that was overloaded, and schedules its restart.
 func (w *worker) goDown() {
-	w.sim.auditor.Fell(w.sim.now, w.Name, w.model.Blame, w.model.Tipped)
+	w.sim.auditor.WorkerOverloaded(w.sim.now, w.Name, w.model.Blame, w.model.Tipped)
 	w.endProcess(false)
 	w.sim.discovery.setState(w, balance.Removed)
 	w.sim.after(float64(w.sim.plan.Cold.Down), w.restart)
