--- a/cmd/beamlab/commands.go
+++ b/cmd/beamlab/commands.go
@@ -183,11 +183,11 @@
 		fmt.Fprintf(w, "  %-16s %8d %8d %8d %9d %9d %9d %7.3f\n", c.Name, c.Offered, c.InTime, c.Late, c.Declined,
 			c.Reversed, c.NoAnswer, c.G)
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		fmt.Fprintln(w, " ", b)
 	}
 	if n := r.ViolationCount(); n > 0 {
-		fmt.Fprintf(w, "  rules broken: %v\n", r.Counts)
+		fmt.Fprintf(w, "  rules broken: %v\n", r.ViolationCounts)
 	}
 }
 
@@ -547,7 +547,7 @@
 		}
 		days, jobs, postings = days+1, jobs+r.Offered, postings+r.Postings
 		decisions.WriteString(r.Decisions)
-		for rule, n := range r.Counts {
+		for rule, n := range r.ViolationCounts {
 			rules[rule] += n
 		}
 		if r.ViolationCount() > 0 {
--- a/lab/cluster/day.go
+++ b/lab/cluster/day.go
@@ -247,7 +247,7 @@
 	if result != nil {
 		d.report.Postings = result.Postings
 		unsure := d.unsureLives()
-		for _, b := range result.Breaks {
+		for _, b := range result.Violations {
 			if text := b.String(); !strings.Contains(text, "staff took it out") || !unsure.MatchString(text) {
 				d.report.Breaks = append(d.report.Breaks, "txns: "+text)
 			}
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -45,7 +45,7 @@
 	defer exp.mu.Unlock()
 	delete(exp.cancelFuncs, j)
 	exp.openJobs--
-	exp.result.Over(exp.plan, j, exp.nowMs())
+	exp.result.JobEnded(exp.plan, j, exp.nowMs())
 	if exp.options.Outcome != nil {
 		exp.options.Outcome(j)
 	}
--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -576,7 +576,7 @@
 			continue
 		}
 		exp.mu.Lock()
-		exp.result.Came(j)
+		exp.result.JobArrived(j)
 		exp.openJobs++
 		exp.mu.Unlock()
 		exp.clients.Go(func() { exp.runClient(j) })
@@ -608,7 +608,7 @@
 		s.readMaxMemory()
 	}
 	exp.mu.Lock()
-	exp.result.Look(exp.nowMs(), exp.openJobs, capacity)
+	exp.result.Sample(exp.nowMs(), exp.openJobs, capacity)
 	exp.mu.Unlock()
 	if exp.options.Progress != nil {
 		exp.options.Progress(min(exp.nowMs()/float64(exp.plan.Length), 1))
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -134,7 +134,7 @@
 			t.Errorf("job %d is not over: %+v", j.No, j)
 		}
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	jobs := 0
@@ -174,8 +174,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Schemes[1].Reversed < 10 || r.Counts["held back"] > 0 {
-		t.Errorf("%d reversed, expected at least 10; breaks by rule %v, expected none held back", r.Schemes[1].Reversed, r.Counts)
+	if r.Schemes[1].Reversed < 10 || r.ViolationCounts["held back"] > 0 {
+		t.Errorf("%d reversed, expected at least 10; breaks by rule %v, expected none held back", r.Schemes[1].Reversed, r.ViolationCounts)
 	}
 }
 
@@ -195,8 +195,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Counts["made up"] == 0 || r.Counts["made up"] != r.Offered {
-		t.Errorf("breaks by rule %v, expected %d made up, one for each job", r.Counts, r.Offered)
+	if r.ViolationCounts["made up"] == 0 || r.ViolationCounts["made up"] != r.Offered {
+		t.Errorf("breaks by rule %v, expected %d made up, one for each job", r.ViolationCounts, r.Offered)
 	}
 }
 
--- a/lab/sim/clients.go
+++ b/lab/sim/clients.go
@@ -28,7 +28,7 @@
 	}
 	sim.at(j.At, func() {
 		sim.openJobs++
-		sim.result.Came(j)
+		sim.result.JobArrived(j)
 		sim.startAttempt(j)
 		sim.scheduleNextJob()
 	})
@@ -97,7 +97,7 @@
 	retryAt, again := j.Answered(sim.plan, sim.now, outcome, retryAfter)
 	if !again {
 		sim.openJobs--
-		sim.result.Over(sim.plan, j, sim.now)
+		sim.result.JobEnded(sim.plan, j, sim.now)
 		return
 	}
 	sim.at(retryAt, func() { sim.startAttempt(j) })
@@ -114,7 +114,7 @@
 	}
 	j.Over, j.Got = true, load.Left // between two attempts
 	sim.openJobs--
-	sim.result.Over(sim.plan, j, sim.now)
+	sim.result.JobEnded(sim.plan, j, sim.now)
 }
 
 // massCancel makes a random share of all waiting clients leave at once.
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -56,7 +56,7 @@
 // of an outage, G of the experiment herd+mass falls from 0.787 to 0.694, since a discovery that is down shows the same.
 func TestACrowdAfterEndedWatchesIsNotAnOutage(t *testing.T) {
 	for _, r := range playPlans(t, plan.RandomWatchFaults, 242, 1, "adus") {
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
 	}
@@ -67,7 +67,7 @@
 // the runs whose work they overstate there.
 func TestNoColdWorkerIsOverloadedInRoughPlan874(t *testing.T) {
 	for _, r := range playPlans(t, plan.Random, 874, 1, "adus") {
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
 	}
@@ -78,7 +78,7 @@
 func TestRoughPlansBreakNoRule(t *testing.T) {
 	txns := 0
 	for _, r := range append(playPlans(t, plan.Random, 1, 60, "adus"), playPlans(t, plan.RandomWithOperators, 1, 30, "adus")...) {
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
 		txns += r.Offered
@@ -102,8 +102,8 @@
 				made = plan.RandomWatchFaults
 			}
 			for _, r := range playPlans(t, made, 1, 20, "adus:"+b.Name) {
-				if found += r.Counts[b.Rule]; r.Counts[b.Rule] > 0 && b.Rule != "flooded" && b.Name != "posts-after" {
-					for _, x := range r.Breaks {
+				if found += r.ViolationCounts[b.Rule]; r.ViolationCounts[b.Rule] > 0 && b.Rule != "flooded" && b.Name != "posts-after" {
+					for _, x := range r.Violations {
 						if x.Rule == b.Rule && len(x.History) == 0 {
 							t.Errorf("%s has no history", x)
 						}
@@ -188,7 +188,7 @@
 // beamlab soak --told plays more such plans.
 func TestDrainsAreKeptHoweverDiscoveryReportsThem(t *testing.T) {
 	for _, r := range playPlans(t, plan.RandomWatchFaults, 1, 60, "adus") {
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			t.Errorf("%s: %s", r.Plan, b)
 		}
 	}
--- a/lab/sim/simulation.go
+++ b/lab/sim/simulation.go
@@ -208,7 +208,7 @@
 			capacity += w.model.Capacity(epochMs+sim.now) * w.model.Speed * w.model.Slow
 		}
 	}
-	sim.result.Look(sim.now, sim.openJobs, capacity)
+	sim.result.Sample(sim.now, sim.openJobs, capacity)
 	sim.after(1000, sim.sampleEachSecond)
 }
 
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -16,31 +16,31 @@
 
 // Result holds the measurements of one run.
 type Result struct {
-	Plan      string                  `json:"plan"`
-	Policy    string                  `json:"policy"`
-	Way       string                  `json:"way"` // how it was played: simulated or sockets
-	Seed      uint64                  `json:"seed"`
-	Partial   bool                    `json:"partial,omitempty"` // the run was stopped early
-	G         float64                 `json:"g"`                 // gain earned as a part of the gain offered
-	Offered   int                     `json:"offered"`           // number of jobs
-	Schemes   []Scheme                `json:"schemes"`
-	Latency   Latency                 `json:"latency_ms"`
-	Curve     [][2]float64            `json:"curve"` // points of a plot: a part of the settled jobs, and the latency in ms below which it lies
-	Postings  int                     `json:"postings"`
-	Fleet     *Fleet                  `json:"fleet,omitempty"`         // only in simulated time
-	Busy      float64                 `json:"busy"`                    // part of the fleet's core time that was used
-	Wasted    float64                 `json:"wasted"`                  // part of that time whose result nobody received
-	Ended     int                     `json:"ended_ms"`                // when the run ended
-	Steps     int                     `json:"steps"`                   // events of simulated time
-	Decisions string                  `json:"decisions,omitempty"`     // digest of all decisions, only in simulated time
-	Memory    int                     `json:"memory_kb,omitempty"`     // greatest resident size of a scheduler's process, only on sockets
-	Counts    map[string]int          `json:"breaks"`                  // violations by rule
-	Breaks    []audit.Violation       `json:"break_stories,omitempty"` // the first violations, with their histories
-	History   []string                `json:"history,omitempty"`       // of the txn that was to be traced
-	Seconds   []Second                `json:"seconds,omitempty"`
-	latencies *hdrhistogram.Histogram // of settled jobs, in microseconds
-	offered   float64                 // gain
-	earned    float64                 // gain
+	Plan            string                  `json:"plan"`
+	Policy          string                  `json:"policy"`
+	Way             string                  `json:"way"` // how it was played: simulated or sockets
+	Seed            uint64                  `json:"seed"`
+	Partial         bool                    `json:"partial,omitempty"` // the run was stopped early
+	G               float64                 `json:"g"`                 // gain earned as a part of the gain offered
+	Offered         int                     `json:"offered"`           // number of jobs
+	Schemes         []Scheme                `json:"schemes"`
+	Latency         Latency                 `json:"latency_ms"`
+	Curve           [][2]float64            `json:"curve"` // points of a plot: a part of the settled jobs, and the latency in ms below which it lies
+	Postings        int                     `json:"postings"`
+	Fleet           *Fleet                  `json:"fleet,omitempty"`         // only in simulated time
+	Busy            float64                 `json:"busy"`                    // part of the fleet's core time that was used
+	Wasted          float64                 `json:"wasted"`                  // part of that time whose result nobody received
+	Ended           int                     `json:"ended_ms"`                // when the run ended
+	Steps           int                     `json:"steps"`                   // events of simulated time
+	Decisions       string                  `json:"decisions,omitempty"`     // digest of all decisions, only in simulated time
+	Memory          int                     `json:"memory_kb,omitempty"`     // greatest resident size of a scheduler's process, only on sockets
+	ViolationCounts map[string]int          `json:"breaks"`                  // violations by rule
+	Violations      []audit.Violation       `json:"break_stories,omitempty"` // the first violations, with their histories
+	History         []string                `json:"history,omitempty"`       // of the txn that was to be traced
+	Seconds         []Second                `json:"seconds,omitempty"`
+	latencies       *hdrhistogram.Histogram // of settled jobs, in microseconds
+	offered         float64                 // gain
+	earned          float64                 // gain
 }
 
 // Fleet counts the messages of all schedulers together, other than postings.
@@ -92,7 +92,7 @@
 
 // New returns an empty result. way is how the run is played, see Result.Way.
 func New(p *plan.Plan, policy, way string, seed uint64) *Result {
-	r := &Result{Plan: p.Name, Policy: policy, Way: way, Seed: seed, Counts: map[string]int{},
+	r := &Result{Plan: p.Name, Policy: policy, Way: way, Seed: seed, ViolationCounts: map[string]int{},
 		latencies: hdrhistogram.New(1, 3600*1000*1000, 3)}
 	for _, c := range p.Schemes {
 		r.Schemes = append(r.Schemes, Scheme{Name: c.Name})
@@ -109,8 +109,8 @@
 	return &r.Seconds[i]
 }
 
-// Came counts a job that arrived.
-func (r *Result) Came(j *load.Job) {
+// JobArrived counts a job that arrived.
+func (r *Result) JobArrived(j *load.Job) {
 	c := &r.Schemes[j.Scheme]
 	c.Offered++
 	c.offered += j.Worth
@@ -119,8 +119,8 @@
 	r.second(j.At).Came++
 }
 
-// Over counts a job that ended.
-func (r *Result) Over(p *plan.Plan, j *load.Job, at float64) {
+// JobEnded counts a job that ended.
+func (r *Result) JobEnded(p *plan.Plan, j *load.Job, at float64) {
 	c, s := &r.Schemes[j.Scheme], r.second(at)
 	c.Tries += j.Tries
 	switch {
@@ -148,8 +148,8 @@
 	}
 }
 
-// Look records the number of open jobs and the fleet's capacity in cores at a time.
-func (r *Result) Look(at float64, open int, capacity float64) {
+// Sample records the number of open jobs and the fleet's capacity in cores at a time.
+func (r *Result) Sample(at float64, open int, capacity float64) {
 	s := r.second(at)
 	s.Open, s.Capacity = open, round(capacity)
 }
@@ -170,15 +170,15 @@
 		}
 	}
 	r.Ended = int(at)
-	r.Breaks, r.History = a.Violations(), a.History()
+	r.Violations, r.History = a.Violations(), a.History()
 	for rule, n := range a.Counts() {
-		r.Counts[rule] = n
+		r.ViolationCounts[rule] = n
 	}
 }
 
 // ViolationCount returns the number of violations of all rules.
 func (r *Result) ViolationCount() (n int) {
-	for _, k := range r.Counts {
+	for _, k := range r.ViolationCounts {
 		n += k
 	}
 	return n
@@ -186,7 +186,7 @@
 
 // Rules returns the names of the violated rules, sorted.
 func (r *Result) Rules() (names []string) {
-	for rule := range r.Counts {
+	for rule := range r.ViolationCounts {
 		names = append(names, rule)
 	}
 	slices.Sort(names)
