--- a/lab/live/discovery.go
+++ b/lab/live/discovery.go
@@ -161,7 +161,7 @@
 		weight := wk.model.Cores * wk.model.Speed
 		if d.exp.plan.Discovery.Weights == "live" {
 			wk.mu.Lock()
-			weight /= 1 + float64(wk.model.Holds())/wk.model.Cores
+			weight /= 1 + float64(wk.model.JobCount())/wk.model.Cores
 			wk.mu.Unlock()
 		}
 		rows = append(rows, map[string]any{"host": wk.Name, "dial": wk.addrs[schedulerNumber], "site": zones[wk.Zone],
--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -421,24 +421,24 @@
 		terms.KnownWithoutWatchMs = float64(p.Discovery.MustAsk)
 	}
 	exp.auditor = audit.New(terms)
-	keyShelves, checkpointShelves := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
+	keyStores, checkpointStores := map[string]*machine.SharedStore{}, map[int]*machine.SharedStore{}
 	meanWork := p.MeanWork()
 	for i, box := range p.PlacedWorkers() {
 		wk := &worker{exp: exp, number: i, PlacedWorker: box, model: machine.New(p.Spec(box.Group, meanWork)), running: p.Workers[box.Group].Joins == 0,
 			random: load.Rand(exp.seed, "worker"+box.Name), postings: map[*machine.Job]*posting{}, conns: map[*workerConn]bool{},
-			idempotencyKeys: map[balance.DedupGroup]*machine.Shelf{}}
-		wk.model.Change(exp.wallClockMs(), func() {})
+			idempotencyKeys: map[balance.DedupGroup]*machine.SharedStore{}}
+		wk.model.ApplyChange(exp.wallClockMs(), func() {})
 		wk.freeSlotReadings = [2]float64{float64(wk.model.Slots), float64(wk.model.Slots)}
-		if checkpointShelves[box.Cell] == nil {
-			checkpointShelves[box.Cell] = machine.NewShelf()
+		if checkpointStores[box.Cell] == nil {
+			checkpointStores[box.Cell] = machine.NewSharedStore()
 		}
-		wk.model.Saves = checkpointShelves[box.Cell]
+		wk.model.Checkpoints = checkpointStores[box.Cell]
 		for g, key := range map[balance.DedupGroup]string{balance.GroupAll: "all",
 			balance.GroupZone: fmt.Sprint("zone", box.Zone), balance.GroupCell: fmt.Sprint("cell", box.Cell)} {
-			if keyShelves[key] == nil {
-				keyShelves[key] = machine.NewShelf()
+			if keyStores[key] == nil {
+				keyStores[key] = machine.NewSharedStore()
 			}
-			wk.idempotencyKeys[g] = keyShelves[key]
+			wk.idempotencyKeys[g] = keyStores[key]
 		}
 		if err := wk.listen(); err != nil {
 			return err
@@ -600,7 +600,7 @@
 	for _, wk := range exp.workers {
 		wk.mu.Lock()
 		if wk.running {
-			capacity += wk.model.Capacity(wk.clockMs()) * wk.model.Speed * wk.model.Slow
+			capacity += wk.model.Capacity(wk.clockMs()) * wk.model.Speed * wk.model.SpeedFactor
 		}
 		wk.mu.Unlock()
 	}
@@ -621,7 +621,7 @@
 	for _, wk := range exp.workers {
 		wk.mu.Lock()
 		wk.model.Advance(wk.clockMs())
-		exp.result.Busy += wk.model.Busy() / wk.model.Speed / max(at*min(wk.model.Cores, float64(wk.model.Slots)), 1) / float64(len(exp.workers))
+		exp.result.Busy += wk.model.WorkDone() / wk.model.Speed / max(at*min(wk.model.Cores, float64(wk.model.Slots)), 1) / float64(len(exp.workers))
 		wk.mu.Unlock()
 	}
 	exp.result.Busy = math.Round(exp.result.Busy*1e4) / 1e4
--- a/lab/live/workers.go
+++ b/lab/live/workers.go
@@ -28,9 +28,9 @@
 	addrs            []string // by scheduler
 	mu               sync.Mutex
 	model            *machine.Machine
-	running          bool                                  // its process runs
-	vanished         bool                                  // its machine sends nothing, and its connections stay open
-	idempotencyKeys  map[balance.DedupGroup]*machine.Shelf // keys that were carried out, shared with the other workers of each group
+	running          bool                                        // its process runs
+	vanished         bool                                        // its machine sends nothing, and its connections stay open
+	idempotencyKeys  map[balance.DedupGroup]*machine.SharedStore // keys that were carried out, shared with the other workers of each group
 	random           *rand.Rand
 	timer            *time.Timer // for the model's next step
 	postings         map[*machine.Job]*posting
@@ -177,19 +177,19 @@
 	time.Sleep(wk.exp.network.drawDelay())
 	row := wk.exp.plan.SchemeRow(j.Scheme)
 	job := &machine.Job{Ref: ref, Work: j.Work, Slots: j.Slots, Rank: wk.exp.plan.Schemes[j.Scheme].Gain,
-		Window: row.Window}
+		DedupWindowMs: row.Window}
 	if row.Effect == balance.Referenced {
-		job.Mark = r.Header.Get("Idempotency-Key")
+		job.IdempotencyKey = r.Header.Get("Idempotency-Key")
 	}
 	wk.mu.Lock()
 	start := wk.model.Start
 	wk.mu.Unlock()
 	// Called without wk.mu, because discovery's lock must be taken before a worker's.
-	job.Warned = wk.exp.discovery.wasToldStart(schedulerNumber, wk.Name, start)
+	job.SenderKnewStart = wk.exp.discovery.wasToldStart(schedulerNumber, wk.Name, start)
 	wk.mu.Lock()
 	wk.postings[job] = post
-	wk.model.Marks = wk.idempotencyKeys[row.Group]
-	wk.model.Take(wk.clockMs(), job)
+	wk.model.IdempotencyKeys = wk.idempotencyKeys[row.Group]
+	wk.model.Submit(wk.clockMs(), job)
 	wk.deliverNotes()
 	wk.mu.Unlock()
 	wk.streamStates(w, r, job, post)
@@ -219,7 +219,7 @@
 	for {
 		select {
 		case note := <-post.notes:
-			switch note.What {
+			switch note.Event {
 			case machine.Began:
 				wk.exp.recordPostingEvent(post, func(at float64) { wk.exp.auditor.Began(at, post.reference, post.number, wk.Name) })
 				send("started", nil)
@@ -243,7 +243,7 @@
 			wk.exp.recordPostingEnd(post, balance.Cancelled, hangUpDelayMs)
 			wk.mu.Lock()
 			delete(wk.postings, job)
-			wk.model.Drop(wk.clockMs(), job)
+			wk.model.Cancel(wk.clockMs(), job)
 			wk.deliverNotes()
 			wk.mu.Unlock()
 			return
@@ -261,7 +261,9 @@
 		wk.random.Float64() < wk.lateShare, wk.random.Float64() < wk.wrongIDShare
 	wk.mu.Unlock()
 	result := post.reference + " by " + wk.Name
-	wk.exp.recordPostingEvent(post, func(at float64) { wk.exp.auditor.Ran(at, post.reference, post.number, wk.Name, result, note.Drop) })
+	wk.exp.recordPostingEvent(post, func(at float64) {
+		wk.exp.auditor.Ran(at, post.reference, post.number, wk.Name, result, note.Deduplicated)
+	})
 	fields := wk.loadReport()
 	fields["result"] = result
 	switch {
@@ -322,17 +324,17 @@
 // deliverNotes passes the notes of the model on to the handlers of their postings, ends the process where the model collapsed
 // under load, and sets the timer for the model's next step. wk.mu is held.
 func (wk *worker) deliverNotes() {
-	collapsed := wk.model.Fell && wk.running
+	collapsed := wk.model.Overloaded && wk.running
 	for note, ok := wk.model.NextNote(); ok; note, ok = wk.model.NextNote() {
 		if post := wk.postings[note.Job]; post != nil {
 			post.notes <- note // never blocks: a posting gets at most one note that it began and one that it ended
-			if note.What != machine.Began {
+			if note.Event != machine.Began {
 				delete(wk.postings, note.Job)
 			}
 		}
 	}
 	if collapsed {
-		share, reason := wk.model.Blame, wk.model.Tipped
+		share, reason := wk.model.KnowingShare, wk.model.OverloadText
 		wk.exp.recordEvent(func(at float64) { wk.exp.auditor.WorkerOverloaded(at, wk.Name, share, reason) })
 		wk.stopProcess(false)
 		go wk.exp.discovery.announce(wk, balance.Removed)
@@ -434,11 +436,11 @@
 			wk.stopProcess(false)
 		}
 	case "pause":
-		wk.model.Change(now, func() { wk.model.Paused = fault.Begin })
+		wk.model.ApplyChange(now, func() { wk.model.Paused = fault.Begin })
 	case "slow":
-		wk.model.Change(now, func() { wk.model.Slow = choose(fault.Factor, 1) })
+		wk.model.ApplyChange(now, func() { wk.model.SpeedFactor = choose(fault.Factor, 1) })
 	case "neighbour":
-		wk.model.Change(now, func() { wk.model.Taken = choose(fault.Factor, 0) })
+		wk.model.ApplyChange(now, func() { wk.model.NeighbourShare = choose(fault.Factor, 0) })
 	case "erring":
 		wk.failedShare = choose(fault.Factor, 0)
 	case "twice":
--- a/lab/machine/machine.go
+++ b/lab/machine/machine.go
@@ -15,34 +15,34 @@
 
 // Spec holds the parameters of a worker, which stay the same across its restarts.
 type Spec struct {
-	Cores, Speed float64 // Speed is the work in milliseconds that a core does in one millisecond
-	Slots, Queue int     // Slots are for running jobs, which may take several each; Queue is how many jobs may wait
-	Order        string  // of the queue: fifo, backfill or priority
-	RunsOn       bool    // a cancelled job still runs to its end
-	HandBack     bool    // a drain returns the queued jobs to their senders
-	ColdFrom     float64 // capacity right after a start, as a share of the full capacity
-	ColdFor      float64 // slow start: time from a start to full capacity, in milliseconds
-	Fall         float64 // window over which load on a cold worker is summed, in milliseconds
-	FallTimes    float64 // a cold worker goes down at more than this multiple of its capacity over that window, see coldBudget
-	MeanWork     float64 // mean work of a request, in milliseconds of one core at speed 1
-	Checkpoint   float64 // work between two checkpoints of a job, in milliseconds at speed 1; 0: no checkpoints
+	Cores, Speed         float64 // Speed is the work in milliseconds that a core does in one millisecond
+	Slots, Queue         int     // Slots are for running jobs, which may take several each; Queue is how many jobs may wait
+	Order                string  // of the queue: fifo, backfill or priority
+	IgnoresCancel        bool    // a cancelled job still runs to its end
+	ReturnsQueuedOnDrain bool    // a drain returns the queued jobs to their senders
+	ColdFrom             float64 // capacity right after a start, as a share of the full capacity
+	ColdFor              float64 // slow start: time from a start to full capacity, in milliseconds
+	OverloadWindowMs     float64 // window over which load on a cold worker is summed, in milliseconds
+	OverloadMultiple     float64 // a cold worker goes down at more than this multiple of its capacity over that window, see coldBudget
+	MeanWork             float64 // mean work of a request, in milliseconds of one core at speed 1
+	Checkpoint           float64 // work between two checkpoints of a job, in milliseconds at speed 1; 0: no checkpoints
 }
 
 // Job is one posting as its worker sees it.
 type Job struct {
-	Ref, Token string  // Ref is the reference of the txn; Token distinguishes postings of one txn
-	Work       float64 // running time on a core of its own at speed 1, in milliseconds
-	Slots      int     // slots that it occupies while it runs
-	Rank       float64 // with Order priority, the job with the greatest rank runs first
-	Mark       string  // idempotency key, by which the group of workers drops repeats; "": none
-	Window     float64 // how long after a run repeats of Mark are dropped, in milliseconds
-	Warned     bool    // its sender knew of the worker's last start
-	workDone   float64 // of Work
-	began      bool    // it has started to run
-	arrivedAt  float64 // when it reached the worker
+	Ref, Token      string  // Ref is the reference of the txn; Token distinguishes postings of one txn
+	Work            float64 // running time on a core of its own at speed 1, in milliseconds
+	Slots           int     // slots that it occupies while it runs
+	Rank            float64 // with Order priority, the job with the greatest rank runs first
+	IdempotencyKey  string  // idempotency key, by which the group of workers drops repeats; "": none
+	DedupWindowMs   float64 // how long after a run repeats of IdempotencyKey are dropped, in milliseconds
+	SenderKnewStart bool    // its sender knew of the worker's last start
+	workDone        float64 // of Work
+	began           bool    // it has started to run
+	arrivedAt       float64 // when it reached the worker
 }
 
-// Values of Note.What.
+// Values of Note.Event.
 const (
 	Began    = "began"    // the job started to run
 	Settled  = "settled"  // the job ran to its end
@@ -52,31 +52,31 @@
 
 // Note notifies the caller of a change of one job.
 type Note struct {
-	What string
-	Job  *Job
-	Drop bool // settled without a run: an earlier job with the same idempotency key had already run
+	Event        string
+	Job          *Job
+	Deduplicated bool // settled without a run: an earlier job with the same idempotency key had already run
 }
 
-// Shelf is a key-value store that several workers share: the idempotency keys that a group has carried out, with the
+// SharedStore is a key-value store that several workers share: the idempotency keys that a group has carried out, with the
 // time of the run, or the checkpoints of a cell, with the work done. Workers share nothing else. It is locked because
 // on real sockets each worker runs in goroutines of its own.
-type Shelf struct {
+type SharedStore struct {
 	mu     sync.Mutex
 	values map[string]float64
 }
 
-// NewShelf returns an empty store.
-func NewShelf() *Shelf { return &Shelf{values: map[string]float64{}} }
+// NewSharedStore returns an empty store.
+func NewSharedStore() *SharedStore { return &SharedStore{values: map[string]float64{}} }
 
 // get returns the value stored under a name, and whether there is one.
-func (s *Shelf) get(name string) (float64, bool) {
+func (s *SharedStore) get(name string) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x, ok := s.values[name]
 	return x, ok
 }
 
-func (s *Shelf) put(name string, x float64) {
+func (s *SharedStore) put(name string, x float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.values[name] = x
@@ -85,22 +85,22 @@
 // Machine is the state of one worker.
 type Machine struct {
 	Spec
-	Start          float64 // time of its last start; 0: so long ago that it is warm
-	Slow           float64 // factor on Speed; 1: not slowed
-	Taken          float64 // share of its cores that other tenants of the host use
-	Paused         bool    // its process stands still
-	Draining       bool
-	Marks          *Shelf  // time of the last run by idempotency key, shared by the group; nil: repeats are not dropped
-	Saves          *Shelf  // work done up to the last checkpoint by txn reference, shared by the cell
-	Fell           bool    // it was overloaded while cold, and is down
-	Blame          float64 // share of that overload that came from senders who knew of its start
-	Tipped         string  // description of that overload
-	running        []*Job
-	queue          []*Job
-	recentArrivals []arrival // during the last Fall milliseconds, while cold
-	advancedTo     float64   // time up to which the state is worked out
-	notes          []Note    // not pulled yet
-	workDone       float64   // in slot-milliseconds at speed 1
+	Start           float64 // time of its last start; 0: so long ago that it is warm
+	SpeedFactor     float64 // factor on Speed; 1: not slowed
+	NeighbourShare  float64 // share of its cores that other tenants of the host use
+	Paused          bool    // its process stands still
+	Draining        bool
+	IdempotencyKeys *SharedStore // time of the last run by idempotency key, shared by the group; nil: repeats are not dropped
+	Checkpoints     *SharedStore // work done up to the last checkpoint by txn reference, shared by the cell
+	Overloaded      bool         // it was overloaded while cold, and is down
+	KnowingShare    float64      // share of that overload that came from senders who knew of its start
+	OverloadText    string       // description of that overload
+	running         []*Job
+	queue           []*Job
+	recentArrivals  []arrival // during the last OverloadWindowMs milliseconds, while cold
+	advancedTo      float64   // time up to which the state is worked out
+	notes           []Note    // not pulled yet
+	workDone        float64   // in slot-milliseconds at speed 1
 }
 
 // smallBudget is the number of requests allowed in a window below which the tolerance for random bunching is larger
@@ -114,14 +114,14 @@
 }
 
 // New returns a warm worker without jobs.
-func New(s Spec) *Machine { return &Machine{Spec: s, Slow: 1} }
+func New(s Spec) *Machine { return &Machine{Spec: s, SpeedFactor: 1} }
 
 // Capacity returns how many cores the worker can use now: none while paused or down, a growing share during slow start.
 func (m *Machine) Capacity(now float64) float64 {
-	if m.Paused || m.Fell {
+	if m.Paused || m.Overloaded {
 		return 0
 	}
-	c := m.Cores * (1 - m.Taken)
+	c := m.Cores * (1 - m.NeighbourShare)
 	if m.Start > 0 && now < m.Start+m.ColdFor {
 		c *= m.ColdFrom + (1-m.ColdFrom)*max(now-m.Start, 0)/m.ColdFor
 	}
@@ -139,8 +139,8 @@
 // Free counts the free slots.
 func (m *Machine) Free() int { return m.Slots - m.SlotsInUse() }
 
-// Holds counts its jobs, running and queued.
-func (m *Machine) Holds() int { return len(m.running) + len(m.queue) }
+// JobCount counts its jobs, running and queued.
+func (m *Machine) JobCount() int { return len(m.running) + len(m.queue) }
 
 // RemainingWork returns the work left of its running and queued jobs, in slot-milliseconds at speed 1.
 func (m *Machine) RemainingWork() (work float64) {
@@ -153,9 +153,9 @@
 	return work
 }
 
-// Busy returns the work done since the worker was made, in slot-milliseconds at speed 1. Divided by Speed it is the
+// WorkDone returns the work done since the worker was made, in slot-milliseconds at speed 1. Divided by Speed it is the
 // time for which slots were in use at full speed.
-func (m *Machine) Busy() float64 { return m.workDone }
+func (m *Machine) WorkDone() float64 { return m.workDone }
 
 // workRate returns the work that each running job gets done in a millisecond per slot: that of one core, or less where
 // the jobs have more slots than there are cores.
@@ -164,7 +164,7 @@
 	if n == 0 {
 		return 0
 	}
-	return min(1, m.Capacity(now)/n) * m.Speed * m.Slow
+	return min(1, m.Capacity(now)/n) * m.Speed * m.SpeedFactor
 }
 
 // rampStepMs is the interval at which the work rate of a cold worker is recomputed, as its capacity grows.
@@ -204,10 +204,10 @@
 		}
 		anyEnded = true
 		m.removeRunning(j)
-		if j.Mark != "" && m.Marks != nil {
-			m.Marks.put(j.Mark, m.advancedTo)
+		if j.IdempotencyKey != "" && m.IdempotencyKeys != nil {
+			m.IdempotencyKeys.put(j.IdempotencyKey, m.advancedTo)
 		}
-		m.notes = append(m.notes, Note{What: Settled, Job: j})
+		m.notes = append(m.notes, Note{Event: Settled, Job: j})
 	}
 	if anyEnded {
 		m.startQueued()
@@ -231,26 +231,26 @@
 	return next
 }
 
-// Take submits a job. A worker that is full or draining returns it. A cold worker that has been sent more than its
+// Submit submits a job. A worker that is full or draining returns it. A cold worker that has been sent more than its
 // budget goes down and loses all its jobs.
-func (m *Machine) Take(now float64, j *Job) {
+func (m *Machine) Submit(now float64, j *Job) {
 	m.Advance(now)
 	j.arrivedAt = now
 	if m.coldOverload(now, j) {
 		return
 	}
 	if m.Draining {
-		m.notes = append(m.notes, Note{What: Returned, Job: j})
+		m.notes = append(m.notes, Note{Event: Returned, Job: j})
 		return
 	}
-	if j.Mark != "" && m.Marks != nil {
-		if at, ok := m.Marks.get(j.Mark); ok && now-at < j.Window {
-			m.notes = append(m.notes, Note{What: Settled, Job: j, Drop: true})
+	if j.IdempotencyKey != "" && m.IdempotencyKeys != nil {
+		if at, ok := m.IdempotencyKeys.get(j.IdempotencyKey); ok && now-at < j.DedupWindowMs {
+			m.notes = append(m.notes, Note{Event: Settled, Job: j, Deduplicated: true})
 			return
 		}
 	}
 	if len(m.queue) >= m.Queue && !(len(m.queue) == 0 && j.Slots <= m.Free()) || j.Slots > m.Slots {
-		m.notes = append(m.notes, Note{What: Returned, Job: j})
+		m.notes = append(m.notes, Note{Event: Returned, Job: j})
 		return
 	}
 	m.queue = append(m.queue, j)
@@ -264,8 +264,8 @@
 		m.recentArrivals = nil
 		return false
 	}
-	m.recentArrivals = slices.DeleteFunc(m.recentArrivals, func(a arrival) bool { return a.at < now-m.Fall })
-	m.recentArrivals = append(m.recentArrivals, arrival{now, j.Work * float64(j.Slots), j.Warned})
+	m.recentArrivals = slices.DeleteFunc(m.recentArrivals, func(a arrival) bool { return a.at < now-m.OverloadWindowMs })
+	m.recentArrivals = append(m.recentArrivals, arrival{now, j.Work * float64(j.Slots), j.SenderKnewStart})
 	requests, work := 0.0, 0.0
 	knowingRequests, knowingWork := 0.0, 0.0
 	for _, a := range m.recentArrivals {
@@ -279,17 +279,17 @@
 	budget := m.coldBudget(now)
 	switch {
 	case work > budget*m.MeanWork:
-		m.Blame = knowingWork / work
+		m.KnowingShare = knowingWork / work
 	case requests > budget:
-		m.Blame = knowingRequests / requests
+		m.KnowingShare = knowingRequests / requests
 	default:
 		return false
 	}
-	m.Tipped = fmt.Sprintf("%.0f requests and %.0f ms of work against %.1f and %.0f: %s", requests, work, budget,
+	m.OverloadText = fmt.Sprintf("%.0f requests and %.0f ms of work against %.1f and %.0f: %s", requests, work, budget,
 		budget*m.MeanWork, m.describeArrivals())
-	m.notes = append(m.notes, Note{What: Lost, Job: j})
+	m.notes = append(m.notes, Note{Event: Lost, Job: j})
 	m.Kill(now)
-	m.Fell = true
+	m.Overloaded = true
 	return true
 }
 
@@ -297,7 +297,7 @@
 // that its age allows, and a tolerance for random bunching of 2·√N + 2, or 3·√N + 3 where N is small.
 func (m *Machine) coldBudget(now float64) float64 {
 	share := m.ColdFrom + (1-m.ColdFrom)*(now-m.Start)/m.ColdFor
-	expected := m.FallTimes * m.Cores * m.Speed * share * m.Fall / m.MeanWork
+	expected := m.OverloadMultiple * m.Cores * m.Speed * share * m.OverloadWindowMs / m.MeanWork
 	if expected < smallBudget {
 		return expected + 3*math.Sqrt(expected) + 3
 	}
@@ -339,45 +339,45 @@
 		}
 		m.queue = slices.Delete(m.queue, i, i+1)
 		j.began = true
-		if m.Saves != nil && m.Checkpoint > 0 {
-			saved, _ := m.Saves.get(j.Ref)
+		if m.Checkpoints != nil && m.Checkpoint > 0 {
+			saved, _ := m.Checkpoints.get(j.Ref)
 			j.workDone = min(saved, j.Work)
 		}
 		m.running = append(m.running, j)
-		m.notes = append(m.notes, Note{What: Began, Job: j})
+		m.notes = append(m.notes, Note{Event: Began, Job: j})
 	}
 }
 
 // removeRunning takes a job off the running ones and saves its last checkpoint.
 func (m *Machine) removeRunning(j *Job) {
 	m.running = slices.DeleteFunc(m.running, func(o *Job) bool { return o == j })
-	if m.Saves != nil && m.Checkpoint > 0 {
-		m.Saves.put(j.Ref, math.Floor(min(j.workDone, j.Work)/m.Checkpoint)*m.Checkpoint)
+	if m.Checkpoints != nil && m.Checkpoint > 0 {
+		m.Checkpoints.put(j.Ref, math.Floor(min(j.workDone, j.Work)/m.Checkpoint)*m.Checkpoint)
 	}
 }
 
-// Drop cancels a job. A queued or running one is removed without a note. With RunsOn it stays, runs to its end, and
+// Cancel cancels a job. A queued or running one is removed without a note. With IgnoresCancel it stays, runs to its end, and
 // its notes still come.
-func (m *Machine) Drop(now float64, j *Job) {
+func (m *Machine) Cancel(now float64, j *Job) {
 	m.Advance(now)
-	if place := slices.Index(m.queue, j); place >= 0 && !m.RunsOn {
+	if place := slices.Index(m.queue, j); place >= 0 && !m.IgnoresCancel {
 		m.queue = slices.Delete(m.queue, place, place+1)
 		m.startQueued()
 	}
-	if j.began && !m.RunsOn && slices.Contains(m.running, j) {
+	if j.began && !m.IgnoresCancel && slices.Contains(m.running, j) {
 		m.removeRunning(j)
 		m.startQueued()
 	}
 }
 
-// Drain begins a drain: jobs that arrive from now on are returned. Queued jobs are returned too with HandBack, and
+// Drain begins a drain: jobs that arrive from now on are returned. Queued jobs are returned too with ReturnsQueuedOnDrain, and
 // stay queued without it.
 func (m *Machine) Drain(now float64) {
 	m.Advance(now)
 	m.Draining = true
-	if m.HandBack {
+	if m.ReturnsQueuedOnDrain {
 		for _, j := range m.queue {
-			m.notes = append(m.notes, Note{What: Returned, Job: j})
+			m.notes = append(m.notes, Note{Event: Returned, Job: j})
 		}
 		m.queue = nil
 	}
@@ -389,10 +389,10 @@
 	m.Advance(now)
 	for _, j := range slices.Clone(m.running) {
 		m.removeRunning(j)
-		m.notes = append(m.notes, Note{What: Lost, Job: j})
+		m.notes = append(m.notes, Note{Event: Lost, Job: j})
 	}
 	for _, j := range m.queue {
-		m.notes = append(m.notes, Note{What: Lost, Job: j})
+		m.notes = append(m.notes, Note{Event: Lost, Job: j})
 	}
 	m.queue, m.recentArrivals = nil, nil
 }
@@ -401,11 +401,11 @@
 func (m *Machine) Restart(now float64) {
 	m.Kill(now)
 	m.Start, m.advancedTo = now, now
-	m.Fell, m.Draining, m.Paused = false, false, false
+	m.Overloaded, m.Draining, m.Paused = false, false, false
 }
 
-// Change applies f, which may set Slow, Taken or Paused, after working out the state up to now at the old rate.
-func (m *Machine) Change(now float64, f func()) {
+// ApplyChange applies f, which may set SpeedFactor, NeighbourShare or Paused, after working out the state up to now at the old rate.
+func (m *Machine) ApplyChange(now float64, f func()) {
 	m.Advance(now)
 	f()
 }
--- a/lab/machine/machine_test.go
+++ b/lab/machine/machine_test.go
@@ -8,8 +8,8 @@
 )
 
 // defaultSpec is the worker that tests start from.
-var defaultSpec = Spec{Cores: 2, Speed: 1, Slots: 2, Queue: 2, Order: "fifo", ColdFrom: 0.25, ColdFor: 1000, Fall: 500,
-	FallTimes: 2, MeanWork: 100}
+var defaultSpec = Spec{Cores: 2, Speed: 1, Slots: 2, Queue: 2, Order: "fifo", ColdFrom: 0.25, ColdFor: 1000, OverloadWindowMs: 500,
+	OverloadMultiple: 2, MeanWork: 100}
 
 // job returns a job without rank or idempotency key.
 func job(ref string, work float64, slots int) *Job { return &Job{Ref: ref, Work: work, Slots: slots} }
@@ -21,10 +21,10 @@
 	for {
 		for n, ok := m.NextNote(); ok; n, ok = m.NextNote() {
 			drop := ""
-			if n.Drop {
+			if n.Deduplicated {
 				drop = " dropped"
 			}
-			notes = append(notes, fmt.Sprintf("%s %s%s@%.0f", n.Job.Ref, n.What, drop, m.advancedTo))
+			notes = append(notes, fmt.Sprintf("%s %s%s@%.0f", n.Job.Ref, n.Event, drop, m.advancedTo))
 		}
 		next := min(m.Next(), end)
 		if m.advancedTo >= end {
@@ -42,68 +42,68 @@
 	}{
 		"slots, queue and a job returned for lack of room": {nil, func(m *Machine) {
 			for _, ref := range []string{"a", "b", "c", "d", "e"} {
-				m.Take(0, job(ref, 100, 1))
+				m.Submit(0, job(ref, 100, 1))
 			}
 		}, "a began@0, b began@0, e returned@0, a settled@100, b settled@100, c began@100, d began@100, c settled@200, " +
 			"d settled@200"},
 		"more slots in use than cores slow all jobs": {func(s *Spec) { s.Cores = 1 }, func(m *Machine) {
-			m.Take(0, job("a", 100, 1))
-			m.Take(0, job("b", 50, 1))
+			m.Submit(0, job("a", 100, 1))
+			m.Submit(0, job("b", 50, 1))
 		}, "a began@0, b began@0, b settled@100, a settled@150"},
 		"fifo: a job that does not fit blocks those behind it": {nil, func(m *Machine) {
-			m.Take(0, job("a", 100, 1))
-			m.Take(0, job("wide", 100, 2))
-			m.Take(0, job("c", 50, 1))
+			m.Submit(0, job("a", 100, 1))
+			m.Submit(0, job("wide", 100, 2))
+			m.Submit(0, job("c", 50, 1))
 		}, "a began@0, a settled@100, wide began@100, wide settled@200, c began@200, c settled@250"},
 		"backfill: a job that fits overtakes one that does not": {func(s *Spec) { s.Order = "backfill" }, func(m *Machine) {
-			m.Take(0, job("a", 100, 1))
-			m.Take(0, job("wide", 100, 2))
-			m.Take(0, job("c", 50, 1))
+			m.Submit(0, job("a", 100, 1))
+			m.Submit(0, job("wide", 100, 2))
+			m.Submit(0, job("c", 50, 1))
 		}, "a began@0, c began@0, c settled@50, a settled@100, wide began@100, wide settled@200"},
 		"priority: the greatest rank runs first": {func(s *Spec) { s.Order, s.Slots = "priority", 1 }, func(m *Machine) {
-			m.Take(0, job("a", 100, 1))
-			m.Take(0, &Job{Ref: "low", Work: 10, Slots: 1, Rank: 1})
-			m.Take(0, &Job{Ref: "high", Work: 10, Slots: 1, Rank: 5})
+			m.Submit(0, job("a", 100, 1))
+			m.Submit(0, &Job{Ref: "low", Work: 10, Slots: 1, Rank: 1})
+			m.Submit(0, &Job{Ref: "high", Work: 10, Slots: 1, Rank: 5})
 		}, "a began@0, a settled@100, high began@100, high settled@110, low began@110, low settled@120"},
-		"a drain returns queued jobs and completes running ones": {func(s *Spec) { s.HandBack, s.Slots = true, 1 }, func(m *Machine) {
-			m.Take(0, job("a", 100, 1))
-			m.Take(0, job("b", 100, 1))
+		"a drain returns queued jobs and completes running ones": {func(s *Spec) { s.ReturnsQueuedOnDrain, s.Slots = true, 1 }, func(m *Machine) {
+			m.Submit(0, job("a", 100, 1))
+			m.Submit(0, job("b", 100, 1))
 			m.Drain(10)
-			m.Take(20, job("c", 100, 1))
+			m.Submit(20, job("c", 100, 1))
 		}, "a began@20, b returned@20, c returned@20, a settled@100"},
 		"a cancelled job frees its slot": {nil, func(m *Machine) {
 			a := job("a", 100, 1)
-			m.Take(0, a)
-			m.Take(0, job("b", 100, 2))
-			m.Drop(30, a)
+			m.Submit(0, a)
+			m.Submit(0, job("b", 100, 2))
+			m.Cancel(30, a)
 		}, "a began@30, b began@30, b settled@130"},
-		"with RunsOn a cancelled job runs to its end": {func(s *Spec) { s.RunsOn = true }, func(m *Machine) {
+		"with IgnoresCancel a cancelled job runs to its end": {func(s *Spec) { s.IgnoresCancel = true }, func(m *Machine) {
 			a := job("a", 100, 1)
-			m.Take(0, a)
-			m.Drop(30, a)
+			m.Submit(0, a)
+			m.Cancel(30, a)
 		}, "a began@30, a settled@100"},
 		"a killed worker loses its job": {nil, func(m *Machine) {
-			m.Take(0, job("a", 100, 1))
+			m.Submit(0, job("a", 100, 1))
 			m.Kill(50)
 		}, "a began@50, a lost@50"},
 		"a neighbour uses half of the cores, then a pause": {nil, func(m *Machine) {
-			m.Take(0, job("a", 100, 2))
-			m.Change(50, func() { m.Taken = 0.5 })
-			m.Change(100, func() { m.Paused = true })
-			m.Change(200, func() { m.Paused, m.Taken = false, 0 })
+			m.Submit(0, job("a", 100, 2))
+			m.ApplyChange(50, func() { m.NeighbourShare = 0.5 })
+			m.ApplyChange(100, func() { m.Paused = true })
+			m.ApplyChange(200, func() { m.Paused, m.NeighbourShare = false, 0 })
 		}, "a began@200, a settled@225"},
 		"a repeat within the window is dropped, a later one runs": {nil, func(m *Machine) {
-			m.Marks = NewShelf()
-			m.Take(0, &Job{Ref: "a", Work: 100, Slots: 1, Mark: "m", Window: 300})
+			m.IdempotencyKeys = NewSharedStore()
+			m.Submit(0, &Job{Ref: "a", Work: 100, Slots: 1, IdempotencyKey: "m", DedupWindowMs: 300})
 			m.Advance(100)
-			m.Take(200, &Job{Ref: "b", Work: 100, Slots: 1, Mark: "m", Window: 300})
-			m.Take(450, &Job{Ref: "c", Work: 100, Slots: 1, Mark: "m", Window: 300})
+			m.Submit(200, &Job{Ref: "b", Work: 100, Slots: 1, IdempotencyKey: "m", DedupWindowMs: 300})
+			m.Submit(450, &Job{Ref: "c", Work: 100, Slots: 1, IdempotencyKey: "m", DedupWindowMs: 300})
 		}, "a began@450, a settled@450, b settled dropped@450, c began@450, c settled@550"},
 		"a repeat continues from the last checkpoint": {func(s *Spec) { s.Checkpoint = 30 }, func(m *Machine) {
-			m.Saves = NewShelf()
-			m.Take(0, job("a", 100, 1))
+			m.Checkpoints = NewSharedStore()
+			m.Submit(0, job("a", 100, 1))
 			m.Kill(70)
-			m.Take(70, job("a", 100, 1))
+			m.Submit(70, job("a", 100, 1))
 		}, "a began@70, a lost@70, a began@70, a settled@110"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -127,9 +127,9 @@
 		m := New(spec)
 		m.Restart(1000)
 		for i, w := range works {
-			m.Take(1000+float64(i)*0.001, job(fmt.Sprint(i), w, 1))
+			m.Submit(1000+float64(i)*0.001, job(fmt.Sprint(i), w, 1))
 		}
-		return m.Fell
+		return m.Overloaded
 	}
 	sameWork := func(n int, work float64) (works []float64) {
 		for range n {
@@ -152,7 +152,7 @@
 	}
 	m := New(defaultSpec)
 	m.Restart(1000)
-	m.Take(1000, job("a", 100, 2))
+	m.Submit(1000, job("a", 100, 2))
 	if next := m.Next(); math.IsInf(next, 1) || next > 1000+rampStepMs {
 		t.Errorf("Next() is %v ms, want a step of the slow start by %v ms", next, 1000+rampStepMs)
 	}
--- a/lab/plan/layout.go
+++ b/lab/plan/layout.go
@@ -43,8 +43,8 @@
 func (p *Plan) Spec(group int, meanWork float64) machine.Spec {
 	w := p.Workers[group]
 	return machine.Spec{Cores: w.Cores, Speed: w.Speed, Slots: w.Slots, Queue: w.Queue, Order: w.Order,
-		RunsOn: w.RunsOn, HandBack: w.HandBack, ColdFrom: p.Cold.From, ColdFor: float64(p.Cold.For),
-		Fall: float64(p.Cold.Fall), FallTimes: p.Cold.Times * (1 + p.Cold.Slack), MeanWork: meanWork,
+		IgnoresCancel: w.RunsOn, ReturnsQueuedOnDrain: w.HandBack, ColdFrom: p.Cold.From, ColdFor: float64(p.Cold.For),
+		OverloadWindowMs: float64(p.Cold.Fall), OverloadMultiple: p.Cold.Times * (1 + p.Cold.Slack), MeanWork: meanWork,
 		Checkpoint: float64(w.Checkpoint)}
 }
 
--- a/lab/sim/schedulers.go
+++ b/lab/sim/schedulers.go
@@ -278,11 +278,11 @@
 		if p.job == nil || p.worker.generation != workerGen || !p.worker.up {
 			return
 		}
-		if !p.worker.model.RunsOn {
+		if !p.worker.model.IgnoresCancel {
 			p.worker.addWasted(p.job)
 			delete(s.sim.postings, p.job)
 		}
-		p.worker.model.Drop(p.worker.clock(), p.job)
+		p.worker.model.Cancel(p.worker.clock(), p.job)
 		p.worker.processNotes()
 	})
 }
--- a/lab/sim/simulation.go
+++ b/lab/sim/simulation.go
@@ -165,24 +165,24 @@
 // build makes workers, discovery and schedulers, and schedules the faults and the first job.
 func (sim *simulation) build() {
 	p := sim.plan
-	idempotencyKeys, checkpoints := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
+	idempotencyKeys, checkpoints := map[string]*machine.SharedStore{}, map[int]*machine.SharedStore{}
 	meanWork := p.MeanWork()
 	for i, b := range p.PlacedWorkers() {
 		w := &worker{sim: sim, no: i, PlacedWorker: b, model: machine.New(p.Spec(b.Group, meanWork)),
 			up: p.Workers[b.Group].Joins == 0, rand: load.Rand(sim.seed, "worker"+b.Name)}
 		if checkpoints[b.Cell] == nil {
-			checkpoints[b.Cell] = machine.NewShelf()
+			checkpoints[b.Cell] = machine.NewSharedStore()
 		}
-		w.model.Saves = checkpoints[b.Cell]
-		w.idempotencyKeys = map[balance.DedupGroup]*machine.Shelf{}
+		w.model.Checkpoints = checkpoints[b.Cell]
+		w.idempotencyKeys = map[balance.DedupGroup]*machine.SharedStore{}
 		for group, key := range map[balance.DedupGroup]string{balance.GroupAll: "all",
 			balance.GroupZone: fmt.Sprint("zone", b.Zone), balance.GroupCell: fmt.Sprint("cell", b.Cell)} {
 			if idempotencyKeys[key] == nil {
-				idempotencyKeys[key] = machine.NewShelf()
+				idempotencyKeys[key] = machine.NewSharedStore()
 			}
 			w.idempotencyKeys[group] = idempotencyKeys[key]
 		}
-		w.model.Change(epochMs, func() {})
+		w.model.ApplyChange(epochMs, func() {})
 		sim.workers = append(sim.workers, w)
 	}
 	sim.discovery.init(sim)
@@ -205,7 +205,7 @@
 	capacity := 0.0
 	for _, w := range sim.workers {
 		if w.up {
-			capacity += w.model.Capacity(epochMs+sim.now) * w.model.Speed * w.model.Slow
+			capacity += w.model.Capacity(epochMs+sim.now) * w.model.Speed * w.model.SpeedFactor
 		}
 	}
 	sim.result.Sample(sim.now, sim.openJobs, capacity)
@@ -244,7 +244,7 @@
 	workDone, capacity := 0.0, 0.0
 	for _, w := range sim.workers {
 		w.model.Advance(epochMs + sim.now)
-		workDone += w.model.Busy() / w.model.Speed
+		workDone += w.model.WorkDone() / w.model.Speed
 		capacity += min(w.model.Cores, float64(w.model.Slots)) * sim.now
 		sim.result.Wasted += w.wastedWork / w.model.Speed
 	}
@@ -410,7 +410,7 @@
 			return 0, 0
 		}
 		w.model.Advance(epochMs + sim.now)
-		pace = min(w.model.Capacity(epochMs+sim.now), float64(w.model.Slots)) * w.model.Speed * w.model.Slow
+		pace = min(w.model.Capacity(epochMs+sim.now), float64(w.model.Slots)) * w.model.Speed * w.model.SpeedFactor
 		return w.model.RemainingWork() + w.approachingWork, pace
 	}
 }
--- a/lab/sim/workers.go
+++ b/lab/sim/workers.go
@@ -19,7 +19,7 @@
 	up              bool // its process runs
 	unresponsive    bool // its host sends nothing at all, not even a reset of connections to a dead process
 	generation      int  // counts starts and ends of its process; connections to an earlier process are broken
-	idempotencyKeys map[balance.DedupGroup]*machine.Shelf
+	idempotencyKeys map[balance.DedupGroup]*machine.SharedStore
 	rand            *rand.Rand
 	wakeAt          float64 // time of the scheduled call of Advance; -1: none
 	// Shares of its answers that faults make fail, repeat, come late, or name another txn.
@@ -58,21 +58,21 @@
 	scheme := &w.sim.plan.Schemes[p.txn.attempt.job.Scheme]
 	row := w.sim.rows[p.txn.scheme]
 	job := &machine.Job{Ref: p.txn.ref, Work: p.txn.attempt.job.Work, Slots: p.txn.attempt.job.Slots, Rank: scheme.Gain,
-		Window: float64(scheme.Window), Warned: w.sim.auditor.KnowsStart(p.scheduler.name, w.Name, w.model.Start)}
+		DedupWindowMs: float64(scheme.Window), SenderKnewStart: w.sim.auditor.KnowsStart(p.scheduler.name, w.Name, w.model.Start)}
 	if row.Effect == balance.Referenced {
-		job.Mark = p.txn.attempt.job.Mark
+		job.IdempotencyKey = p.txn.attempt.job.Mark
 	}
-	w.model.Marks = w.idempotencyKeys[row.Group]
+	w.model.IdempotencyKeys = w.idempotencyKeys[row.Group]
 	p.job = job
 	w.sim.postings[job] = p
-	w.model.Take(w.clock(), job)
+	w.model.Submit(w.clock(), job)
 	w.processNotes()
 }
 
 // processNotes reports the model's notes to schedulers and schedules its next step. A worker that fell over in the model
 // goes down.
 func (w *worker) processNotes() {
-	if w.model.Fell && w.up {
+	if w.model.Overloaded && w.up {
 		w.goDown()
 	}
 	for note, ok := w.model.NextNote(); ok; note, ok = w.model.NextNote() {
@@ -81,7 +81,7 @@
 			continue
 		}
 		w.reportNote(p, note)
-		if note.What != machine.Began {
+		if note.Event != machine.Began {
 			delete(w.sim.postings, note.Job)
 		}
 	}
@@ -120,7 +120,7 @@
 	reportEnd := func(outcome balance.Outcome) {
 		reply(0, func() { p.scheduler.postingEnded(p, outcome, load) })
 	}
-	switch note.What {
+	switch note.Event {
 	case machine.Began:
 		w.sim.auditor.Began(w.sim.now, p.txn.ref, p.no, w.Name)
 		reply(0, func() { p.scheduler.postingStarted(p) })
@@ -133,15 +133,15 @@
 	case machine.Settled:
 		if w.rand.Float64() < w.errorRate {
 			if w.rand.Float64() < 0.5 { // half of them fail after they had their effect; the scheduler cannot tell which
-				w.sim.auditor.Ran(w.sim.now, p.txn.ref, p.no, w.Name, "", note.Drop)
+				w.sim.auditor.Ran(w.sim.now, p.txn.ref, p.no, w.Name, "", note.Deduplicated)
 			}
 			w.addWasted(note.Job)
 			reportEnd(balance.Failed)
 			return
 		}
 		result := p.txn.ref + " by " + w.Name
-		w.sim.auditor.Ran(w.sim.now, p.txn.ref, p.no, w.Name, result, note.Drop)
-		p.ranUnused = !note.Drop
+		w.sim.auditor.Ran(w.sim.now, p.txn.ref, p.no, w.Name, result, note.Deduplicated)
+		p.ranUnused = !note.Deduplicated
 		if w.rand.Float64() < w.wrongIDRate {
 			reportEnd(balance.Reset) // a scheduler that reads the id of another txn closes the connection
 			return
@@ -186,7 +186,7 @@
 		return size
 	}
 	w.model.Advance(w.clock())
-	return size / (1 + float64(w.model.Holds())/w.model.Cores)
+	return size / (1 + float64(w.model.JobCount())/w.model.Cores)
 }
 
 // endProcess ends its process. Its jobs are lost, and connections to it are reset unless its host is unresponsive.
@@ -210,7 +210,7 @@
 
 // goDown ends the process of a cold worker that was overloaded, and schedules its restart.
 func (w *worker) goDown() {
-	w.sim.auditor.WorkerOverloaded(w.sim.now, w.Name, w.model.Blame, w.model.Tipped)
+	w.sim.auditor.WorkerOverloaded(w.sim.now, w.Name, w.model.KnowingShare, w.model.OverloadText)
 	w.endProcess(false)
 	w.sim.discovery.setState(w, balance.Removed)
 	w.sim.after(float64(w.sim.plan.Cold.Down), w.restart)
@@ -258,11 +258,11 @@
 	case a.Do == "maintain":
 		w.sim.maintain(w, a)
 	case a.Do == "pause":
-		w.model.Change(now, func() { w.model.Paused = a.Begin })
+		w.model.ApplyChange(now, func() { w.model.Paused = a.Begin })
 	case a.Do == "slow":
-		w.model.Change(now, func() { w.model.Slow = during(a, a.Factor, 1) })
+		w.model.ApplyChange(now, func() { w.model.SpeedFactor = during(a, a.Factor, 1) })
 	case a.Do == "neighbour":
-		w.model.Change(now, func() { w.model.Taken = during(a, a.Factor, 0) })
+		w.model.ApplyChange(now, func() { w.model.NeighbourShare = during(a, a.Factor, 0) })
 	case a.Do == "erring":
 		w.errorRate = during(a, a.Factor, 0)
 	case a.Do == "twice":
