--- a/cmd/beamlab/demo.go
+++ b/cmd/beamlab/demo.go
@@ -79,7 +79,7 @@
 type outcomeView struct {
 	startedAt time.Time
 	mu        sync.Mutex     // guards counts
-	counts    map[string]int // by load.Job.Got
+	counts    map[string]int // by load.Job.Outcome
 }
 
 // count counts the outcome of a job that ended.
@@ -89,7 +89,7 @@
 	if v.counts == nil {
 		v.counts = map[string]int{}
 	}
-	v.counts[j.Got]++
+	v.counts[j.Outcome]++
 }
 
 // show updates the line of outcomes every second until ctx is done.
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -22,23 +22,23 @@
 	ctx, leave := context.WithCancel(exp.ctx)
 	defer leave()
 	// Ms; a client that never leaves has +Inf, which a time.Duration can't hold.
-	if left := j.Leaves - exp.nowMs(); left < 1e8 {
+	if left := j.LeavesAt - exp.nowMs(); left < 1e8 {
 		t := time.AfterFunc(time.Duration(left*float64(time.Millisecond)), leave)
 		defer t.Stop()
 	}
 	exp.mu.Lock()
 	exp.cancelFuncs[j] = leave
 	exp.mu.Unlock()
-	for !j.Over {
+	for !j.Ended {
 		outcome, retryAfterMs := exp.sendAttempt(ctx, j)
-		nextAttemptMs, retry := j.Answered(exp.plan, exp.nowMs(), outcome, retryAfterMs)
+		nextAttemptMs, retry := j.RecordOutcome(exp.plan, exp.nowMs(), outcome, retryAfterMs)
 		if !retry {
 			break
 		}
 		select {
 		case <-time.After(time.Duration((nextAttemptMs - exp.nowMs()) * float64(time.Millisecond))):
 		case <-ctx.Done():
-			j.Over, j.Got = true, load.Left
+			j.Ended, j.Outcome = true, load.Left
 		}
 	}
 	exp.mu.Lock()
@@ -53,7 +53,7 @@
 
 // pickScheduler returns the scheduler to which the front sends an attempt, nil where it takes none for alive.
 func (exp *experiment) pickScheduler(j *load.Job) *scheduler {
-	i := j.Front(exp.seed, len(exp.schedulers), func(i int) (int, bool) {
+	i := j.ChooseScheduler(exp.seed, len(exp.schedulers), func(i int) (int, bool) {
 		s := exp.schedulers[i]
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -160,10 +160,10 @@
 	if j.Key != "" {
 		set("Cookie", "sid="+j.Key)
 	}
-	if j.Mark != "" {
-		set("Idempotency-Key", j.Mark)
+	if j.IdempotencyKey != "" {
+		set("Idempotency-Key", j.IdempotencyKey)
 	}
-	if j.Tries > 0 {
+	if j.Attempts > 0 {
 		set("Client-Retry", "1")
 	}
 	if j.Hint > 0 {
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -130,7 +130,7 @@
 	}
 	for len(done) > 0 {
 		j := <-done
-		if ended++; !j.Over || j.Got == "" {
+		if ended++; !j.Ended || j.Outcome == "" {
 			t.Errorf("job %d is not over: %+v", j.No, j)
 		}
 	}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -24,26 +24,26 @@
 // Job is one request of a client. The client may make several attempts at it; each attempt is a txn with a reference of
 // its own.
 type Job struct {
-	No     int     // place in the stream, from 0
-	At     float64 // when the client makes its first attempt
-	Scheme int     // index in the plan's schemes
-	Tenant int     // index in the plan's tenants
-	Key    string  // key of the object that it is about; "": none
-	Mark   string  // idempotency key, the same in each attempt; "": none
-	Work   float64 // running time on a core of its own at speed 1, in milliseconds
-	Hint   float64 // client's estimate of Work; below 0: none is sent
-	Slots  int     // slots that it occupies on its worker
-	Zone   int     // zone of the client, as an index in the schedulers' zones
-	Worth  float64 // gain if it is settled by Due
-	Due    float64 // end of its SLA time
-	Leaves float64 // when its client disconnects for good; +Inf: never
-	Tries  int     // attempts that have ended
-	Over   bool    // it has its outcome, and no more attempts follow
-	Got    string  // outcome of the last attempt: Settled, Declined and so on
+	No             int     // place in the stream, from 0
+	At             float64 // when the client makes its first attempt
+	Scheme         int     // index in the plan's schemes
+	Tenant         int     // index in the plan's tenants
+	Key            string  // key of the object that it is about; "": none
+	IdempotencyKey string  // idempotency key, the same in each attempt; "": none
+	Work           float64 // running time on a core of its own at speed 1, in milliseconds
+	Hint           float64 // client's estimate of Work; below 0: none is sent
+	Slots          int     // slots that it occupies on its worker
+	Zone           int     // zone of the client, as an index in the schedulers' zones
+	Gain           float64 // gain if it is settled by Due
+	SLAEnd         float64 // end of its SLA time
+	LeavesAt       float64 // when its client disconnects for good; +Inf: never
+	Attempts       int     // attempts that have ended
+	Ended          bool    // it has its outcome, and no more attempts follow
+	Outcome        string  // outcome of the last attempt: Settled, Declined and so on
 }
 
 // Ref returns the txn reference of the current attempt.
-func (j *Job) Ref() string { return fmt.Sprintf("t%d-%d", j.No, j.Tries) }
+func (j *Job) Ref() string { return fmt.Sprintf("t%d-%d", j.No, j.Attempts) }
 
 // Stream generates the jobs of an experiment in order of arrival.
 type Stream struct {
@@ -153,8 +153,8 @@
 		schemeNo++
 	}
 	scheme := &s.plan.Schemes[schemeNo]
-	j := &Job{No: s.made, At: s.now, Scheme: schemeNo, Slots: scheme.Slots, Hint: -1, Worth: scheme.Gain,
-		Leaves: math.Inf(1)}
+	j := &Job{No: s.made, At: s.now, Scheme: schemeNo, Slots: scheme.Slots, Hint: -1, Gain: scheme.Gain,
+		LeavesAt: math.Inf(1)}
 	// Every job takes the same number of draws, whichever of them it uses, so that a change of one setting leaves the
 	// other properties of all jobs as they were.
 	costDraw1, costDraw2, hintedDraw, hintDraw1, hintDraw2 :=
@@ -169,13 +169,13 @@
 		j.Key = fmt.Sprintf("k%d", int(float64(scheme.Keys)*keyDraw*keyDraw)) // squared, so that keys are not equally popular
 	}
 	if scheme.Effect == "referenced" {
-		j.Mark = fmt.Sprintf("m%d", s.made)
+		j.IdempotencyKey = fmt.Sprintf("m%d", s.made)
 	}
 	j.Zone = int(zoneDraw * float64(len(s.plan.Schedulers.Zones)))
-	j.Due = j.At + float64(scheme.SLA) + scheme.Stretch*j.Work
+	j.SLAEnd = j.At + float64(scheme.SLA) + scheme.Stretch*j.Work
 	s.assignTenant(j, tenantDraw)
 	if leavesDraw < s.plan.Clients.Impatient {
-		j.Leaves = j.At + leaveTimeDraw*(j.Due-j.At)
+		j.LeavesAt = j.At + leaveTimeDraw*(j.SLAEnd-j.At)
 	}
 	return j
 }
@@ -199,7 +199,7 @@
 	s.quotaTokens[i] = min(s.quotaTokens[i]+(j.At-s.refilledAt[i])*quota/1000, quota)
 	s.refilledAt[i] = j.At
 	if s.quotaTokens[i] < 1 {
-		j.Worth *= s.plan.Schedulers.OverShare
+		j.Gain *= s.plan.Schedulers.OverShare
 		return
 	}
 	s.quotaTokens[i]--
@@ -216,27 +216,27 @@
 	Left     = "left"    // the client disconnected for good
 )
 
-// Answered records the outcome of an attempt and returns when the client retries, or false where it does not. retryAfter
+// RecordOutcome records the outcome of an attempt and returns when the client retries, or false where it does not. retryAfter
 // is the delay that the answer asks for, in milliseconds. A settled job is never retried; a once-only job is retried
 // only if its attempt was declined or refused, so that it cannot have run.
-func (j *Job) Answered(p *plan.Plan, now float64, outcome string, retryAfter float64) (retryAt float64, ok bool) {
-	j.Tries++
+func (j *Job) RecordOutcome(p *plan.Plan, now float64, outcome string, retryAfter float64) (retryAt float64, ok bool) {
+	j.Attempts++
 	scheme := &p.Schemes[j.Scheme]
 	harmless := outcome == Declined || outcome == Refused || scheme.Effect != "once-only"
-	if outcome == Settled || outcome == Left || !harmless || j.Tries >= p.Clients.Tries {
-		j.Over, j.Got = true, outcome
+	if outcome == Settled || outcome == Left || !harmless || j.Attempts >= p.Clients.Tries {
+		j.Ended, j.Outcome = true, outcome
 		return 0, false
 	}
 	// The jitter comes from a source of its own for each attempt: the draws of the stream must not depend on answers.
-	jitter := Rand(uint64(j.No), fmt.Sprint("again", j.Tries)).Float64()
-	backoff := float64(p.Clients.Backoff) * math.Exp2(float64(min(j.Tries-1, 6))) * (0.5 + jitter)
+	jitter := Rand(uint64(j.No), fmt.Sprint("again", j.Attempts)).Float64()
+	backoff := float64(p.Clients.Backoff) * math.Exp2(float64(min(j.Attempts-1, 6))) * (0.5 + jitter)
 	return now + max(backoff, retryAfter*(1+0.5*jitter)), true
 }
 
-// Front chooses the scheduler for the current attempt as the load balancer in front of n schedulers does: a random one
+// ChooseScheduler chooses the scheduler for the current attempt as the load balancer in front of n schedulers does: a random one
 // of the client's zone among those that scheduler(i) reports as listed, that is believed alive, or of any zone where the
 // client's has none. It returns -1 if none is listed.
-func (j *Job) Front(seed uint64, n int, scheduler func(i int) (zone int, listed bool)) int {
+func (j *Job) ChooseScheduler(seed uint64, n int, scheduler func(i int) (zone int, listed bool)) int {
 	var sameZone, all []int
 	for i := range n {
 		zone, listed := scheduler(i)
@@ -253,14 +253,14 @@
 	if len(sameZone) == 0 {
 		return -1
 	}
-	draw := Rand(seed^uint64(j.No)<<20, fmt.Sprint("front", j.Tries)).Uint64()
+	draw := Rand(seed^uint64(j.No)<<20, fmt.Sprint("front", j.Attempts)).Uint64()
 	return sameZone[draw%uint64(len(sameZone))]
 }
 
-// Gain returns what the job earns if it is settled at a time: a part only after its SLA time.
-func (j *Job) Gain(p *plan.Plan, at float64) float64 {
-	if at <= j.Due {
-		return j.Worth
+// GainAt returns what the job earns if it is settled at a time: a part only after its SLA time.
+func (j *Job) GainAt(p *plan.Plan, at float64) float64 {
+	if at <= j.SLAEnd {
+		return j.Gain
 	}
-	return j.Worth * p.Schemes[j.Scheme].Late
+	return j.Gain * p.Schemes[j.Scheme].Late
 }
--- a/lab/sim/clients.go
+++ b/lab/sim/clients.go
@@ -32,15 +32,15 @@
 		sim.startAttempt(j)
 		sim.scheduleNextJob()
 	})
-	if !math.IsInf(j.Leaves, 1) {
-		sim.at(j.Leaves, func() { sim.clientLeaves(j) })
+	if !math.IsInf(j.LeavesAt, 1) {
+		sim.at(j.LeavesAt, func() { sim.clientLeaves(j) })
 	}
 }
 
 // pickScheduler returns the scheduler to which the front sends the current attempt at a job, nil if it believes none
 // alive.
 func (sim *simulation) pickScheduler(j *load.Job) *scheduler {
-	no := j.Front(sim.seed, len(sim.schedulers), func(no int) (int, bool) {
+	no := j.ChooseScheduler(sim.seed, len(sim.schedulers), func(no int) (int, bool) {
 		return sim.schedulers[no].zone, sim.schedulers[no].inService
 	})
 	if no < 0 {
@@ -51,7 +51,7 @@
 
 // startAttempt starts the next attempt at a job.
 func (sim *simulation) startAttempt(j *load.Job) {
-	if j.Over {
+	if j.Ended {
 		return
 	}
 	attempt := &attempt{job: j, ref: j.Ref(), scheduler: sim.pickScheduler(j), useTwin: sim.useTwins}
@@ -94,7 +94,7 @@
 	}
 	j := attempt.job
 	delete(sim.attempts, j.No)
-	retryAt, again := j.Answered(sim.plan, sim.now, outcome, retryAfter)
+	retryAt, again := j.RecordOutcome(sim.plan, sim.now, outcome, retryAfter)
 	if !again {
 		sim.openJobs--
 		sim.result.JobEnded(sim.plan, j, sim.now)
@@ -105,14 +105,14 @@
 
 // clientLeaves makes the client of a job disconnect for good, during an attempt or between two.
 func (sim *simulation) clientLeaves(j *load.Job) {
-	if j.Over {
+	if j.Ended {
 		return
 	}
 	if attempt := sim.attempts[j.No]; attempt != nil {
 		sim.endAttempt(attempt, load.Left, 0)
 		return
 	}
-	j.Over, j.Got = true, load.Left // between two attempts
+	j.Ended, j.Outcome = true, load.Left // between two attempts
 	sim.openJobs--
 	sim.result.JobEnded(sim.plan, j, sim.now)
 }
--- a/lab/sim/schedulers.go
+++ b/lab/sim/schedulers.go
@@ -170,7 +170,7 @@
 	s.sim.auditor.Accepted(s.sim.now, s.name, txn.ref, txn.scheme, txn.until)
 	s.decider.Arrived(s.clock(), balance.Txn{Ref: txn.ref, Scheme: schemePlace, Tenant: attempt.job.Tenant,
 		Key: attempt.job.Key, Hint: attempt.job.Hint, Slots: float64(attempt.job.Slots), TimeLeftMs: expiry - s.sim.now,
-		Repeat: attempt.job.Tries > 0})
+		Repeat: attempt.job.Attempts > 0})
 	s.scheduleExpiry(txn)
 	s.runDecisions()
 }
--- a/lab/sim/workers.go
+++ b/lab/sim/workers.go
@@ -60,7 +60,7 @@
 	job := &machine.Job{Ref: p.txn.ref, Work: p.txn.attempt.job.Work, Slots: p.txn.attempt.job.Slots, Rank: scheme.Gain,
 		DedupWindowMs: float64(scheme.Window), SenderKnewStart: w.sim.auditor.KnowsStart(p.scheduler.name, w.Name, w.model.Start)}
 	if row.Effect == balance.Referenced {
-		job.IdempotencyKey = p.txn.attempt.job.Mark
+		job.IdempotencyKey = p.txn.attempt.job.IdempotencyKey
 	}
 	w.model.IdempotencyKeys = w.idempotencyKeys[row.Group]
 	p.job = job
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -113,33 +113,33 @@
 func (r *Result) JobArrived(j *load.Job) {
 	c := &r.Schemes[j.Scheme]
 	c.Offered++
-	c.offered += j.Worth
+	c.offered += j.Gain
 	r.Offered++
-	r.offered += j.Worth
+	r.offered += j.Gain
 	r.second(j.At).Came++
 }
 
 // JobEnded counts a job that ended.
 func (r *Result) JobEnded(p *plan.Plan, j *load.Job, at float64) {
 	c, s := &r.Schemes[j.Scheme], r.second(at)
-	c.Tries += j.Tries
+	c.Tries += j.Attempts
 	switch {
-	case j.Got == load.Settled:
-		gain := j.Gain(p, at)
+	case j.Outcome == load.Settled:
+		gain := j.GainAt(p, at)
 		c.earned += gain
 		r.earned += gain
 		_ = r.latencies.RecordValue(int64(max(at-j.At, 0) * 1000))
-		if at <= j.Due {
+		if at <= j.SLAEnd {
 			c.InTime++
 			s.InTime++
 		} else {
 			c.Late++
 			s.Late++
 		}
-	case j.Got == load.Declined:
+	case j.Outcome == load.Declined:
 		c.Declined++
 		s.Declined++
-	case j.Got == load.Reversed:
+	case j.Outcome == load.Reversed:
 		c.Reversed++
 		s.Other++
 	default:
