--- a/lab/live/agents.go
+++ b/lab/live/agents.go
@@ -201,7 +201,7 @@
 // Bad makes a share of all workers' answers fail, from 0 to 1, from now on.
 func (f *Fleet) Bad(share float64) {
 	for _, wk := range f.exp.workers {
-		wk.applyFault(script.Act{Do: "erring", Begin: share > 0, Factor: share})
+		wk.applyFault(script.Action{Fault: "erring", Begin: share > 0, Factor: share})
 	}
 }
 
@@ -209,9 +209,9 @@
 func (f *Fleet) Renew(id string, downTime time.Duration) {
 	for _, wk := range f.exp.workers {
 		if wk.Name == id {
-			wk.applyFault(script.Act{Do: "kill", Begin: true})
+			wk.applyFault(script.Action{Fault: "kill", Begin: true})
 			time.Sleep(downTime)
-			wk.applyFault(script.Act{Do: "kill"})
+			wk.applyFault(script.Action{Fault: "kill"})
 		}
 	}
 }
--- a/lab/live/discovery.go
+++ b/lab/live/discovery.go
@@ -369,10 +369,10 @@
 }
 
 // applyFault begins or ends a fault of discovery.
-func (d *discovery) applyFault(fault script.Act) {
+func (d *discovery) applyFault(fault script.Action) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch fault.Do {
+	switch fault.Fault {
 	case "lag":
 		if fault.Begin {
 			d.extraLagMs += fault.Factor
--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -130,8 +130,8 @@
 
 // Late makes discovery announce each change ms milliseconds later, for the given duration.
 func (f *Fleet) Late(ms float64, duration time.Duration) {
-	f.exp.discovery.applyFault(script.Act{Do: "lag", Begin: true, Factor: ms})
-	time.AfterFunc(duration, func() { f.exp.discovery.applyFault(script.Act{Do: "lag", Factor: ms}) })
+	f.exp.discovery.applyFault(script.Action{Fault: "lag", Begin: true, Factor: ms})
+	time.AfterFunc(duration, func() { f.exp.discovery.applyFault(script.Action{Fault: "lag", Factor: ms}) })
 }
 
 // Stop pauses a scheduler's processes with SIGSTOP and resumes them with SIGCONT after the given duration.
@@ -550,7 +550,7 @@
 
 // playJobs starts a client for each job at its time and applies the faults. It returns when all clients are done.
 func (exp *experiment) playJobs(ctx context.Context) {
-	for _, fault := range script.Play(exp.plan, exp.seed) {
+	for _, fault := range script.Expand(exp.plan, exp.seed) {
 		exp.afterMs(fault.At, func() { exp.applyFault(fault) })
 	}
 	if exp.options.Serving != nil {
@@ -641,17 +641,17 @@
 }
 
 // applyFault begins or ends a fault.
-func (exp *experiment) applyFault(fault script.Act) {
+func (exp *experiment) applyFault(fault script.Action) {
 	if exp.options.Tell != nil {
 		word := "ends"
 		if fault.Begin {
 			word = "begins"
 		}
-		exp.options.Tell(fmt.Sprintf("%s %s on %s %d", fault.Do, word, fault.Kind, fault.Part))
+		exp.options.Tell(fmt.Sprintf("%s %s on %s %d", fault.Fault, word, fault.Kind, fault.Part))
 	}
 	switch fault.Kind {
 	case "workers":
-		if wk := exp.workers[fault.Part]; fault.Do == "maintain" {
+		if wk := exp.workers[fault.Part]; fault.Fault == "maintain" {
 			exp.maintain(wk, fault.Begin)
 		} else {
 			wk.applyFault(fault)
@@ -674,7 +674,7 @@
 			sign = 1
 		}
 		exp.network.mu.Lock()
-		switch fault.Do {
+		switch fault.Fault {
 		case "delay":
 			exp.network.extraDelayMs += sign * fault.Factor
 		case "lossy":
@@ -683,7 +683,7 @@
 		exp.network.mu.Unlock()
 	case "settings":
 		exp.mu.Lock()
-		if fault.Do == "twins" {
+		if fault.Fault == "twins" {
 			exp.useTwinSchemes = fault.Begin
 		} else {
 			exp.settingsPhase = plan.RetunePhase(fault.Part)
@@ -693,7 +693,7 @@
 		}
 		exp.mu.Unlock()
 	case "clients":
-		if fault.Do == "cancel" && fault.Begin {
+		if fault.Fault == "cancel" && fault.Begin {
 			exp.cancelJobs(fault)
 		}
 	}
@@ -722,8 +722,8 @@
 	exp.mu.Unlock()
 	if begin {
 		exp.afterMs(maintenanceRestartMs, func() {
-			wk.applyFault(script.Act{Do: "kill", Begin: true})
-			wk.applyFault(script.Act{Do: "kill"})
+			wk.applyFault(script.Action{Fault: "kill", Begin: true})
+			wk.applyFault(script.Action{Fault: "kill"})
 		})
 	}
 	if !changed {
@@ -735,24 +735,24 @@
 }
 
 // applySchedulerFault begins or ends a fault of a scheduler.
-func (exp *experiment) applySchedulerFault(s *scheduler, fault script.Act) {
+func (exp *experiment) applySchedulerFault(s *scheduler, fault script.Action) {
 	switch {
-	case (fault.Do == "kill" || fault.Do == "clock") && fault.Begin:
+	case (fault.Fault == "kill" || fault.Fault == "clock") && fault.Begin:
 		s.signal(syscall.SIGKILL)
-		if fault.Do == "clock" { // the clock of a single process can't be set here, so only the restart takes place
+		if fault.Fault == "clock" { // the clock of a single process can't be set here, so only the restart takes place
 			exp.restartScheduler(s)
 		}
-	case fault.Do == "stop" && fault.Begin:
+	case fault.Fault == "stop" && fault.Begin:
 		if s.signal(syscall.SIGTERM) {
 			exp.afterMs(stopNoticeMs, func() { exp.setListed(s, false) })
 		}
-	case fault.Do == "reload" && fault.Begin:
+	case fault.Fault == "reload" && fault.Begin:
 		exp.reload(s)
-	case fault.Do == "move" && fault.Begin:
+	case fault.Fault == "move" && fault.Begin:
 		exp.discovery.moveEndpoint(s)
-	case (fault.Do == "mute" || fault.Do == "unwatch") && fault.Begin:
-		exp.discovery.breakWatch(s, fault.Do == "mute")
-	case fault.Do == "kill" || fault.Do == "stop":
+	case (fault.Fault == "mute" || fault.Fault == "unwatch") && fault.Begin:
+		exp.discovery.breakWatch(s, fault.Fault == "mute")
+	case fault.Fault == "kill" || fault.Fault == "stop":
 		exp.restartScheduler(s)
 	}
 }
@@ -771,7 +771,7 @@
 }
 
 // cancelJobs makes the clients of a random share of all open jobs leave at the same time.
-func (exp *experiment) cancelJobs(fault script.Act) {
+func (exp *experiment) cancelJobs(fault script.Action) {
 	exp.mu.Lock()
 	defer exp.mu.Unlock()
 	var open []*load.Job
--- a/lab/live/workers.go
+++ b/lab/live/workers.go
@@ -402,7 +402,7 @@
 }
 
 // applyFault begins or ends a fault of this worker.
-func (wk *worker) applyFault(fault script.Act) {
+func (wk *worker) applyFault(fault script.Action) {
 	wk.mu.Lock()
 	now := wk.clockMs()
 	choose := func(duringFault, otherwise float64) float64 {
@@ -412,10 +412,10 @@
 		return otherwise
 	}
 	startAgain := false
-	switch fault.Do {
+	switch fault.Fault {
 	case "kill", "vanish":
 		if startAgain = !fault.Begin; fault.Begin {
-			wk.stopProcess(fault.Do == "vanish")
+			wk.stopProcess(fault.Fault == "vanish")
 		}
 	case "join":
 		startAgain = true
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -34,7 +34,7 @@
 	Hint           float64 // client's estimate of Work; below 0: none is sent
 	Slots          int     // slots that it occupies on its worker
 	Zone           int     // zone of the client, as an index in the schedulers' zones
-	Gain           float64 // gain if it is settled by Due
+	Gain           float64 // gain if it is settled by SLAEnd
 	SLAEnd         float64 // end of its SLA time
 	LeavesAt       float64 // when its client disconnects for good; +Inf: never
 	Attempts       int     // attempts that have ended
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -18,7 +18,7 @@
 // A page of results that were written and read as JSON has its plots and tables and loads nothing from elsewhere.
 func TestPageIsSelfContained(t *testing.T) {
 	p := plan.Random(5)
-	r, err := sim.Play(context.Background(), p, 5, "adus:declines-all", sim.Options{Seconds: true})
+	r, err := sim.Run(context.Background(), p, 5, "adus:declines-all", sim.Options{Seconds: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/runner/runner.go
+++ b/lab/runner/runner.go
@@ -67,5 +67,5 @@
 	if t.Play != nil {
 		return t.Play(ctx, t)
 	}
-	return sim.Play(ctx, t.Plan, t.Seed, t.Policy, sim.Options{Keep: t.Keep, Seconds: true})
+	return sim.Run(ctx, t.Plan, t.Seed, t.Policy, sim.Options{KeepHistoryOf: t.Keep, Seconds: true})
 }
--- a/lab/script/script.go
+++ b/lab/script/script.go
@@ -13,14 +13,14 @@
 	"shalebeam/lab/plan"
 )
 
-// Act begins or ends one fault on one part of the fleet.
-type Act struct {
+// Action begins or ends one fault on one part of the fleet.
+type Action struct {
 	At     float64
 	Begin  bool    // the fault begins; false: it ends
-	Do     string  // name of the fault, such as kill or slow, or a step of a change of settings: phase or twins
+	Fault  string  // name of the fault, such as kill or slow, or a step of a change of settings: phase or twins
 	Kind   string  // of the part: workers, schedulers, discovery, clients, network or settings
-	Part   int     // index among the parts of that kind; with Do phase, the plan.RetunePhase to enter
-	Factor float64 // strength of the fault; its meaning and unit depend on Do
+	Part   int     // index among the parts of that kind; with Fault phase, the plan.RetunePhase to enter
+	Factor float64 // strength of the fault; its meaning and unit depend on Fault
 	Cut    *Cut    // the links that are cut, else nil
 	Seed   uint64  // for the random choices that carrying out the fault takes
 }
@@ -32,21 +32,21 @@
 
 // Part names one part of the fleet, as an end of network links.
 type Part struct {
-	Kind string // as Act.Kind
+	Kind string // as Action.Kind
 	No   int    // index among the parts of that kind
 }
 
 // Between reports whether the cut separates two parts.
 func (c *Cut) Between(a, b Part) bool { return c.A[a] && c.B[b] || c.A[b] && c.B[a] }
 
-// Play returns all actions in order of time: those of the plan's faults, and the starts of workers that join late. A
+// Expand returns all actions in order of time: those of the plan's faults, and the starts of workers that join late. A
 // fault that hits a share of its parts draws which; with Over it hits them one after another, evenly spread over that
 // time.
-func Play(p *plan.Plan, seed uint64) (acts []Act) {
+func Expand(p *plan.Plan, seed uint64) (actions []Action) {
 	boxes := p.PlacedWorkers()
 	for i, b := range boxes {
 		if at := p.Workers[b.Group].Joins; at > 0 {
-			acts = append(acts, Act{At: float64(at), Begin: true, Do: "join", Kind: "workers", Part: i})
+			actions = append(actions, Action{At: float64(at), Begin: true, Fault: "join", Kind: "workers", Part: i})
 		}
 	}
 	for faultNo, f := range p.Faults {
@@ -62,13 +62,13 @@
 			for _, x := range partsNamed(p, boxes, f.To) {
 				cut.B[x] = true
 			}
-			acts = appendFault(acts, Act{Do: f.Do, Kind: "network", Cut: cut}, float64(f.At), float64(f.For))
+			actions = appendFault(actions, Action{Fault: f.Do, Kind: "network", Cut: cut}, float64(f.At), float64(f.For))
 			continue
 		}
 		if f.Do == "retune" {
-			acts = appendRetune(acts, float64(f.At), true, plan.PhaseTwins)
+			actions = appendRetune(actions, float64(f.At), true, plan.PhaseTwins)
 			if f.For > 0 {
-				acts = appendRetune(acts, float64(f.At+f.For), false, plan.PhaseOriginal)
+				actions = appendRetune(actions, float64(f.At+f.For), false, plan.PhaseOriginal)
 			}
 			continue
 		}
@@ -77,32 +77,32 @@
 			if len(parts) > 1 {
 				at += float64(f.Over) * float64(i) / float64(len(parts)-1)
 			}
-			acts = appendFault(acts, Act{Do: f.Do, Kind: x.Kind, Part: x.No, Factor: f.Factor, Seed: r.Uint64()}, at,
+			actions = appendFault(actions, Action{Fault: f.Do, Kind: x.Kind, Part: x.No, Factor: f.Factor, Seed: r.Uint64()}, at,
 				float64(f.For))
 		}
 	}
-	slices.SortStableFunc(acts, func(a, b Act) int { return cmp.Compare(a.At, b.At) })
-	return acts
+	slices.SortStableFunc(actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
+	return actions
 }
 
 // appendFault adds the beginning of a fault and, if its length is above 0, its end. A part that was killed, drained or
 // stopped starts again at the end; without an end it stays away.
-func appendFault(acts []Act, a Act, at, length float64) []Act {
+func appendFault(actions []Action, a Action, at, length float64) []Action {
 	a.At, a.Begin = at, true
-	acts = append(acts, a)
+	actions = append(actions, a)
 	if length > 0 {
 		a.At, a.Begin = at+length, false
-		acts = append(acts, a)
+		actions = append(actions, a)
 	}
-	return acts
+	return actions
 }
 
 // appendRetune adds the steps of a settings change that replaces each scheme by its twin (see plan.Plan.AllSchemeRows), or the twins
 // by the original schemes: schedulers get both sets, then clients use the new set, then schedulers drop the old set.
-func appendRetune(acts []Act, at float64, twins bool, last plan.RetunePhase) []Act {
-	return append(acts, Act{At: at, Begin: true, Do: "phase", Kind: "settings", Part: int(plan.PhaseBoth)},
-		Act{At: at + plan.RetuneSwitchMs, Begin: twins, Do: "twins", Kind: "settings"},
-		Act{At: at + plan.RetuneDropMs, Begin: true, Do: "phase", Kind: "settings", Part: int(last)})
+func appendRetune(actions []Action, at float64, twins bool, last plan.RetunePhase) []Action {
+	return append(actions, Action{At: at, Begin: true, Fault: "phase", Kind: "settings", Part: int(plan.PhaseBoth)},
+		Action{At: at + plan.RetuneSwitchMs, Begin: twins, Fault: "twins", Kind: "settings"},
+		Action{At: at + plan.RetuneDropMs, Begin: true, Fault: "phase", Kind: "settings", Part: int(last)})
 }
 
 // partsNamed lists the parts that the text of a fault's "on" or "to" key names.
--- a/lab/sim/clients.go
+++ b/lab/sim/clients.go
@@ -118,7 +118,7 @@
 }
 
 // massCancel makes a random share of all waiting clients leave at once.
-func (sim *simulation) massCancel(a script.Act) {
+func (sim *simulation) massCancel(a script.Action) {
 	var jobNos []int
 	for jobNo := range sim.attempts {
 		jobNos = append(jobNos, jobNo)
--- a/lab/sim/discovery.go
+++ b/lab/sim/discovery.go
@@ -420,11 +420,11 @@
 }
 
 // applyFault begins or ends a fault of discovery.
-func (d *discovery) applyFault(a script.Act) {
+func (d *discovery) applyFault(a script.Action) {
 	switch {
-	case a.Do == "lag":
+	case a.Fault == "lag":
 		d.extraLag += signOf(a) * a.Factor
-	case a.Do == "down" && a.Begin:
+	case a.Fault == "down" && a.Begin:
 		d.down, d.busyUntil = true, 0
 		d.sim.auditor.DiscoveryDown(d.sim.now, true)
 		for _, s := range d.sim.schedulers {
@@ -434,7 +434,7 @@
 				d.endConnection(conn, watch.Rejected)
 			}
 		}
-	case a.Do == "down":
+	case a.Fault == "down":
 		d.down = false
 		d.sim.auditor.DiscoveryDown(d.sim.now, false)
 		for _, entry := range d.pending {
--- a/lab/sim/schedulers.go
+++ b/lab/sim/schedulers.go
@@ -620,34 +620,34 @@
 }
 
 // applyFault begins or ends a fault of this scheduler.
-func (s *scheduler) applyFault(a script.Act) {
+func (s *scheduler) applyFault(a script.Action) {
 	switch {
-	case a.Do == "kill" && a.Begin, a.Do == "clock" && a.Begin:
+	case a.Fault == "kill" && a.Begin, a.Fault == "clock" && a.Begin:
 		s.endProcess(true)
-		if a.Do == "clock" {
+		if a.Fault == "clock" {
 			s.clockSkew += a.Factor
 			s.sim.after(clockRestartMs, s.startIfDead)
 		}
-	case a.Do == "clock":
+	case a.Fault == "clock":
 		s.clockSkew -= a.Factor
 		s.endProcess(true)
 		s.sim.after(clockRestartMs, s.startIfDead)
-	case a.Do == "mute" && a.Begin:
+	case a.Fault == "mute" && a.Begin:
 		if s.conn != nil && s.conn.watching {
 			s.sim.discovery.silence(s.conn)
 		}
-	case a.Do == "unwatch" && a.Begin:
+	case a.Fault == "unwatch" && a.Begin:
 		if s.conn != nil {
 			s.conn.reset = s.conn.watching
 			s.sim.discovery.endConnection(s.conn, watch.Rejected)
 		}
-	case a.Do == "move" && a.Begin:
+	case a.Fault == "move" && a.Begin:
 		s.sim.discovery.changeAddress(s)
-	case a.Do == "kill":
+	case a.Fault == "kill":
 		s.startIfDead()
-	case a.Do == "stop" && a.Begin:
+	case a.Fault == "stop" && a.Begin:
 		s.beginStop()
-	case a.Do == "stop":
+	case a.Fault == "stop":
 		// A scheduler whose stop has not ended yet starts again when it has.
 		if s.restartWhenStopped = s.alive && s.stopping; !s.restartWhenStopped {
 			s.startIfDead()
@@ -663,7 +663,7 @@
 }
 
 // resetConnections resets a random share of the connections to a worker that carry a posting, and all idle ones.
-func (sim *simulation) resetConnections(w *worker, a script.Act) {
+func (sim *simulation) resetConnections(w *worker, a script.Action) {
 	r := load.Rand(a.Seed, "reset")
 	for _, s := range sim.schedulers {
 		for _, ref := range sortedRefs(s.txns) {
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -17,7 +17,7 @@
 // playPlan simulates one plan and returns its result with a row for each second.
 func playPlan(t testing.TB, p *plan.Plan, seed uint64, name string) *tally.Result {
 	t.Helper()
-	r, err := Play(context.Background(), p, seed, name, Options{Seconds: true})
+	r, err := Run(context.Background(), p, seed, name, Options{Seconds: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/sim/simulation.go
+++ b/lab/sim/simulation.go
@@ -116,21 +116,21 @@
 
 // Options select what a run records or reports beside its result.
 type Options struct {
-	Keep     string             // reference of a txn whose history goes into the result
-	Progress func(done float64) // called from time to time with the share of the plan's length played so far
-	Seconds  bool               // the result has a row for each second
+	KeepHistoryOf string             // reference of a txn whose history goes into the result
+	Progress      func(done float64) // called from time to time with the share of the plan's length played so far
+	Seconds       bool               // the result has a row for each second
 }
 
-// Play simulates a plan with a seed under the policy of a name (see policy.New). If ctx is cancelled it stops early, and
+// Run simulates a plan with a seed under the policy of a name (see policy.New). If ctx is cancelled it stops early, and
 // marks the result as partial.
-func Play(ctx context.Context, p *plan.Plan, seed uint64, name string, opt Options) (*tally.Result, error) {
+func Run(ctx context.Context, p *plan.Plan, seed uint64, name string, opt Options) (*tally.Result, error) {
 	sim := &simulation{plan: p, seed: seed, policy: name, attempts: map[int]*attempt{},
 		postings: map[*machine.Job]*posting{}, moreJobs: true, progress: opt.Progress,
 		digest: xxhash.New(), rows: p.AllSchemeRows(), withdrawn: map[string]int{},
 		result: tally.New(p, name, "simulated", seed), stream: load.NewStream(p, seed)}
 	sim.result.Fleet = &tally.Fleet{}
 	terms := audit.Terms{Copies: p.Schedulers.Copies, MaxPosts: p.Schedulers.MaxPosts, AnswerGraceMs: answerGraceMs,
-		DrainGraceMs: float64(p.Discovery.Grace), KnownWithoutWatchMs: mustAskMs(p), GiveUpGraceMs: giveUpGraceMs, KeepTxn: opt.Keep}
+		DrainGraceMs: float64(p.Discovery.Grace), KnownWithoutWatchMs: mustAskMs(p), GiveUpGraceMs: giveUpGraceMs, KeepTxn: opt.KeepHistoryOf}
 	terms.Schemes = sim.rows
 	sim.auditor = audit.New(terms)
 	sim.net.init(sim)
@@ -193,7 +193,7 @@
 	for _, s := range sim.schedulers {
 		s.startProcess()
 	}
-	for _, a := range script.Play(p, sim.seed) {
+	for _, a := range script.Expand(p, sim.seed) {
 		sim.at(a.At, func() { sim.applyFault(a) })
 	}
 	sim.scheduleNextJob()
@@ -310,7 +310,7 @@
 func always() bool { return true }
 
 // applyFault begins or ends a fault.
-func (sim *simulation) applyFault(a script.Act) {
+func (sim *simulation) applyFault(a script.Action) {
 	switch a.Kind {
 	case "workers":
 		sim.workers[a.Part].applyFault(a)
@@ -330,19 +330,19 @@
 					break
 				}
 			}
-		case a.Do == "delay":
+		case a.Fault == "delay":
 			sim.net.extraDelay += signOf(a) * a.Factor
-		case a.Do == "lossy":
+		case a.Fault == "lossy":
 			sim.net.extraLoss = max(0, sim.net.extraLoss+signOf(a)*a.Factor)
 		}
 	case "settings":
-		if a.Do == "twins" {
+		if a.Fault == "twins" {
 			sim.useTwins = a.Begin
 		} else {
 			sim.enterPhase(plan.RetunePhase(a.Part))
 		}
 	case "clients":
-		if a.Do == "cancel" && a.Begin {
+		if a.Fault == "cancel" && a.Begin {
 			sim.massCancel(a)
 		}
 	}
@@ -361,7 +361,7 @@
 
 // maintain begins or ends maintenance of a worker: staff take it out at all schedulers, it restarts a moment later, and at
 // the end they put it back.
-func (sim *simulation) maintain(w *worker, a script.Act) {
+func (sim *simulation) maintain(w *worker, a script.Action) {
 	if a.Begin {
 		gen := w.generation
 		sim.after(maintenanceRestartMs, func() {
@@ -384,7 +384,7 @@
 }
 
 // signOf returns 1 at the beginning of a fault and -1 at its end.
-func signOf(a script.Act) float64 {
+func signOf(a script.Action) float64 {
 	if a.Begin {
 		return 1
 	}
--- a/lab/sim/workers.go
+++ b/lab/sim/workers.go
@@ -227,16 +227,16 @@
 }
 
 // applyFault begins or ends a fault of this worker.
-func (w *worker) applyFault(a script.Act) {
+func (w *worker) applyFault(a script.Action) {
 	now := w.clock()
 	switch {
-	case a.Do == "kill" && a.Begin:
+	case a.Fault == "kill" && a.Begin:
 		w.endProcess(false)
-	case a.Do == "vanish" && a.Begin:
+	case a.Fault == "vanish" && a.Begin:
 		w.endProcess(true)
-	case a.Do == "join", a.Do == "kill", a.Do == "vanish":
+	case a.Fault == "join", a.Fault == "kill", a.Fault == "vanish":
 		w.restart()
-	case a.Do == "drain" && a.Begin:
+	case a.Fault == "drain" && a.Begin:
 		if !w.up {
 			return
 		}
@@ -250,28 +250,28 @@
 				w.sim.discovery.setState(w, balance.Removed)
 			}
 		})
-	case a.Do == "drain":
+	case a.Fault == "drain":
 		if w.up {
 			w.endProcess(false)
 		}
 		w.restart()
-	case a.Do == "maintain":
+	case a.Fault == "maintain":
 		w.sim.maintain(w, a)
-	case a.Do == "pause":
+	case a.Fault == "pause":
 		w.model.ApplyChange(now, func() { w.model.Paused = a.Begin })
-	case a.Do == "slow":
+	case a.Fault == "slow":
 		w.model.ApplyChange(now, func() { w.model.SpeedFactor = during(a, a.Factor, 1) })
-	case a.Do == "neighbour":
+	case a.Fault == "neighbour":
 		w.model.ApplyChange(now, func() { w.model.NeighbourShare = during(a, a.Factor, 0) })
-	case a.Do == "erring":
+	case a.Fault == "erring":
 		w.errorRate = during(a, a.Factor, 0)
-	case a.Do == "twice":
+	case a.Fault == "twice":
 		w.duplicateRate = during(a, a.Factor, 0)
-	case a.Do == "late":
+	case a.Fault == "late":
 		w.lateRate = during(a, a.Factor, 0)
-	case a.Do == "other":
+	case a.Fault == "other":
 		w.wrongIDRate = during(a, a.Factor, 0)
-	case a.Do == "reset" && a.Begin:
+	case a.Fault == "reset" && a.Begin:
 		w.sim.resetConnections(w, a)
 	}
 	if w.up {
@@ -280,7 +280,7 @@
 }
 
 // during returns factor at the beginning of a fault and the normal value at its end.
-func during(a script.Act, factor, normal float64) float64 {
+func during(a script.Action, factor, normal float64) float64 {
 	if a.Begin {
 		return factor
 	}
