--- a/cmd/beamlab/commands.go
+++ b/cmd/beamlab/commands.go
@@ -66,11 +66,11 @@
 		if t.Policy != "adus" {
 			return nil, fmt.Errorf("policy %q: on sockets only adus can be played, as the shalebeam program decides", t.Policy)
 		}
-		opt := live.Options{Program: program, Dir: m.Logs, Keep: t.Keep}
+		opt := live.Options{Program: program, Dir: m.Logs, KeepHistoryOf: t.Keep}
 		if !quiet {
 			opt.Progress = func(done float64) { fmt.Fprintf(os.Stderr, "\r%s, seed %d: %3.0f%%", t.Plan.Name, t.Seed, 100*done) }
 		}
-		return live.Play(ctx, t.Plan, t.Seed, opt)
+		return live.Run(ctx, t.Plan, t.Seed, opt)
 	}, nil
 }
 
@@ -579,7 +579,7 @@
 	var rates, againstRates, ratio []float64
 	for i := range c.Rounds {
 		for _, program := range []string{c.Against, c.Program} {
-			rate, err := (&live.Pace{Program: program, Workers: c.Workers, Conns: c.Conns, Open: c.Open, For: c.For}).Run(ctx)
+			rate, err := (&live.ThroughputTest{Program: program, Workers: c.Workers, Connections: c.Conns, OpenTxns: c.Open, Duration: c.For}).Run(ctx)
 			if err != nil {
 				return fmt.Errorf("%s: %w", program, err)
 			}
--- a/cmd/beamlab/demo.go
+++ b/cmd/beamlab/demo.go
@@ -57,8 +57,8 @@
 	defer cancel()
 	v := outcomeView{startedAt: time.Now()}
 	go v.show(ctx)
-	r, err := live.Play(ctx, p, p.Seed, live.Options{Program: program, Guests: true, Outcome: v.count,
-		Tell: func(text string) { fmt.Fprintf(os.Stderr, "\r%-78s\n", "* "+text) },
+	r, err := live.Run(ctx, p, p.Seed, live.Options{Program: program, ServeUnplanned: true, Outcome: v.count,
+		OnEvent: func(text string) { fmt.Fprintf(os.Stderr, "\r%-78s\n", "* "+text) },
 		Serving: func(addr, scheme string) {
 			fmt.Printf("%d workers, %d schedulers and discovery run on loopback until Ctrl-C. An example of a txn that settles:\n\n"+
 				"    curl -d body -H \"Request-Id: $RANDOM\" -H 'Request-Timeout: 5000m' http://%s/%s\n\n", p.WorkerCount(),
--- a/lab/cluster/day.go
+++ b/lab/cluster/day.go
@@ -224,9 +224,9 @@
 		}
 	}
 	var runErr error
-	result, err := live.Play(d.ctx, p, opt.Seed, live.Options{Program: opt.Program, Env: []string{"SHALEBEAM_BUG=" + opt.Bug}, Dir: filepath.Join(d.dir, "schedulers"),
-		Agent: func(index int) string { return d.agents[index%len(d.agents)].file.Listen },
-		Mark:  d.environmentMark(), Logs: d.dir, Begin: d.startAgents, Told: d.toldToEnd,
+	result, err := live.Run(d.ctx, p, opt.Seed, live.Options{Program: opt.Program, Env: []string{"SHALEBEAM_BUG=" + opt.Bug}, Dir: filepath.Join(d.dir, "schedulers"),
+		Agent:       func(index int) string { return d.agents[index%len(d.agents)].file.Listen },
+		ProcessMark: d.environmentMark(), AgentLogDir: d.dir, StartSchedulers: d.startAgents, WasToldToStop: d.toldToEnd,
 		Fleet: func(f *live.Fleet) func() {
 			d.live = f
 			done := make(chan struct{})
@@ -337,12 +337,12 @@
 			break
 		}
 		for _, p := range d.agents {
-			if err := d.addRelay(p, m.ID, m.Mgmt); err != nil {
+			if err := d.addRelay(p, m.ID, m.ManagementAddr); err != nil {
 				return err
 			}
 		}
 		p := d.agents[i%len(d.agents)]
-		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.Mgmt})
+		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.ManagementAddr})
 	}
 	for _, p := range d.agents {
 		if d.opt.Runs {
@@ -549,7 +549,7 @@
 	lock.Lock()
 	defer lock.Unlock()
 	if !out {
-		d.live.Out(worker, false) // schedulers may use it again as soon as the command is sent
+		d.live.RecordWithdrawn(worker, false) // schedulers may use it again as soon as the command is sent
 		_, ok := d.ChangeIntent(caller, worker, d.live.Workers()[worker], "in", addrs)
 		return ok
 	}
@@ -559,7 +559,7 @@
 	}
 	for end := time.Now().Add(timeout); time.Now().Before(end) && d.ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		if d.AllAcknowledged(worker, addrs) {
-			d.live.Out(worker, true)
+			d.live.RecordWithdrawn(worker, true)
 			d.mu.Lock()
 			d.report.Yes++
 			d.mu.Unlock()
@@ -693,7 +693,7 @@
 			case 7:
 				n := r.IntN(d.opt.Schedulers)
 				d.logEvent("scheduler s%d is paused", n)
-				d.live.Stop(n, min(duration, time.Second))
+				d.live.Pause(n, min(duration, time.Second))
 				d.sleep(time.Second)
 			case 8:
 				rate := []float64{0.9, 1.1}[r.IntN(2)]
@@ -724,7 +724,7 @@
 				d.fillOwnerDisk(duration)
 			case 17:
 				d.logEvent("discovery reports changes of workers 2 s later for %v", duration)
-				d.live.Late(2000, duration)
+				d.live.DelayDiscovery(2000, duration)
 				d.sleep(duration)
 			case 10:
 				d.mu.Lock()
@@ -824,16 +824,16 @@
 
 // schedulerState asks a scheduler which workers it has out and which fencing tokens are in force there.
 func (d *day) schedulerState(s int) (state schedulerState, err error) {
-	addrs := []string{d.Scheduler(s).Mgmt}
+	addrs := []string{d.Scheduler(s).ManagementAddr}
 	if d.opt.Runs { // during and after an upgrade its process may listen at the second address
-		addrs = append(addrs, d.live.Minders()[s].Beside)
+		addrs = append(addrs, d.live.ManagedSchedulers()[s].TakeoverAddr)
 	}
 	return state, (&agent.Caller{HTTP: d.http, Addrs: addrs}).Get(d.ctx, "/ops/fence", &state)
 }
 
 // checkReady returns an error unless a scheduler's readiness endpoint answers 200.
 func (d *day) checkReady(s int) error {
-	response, err := d.http.Get("http://" + d.Scheduler(s).Mgmt + "/ops/readiness")
+	response, err := d.http.Get("http://" + d.Scheduler(s).ManagementAddr + "/ops/readiness")
 	if err == nil {
 		if response.Body.Close(); response.StatusCode != 200 {
 			err = fmt.Errorf("readiness of s%d: got status %d, expected 200", s, response.StatusCode)
--- a/lab/cluster/demo.go
+++ b/lab/cluster/demo.go
@@ -74,7 +74,7 @@
 	case f.Target[0] == 's' && index < d.opt.Schedulers && f.Action == "kill":
 		d.live.Kill(index, f.Duration)
 	case f.Target[0] == 's' && index < d.opt.Schedulers:
-		d.live.Stop(index, f.Duration)
+		d.live.Pause(index, f.Duration)
 	case f.Target[0] == 's' || index >= len(d.agents):
 		d.logEvent("%s does not exist", f.Target)
 	case f.Action == "kill":
--- a/lab/cluster/operators.go
+++ b/lab/cluster/operators.go
@@ -66,9 +66,9 @@
 				Gates: fleet.Gates{Settled: 0.3, MinTxns: 60}})
 		case 9:
 			d.logEvent("70%% of all workers' answers fail for 1.5 s")
-			d.live.Bad(0.7)
+			d.live.SetFailedShare(0.7)
 			d.sleep(1500 * time.Millisecond)
-			d.live.Bad(0)
+			d.live.SetFailedShare(0)
 		case 7:
 			d.haltAndLift(ctx, r)
 		case 8:
@@ -214,8 +214,8 @@
 		if open != "" {
 			return errors.New(open)
 		}
-		for _, s := range d.live.Truth() {
-			if s.Out {
+		for _, s := range d.live.SchedulerStates() {
+			if s.NotServing {
 				return fmt.Errorf("%s does not serve; on record %+v", s.ID, rec.Health[s.ID])
 			}
 			if h := rec.Health[s.ID]; h.State != fleet.HealthInService {
@@ -238,8 +238,8 @@
 	}
 	serves := map[string]bool{}
 	d.sleep(500 * time.Millisecond) // the lab's health checks still show a scheduler as serving just after it has ended
-	for _, s := range d.live.Truth() {
-		serves[s.ID] = !s.Out
+	for _, s := range d.live.SchedulerStates() {
+		serves[s.ID] = !s.NotServing
 	}
 	lastUndrain := map[string]uint64{} // by scheduler: the step number of its last undrain
 	for _, op := range rec.Ops {
--- a/lab/cluster/ops.go
+++ b/lab/cluster/ops.go
@@ -37,11 +37,11 @@
 
 // startAgents configures the agents to run the schedulers and to renew the workers, and starts them.
 func (d *day) startAgents(f *live.Fleet) error {
-	for i, m := range f.Minders() {
+	for i, m := range f.ManagedSchedulers() {
 		for _, p := range d.agents {
-			for _, addr := range []string{m.Mgmt, m.Beside} {
+			for _, addr := range []string{m.ManagementAddr, m.TakeoverAddr} {
 				name := m.ID
-				if addr == m.Beside {
+				if addr == m.TakeoverAddr {
 					name += "'"
 				}
 				if err := d.addRelay(p, name, addr); err != nil {
@@ -50,7 +50,7 @@
 			}
 		}
 		p := d.agents[i%len(d.agents)]
-		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.Mgmt, UpgradeAddr: m.Beside, Program: d.opt.Program,
+		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.ManagementAddr, UpgradeAddr: m.TakeoverAddr, Program: d.opt.Program,
 			Config: m.Config, TempDir: m.Dir})
 	}
 	if err := os.MkdirAll(filepath.Join(d.dir, "renew"), 0o755); err != nil {
@@ -100,7 +100,7 @@
 				done[base] = true
 				worker, _, _ := strings.Cut(base, ".")
 				go func() {
-					d.live.Renew(worker, 100*time.Millisecond)
+					d.live.RestartWorker(worker, 100*time.Millisecond)
 					_ = os.WriteFile(strings.TrimSuffix(path, ".go")+".done", nil, 0o600)
 				}()
 			}
@@ -120,10 +120,10 @@
 		}
 		rec := fleet.NewRecord()
 		outOnPurpose := []string{}
-		for _, s := range d.live.Truth() {
+		for _, s := range d.live.SchedulerStates() {
 			rec.Members[s.ID] = fleet.Member{ID: s.ID, Kind: "scheduler", Zone: s.Zone}
 			rec.Health[s.ID] = fleet.Health{State: fleet.HealthInService}
-			if s.Out && !s.Fell {
+			if s.NotServing && !s.FailedByFault {
 				rec.Health[s.ID] = fleet.Health{State: "out"}
 				outOnPurpose = append(outOnPurpose, s.ID)
 			}
--- a/lab/live/agents.go
+++ b/lab/live/agents.go
@@ -26,18 +26,18 @@
 	healthTimeout       = 250 * time.Millisecond
 )
 
-// Minded is what an agent needs to know of a scheduler in order to run its processes.
-type Minded struct {
-	ID, Zone     string
-	Mgmt, Beside string // management addresses: of its process, and of a process that takes over from it
-	Config       string // path of its configuration
-	Dir          string // value of $TMPDIR for its processes
+// ManagedScheduler is what an agent needs to know of a scheduler in order to run its processes.
+type ManagedScheduler struct {
+	ID, Zone                     string
+	ManagementAddr, TakeoverAddr string // management addresses: of its process, and of a process that takes over from it
+	Config                       string // path of its configuration
+	Dir                          string // value of $TMPDIR for its processes
 }
 
-// Minders lists the schedulers for the agents that run them.
-func (f *Fleet) Minders() (all []Minded) {
+// ManagedSchedulers lists the schedulers for the agents that run them.
+func (f *Fleet) ManagedSchedulers() (all []ManagedScheduler) {
 	for _, s := range f.exp.schedulers {
-		all = append(all, Minded{s.id(), f.exp.plan.Schedulers.Zones[s.zone], s.managementAddr, s.takeoverAddr, s.configPath, f.exp.dir})
+		all = append(all, ManagedScheduler{s.id(), f.exp.plan.Schedulers.Zones[s.zone], s.managementAddr, s.takeoverAddr, s.configPath, f.exp.dir})
 	}
 	return all
 }
@@ -69,8 +69,8 @@
 			if record.scheduler == "" && record.checks < 5 {
 				record.checks++
 				raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
-				if at := strings.Index(string(raw), exp.options.Mark); at >= 0 {
-					fields, _, _ := strings.Cut(string(raw[at+len(exp.options.Mark):]), "\x00")
+				if at := strings.Index(string(raw), exp.options.ProcessMark); at >= 0 {
+					fields, _, _ := strings.Cut(string(raw[at+len(exp.options.ProcessMark):]), "\x00")
 					if field := strings.Split(fields, "|"); len(field) == 4 {
 						record.scheduler = field[1]
 					}
@@ -115,15 +115,15 @@
 
 // wasToldToStop tells whether agents have told all of the last processes of a scheduler to stop. s.mu is held.
 func (s *scheduler) wasToldToStop() bool {
-	return len(s.lastPids) > 0 && !slices.ContainsFunc(s.lastPids, func(pid int) bool { return !s.exp.options.Told(pid) })
+	return len(s.lastPids) > 0 && !slices.ContainsFunc(s.lastPids, func(pid int) bool { return !s.exp.options.WasToldToStop(pid) })
 }
 
 // logPath returns the path of the scheduler's log, "" where an agent has not created it yet.
 func (s *scheduler) logPath() string {
-	if s.exp.options.Mark == "" {
+	if s.exp.options.ProcessMark == "" {
 		return filepath.Join(s.exp.dir, s.id()+".log")
 	}
-	all, _ := filepath.Glob(filepath.Join(s.exp.options.Logs, "*", s.id()+".log"))
+	all, _ := filepath.Glob(filepath.Join(s.exp.options.AgentLogDir, "*", s.id()+".log"))
 	if len(all) == 0 {
 		return ""
 	}
@@ -160,16 +160,16 @@
 	}
 }
 
-// Standing is the state of a scheduler as the lab's own health checks show it.
-type Standing struct {
-	ID, Zone string
-	Out      bool // it does not serve
-	Fell     bool // if it is out, a fault is the reason and not an operator
+// SchedulerState is the state of a scheduler as the lab's own health checks show it.
+type SchedulerState struct {
+	ID, Zone      string
+	NotServing    bool // it does not serve
+	FailedByFault bool // if it is out, a fault is the reason and not an operator
 }
 
-// Truth returns the state of all schedulers. A scheduler counts as out after two failed health checks in a row, because a
+// SchedulerStates returns the state of all schedulers. A scheduler counts as out after two failed health checks in a row, because a
 // single check may meet a process from which another one is taking over.
-func (f *Fleet) Truth() (all []Standing) {
+func (f *Fleet) SchedulerStates() (all []SchedulerState) {
 	for _, s := range f.exp.schedulers {
 		s.mu.Lock()
 		out := len(s.recentHealth) == 2 && !slices.Contains(s.recentHealth, true)
@@ -182,7 +182,7 @@
 			failed = true
 		}
 		s.mu.Unlock()
-		all = append(all, Standing{s.id(), f.exp.plan.Schedulers.Zones[s.zone], out, failed})
+		all = append(all, SchedulerState{s.id(), f.exp.plan.Schedulers.Zones[s.zone], out, failed})
 	}
 	return all
 }
@@ -198,15 +198,15 @@
 	return all
 }
 
-// Bad makes a share of all workers' answers fail, from 0 to 1, from now on.
-func (f *Fleet) Bad(share float64) {
+// SetFailedShare makes a share of all workers' answers fail, from 0 to 1, from now on.
+func (f *Fleet) SetFailedShare(share float64) {
 	for _, wk := range f.exp.workers {
 		wk.applyFault(script.Action{Fault: "erring", Begin: share > 0, Factor: share})
 	}
 }
 
-// Renew ends a worker's process and starts it again, cold, after the given down time, as the site's own restart command does.
-func (f *Fleet) Renew(id string, downTime time.Duration) {
+// RestartWorker ends a worker's process and starts it again, cold, after the given down time, as the site's own restart command does.
+func (f *Fleet) RestartWorker(id string, downTime time.Duration) {
 	for _, wk := range f.exp.workers {
 		if wk.Name == id {
 			wk.applyFault(script.Action{Fault: "kill", Begin: true})
--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -55,37 +55,37 @@
 
 // Options are the settings of a run that are not part of the plan.
 type Options struct {
-	Program string // path of the shalebeam program
-	Dir     string // for configurations and logs; empty: a temporary directory, removed after the run
-	Keep    string // reference of the txn whose history is kept
+	Program       string // path of the shalebeam program
+	Dir           string // for configurations and logs; empty: a temporary directory, removed after the run
+	KeepHistoryOf string // reference of the txn whose history is kept
 	// Progress is called once a second with the share of the plan's length that has passed, from 0 to 1.
 	Progress func(done float64)
-	// Tell is called with a line of text for each begin and end of a fault and each end of a process.
-	Tell func(text string)
+	// OnEvent is called with a line of text for each begin and end of a fault and each end of a process.
+	OnEvent func(text string)
 	// Serving is called once all schedulers serve, with the address of one of them for clients and the name of a scheme.
-	Serving func(addr, scheme string)
-	Outcome func(j *load.Job) // called for each job that has ended
-	Guests  bool              // workers also serve requests that are not part of the plan
+	Serving        func(addr, scheme string)
+	Outcome        func(j *load.Job) // called for each job that has ended
+	ServeUnplanned bool              // workers also serve requests that are not part of the plan
 	// Agent returns the address of a scheduler's agent, for the scheduler's configuration.
 	Agent func(number int) string
 	Env   []string // additional environment variables of the schedulers, as NAME=value
 	// Fleet is called once all schedulers serve. The run calls the function that it returns, which may wait, before it ends
 	// the schedulers.
 	Fleet func(f *Fleet) (wait func())
-	// Mark is set where agents start the processes of the schedulers; the lab then starts none. The environment of each
-	// process contains Mark, followed by "|ID|" and two further fields, and so shows which scheduler it belongs to. Logs is a
-	// directory with one subdirectory for each agent, in which its schedulers' logs are. Begin makes the agents start the
+	// ProcessMark is set where agents start the processes of the schedulers; the lab then starts none. The environment of each
+	// process contains ProcessMark, followed by "|ID|" and two further fields, and so shows which scheduler it belongs to. AgentLogDir is a
+	// directory with one subdirectory for each agent, in which its schedulers' logs are. StartSchedulers makes the agents start the
 	// schedulers; it is called once all configurations are written.
-	Mark, Logs string
-	Begin      func(f *Fleet) error
-	Told       func(pid int) bool // tells whether an agent has asked a process to stop
+	ProcessMark, AgentLogDir string
+	StartSchedulers          func(f *Fleet) error
+	WasToldToStop            func(pid int) bool // tells whether an agent has asked a process to stop
 }
 
 // Fleet gives access to a running experiment, for callers that act on it beyond what the plan says.
 type Fleet struct{ exp *experiment }
 
 // Member is a scheduler: its ID, its zone, its management address and the path of its log.
-type Member struct{ ID, Zone, Mgmt, Log string }
+type Member struct{ ID, Zone, ManagementAddr, Log string }
 
 // Schedulers lists the schedulers.
 func (f *Fleet) Schedulers() (all []Member) {
@@ -104,9 +104,9 @@
 	return all
 }
 
-// Out tells the auditor that from now on no scheduler may send new postings to a worker, or, where out is false, that all may
+// RecordWithdrawn tells the auditor that from now on no scheduler may send new postings to a worker, or, where out is false, that all may
 // again.
-func (f *Fleet) Out(worker string, out bool) {
+func (f *Fleet) RecordWithdrawn(worker string, out bool) {
 	for _, s := range f.exp.schedulers {
 		f.exp.recordEvent(func(at float64) { f.exp.auditor.TakenOut(at, s.id(), worker, out) })
 	}
@@ -116,7 +116,7 @@
 // on a new machine: the file in which it had stored which workers are out of service is removed.
 func (f *Fleet) Kill(number int, downTime time.Duration) {
 	s := f.exp.schedulers[number]
-	if f.exp.options.Mark != "" {
+	if f.exp.options.ProcessMark != "" {
 		s.signal(syscall.SIGKILL)
 		return // the agent starts it again
 	}
@@ -128,14 +128,14 @@
 	}
 }
 
-// Late makes discovery announce each change ms milliseconds later, for the given duration.
-func (f *Fleet) Late(ms float64, duration time.Duration) {
+// DelayDiscovery makes discovery announce each change ms milliseconds later, for the given duration.
+func (f *Fleet) DelayDiscovery(ms float64, duration time.Duration) {
 	f.exp.discovery.applyFault(script.Action{Fault: "lag", Begin: true, Factor: ms})
 	time.AfterFunc(duration, func() { f.exp.discovery.applyFault(script.Action{Fault: "lag", Factor: ms}) })
 }
 
-// Stop pauses a scheduler's processes with SIGSTOP and resumes them with SIGCONT after the given duration.
-func (f *Fleet) Stop(number int, duration time.Duration) {
+// Pause pauses a scheduler's processes with SIGSTOP and resumes them with SIGCONT after the given duration.
+func (f *Fleet) Pause(number int, duration time.Duration) {
 	s := f.exp.schedulers[number]
 	if from, name := f.exp.nowMs(), s.processName(); s.signal(syscall.SIGSTOP) {
 		time.AfterFunc(duration, func() {
@@ -317,8 +317,8 @@
 	exp.recordEventAt(max(exp.nowMs()-beforeMs, post.arrivedMs), func(at float64) { exp.auditor.Ended(at, post.reference, post.number, outcome) })
 }
 
-// Play runs a plan with a seed. When ctx is done it stops early and marks the result as partial.
-func Play(ctx context.Context, p *plan.Plan, seed uint64, opt Options) (*tally.Result, error) {
+// Run runs a plan with a seed. When ctx is done it stops early and marks the result as partial.
+func Run(ctx context.Context, p *plan.Plan, seed uint64, opt Options) (*tally.Result, error) {
 	exp := &experiment{plan: p, seed: seed, options: opt, program: opt.Program, dir: opt.Dir,
 		result: tally.New(p, "adus", "sockets", seed), jobsByReference: map[string]*load.Job{}, postingCounts: map[string]int{},
 		cancelFuncs: map[*load.Job]context.CancelFunc{}, schemeRows: p.AllSchemeRows(), withdrawals: map[string]int{}}
@@ -412,12 +412,12 @@
 	// Parallel postings are allowed here even where the plan forbids them: a worker sees the end of a connection too late for
 	// the lab to judge whether two postings were outstanding at the same time.
 	terms := audit.Terms{Copies: true, MaxPosts: p.Schedulers.MaxPosts, AnswerGraceMs: lateAnswerLimitMs,
-		DrainGraceMs: float64(p.Discovery.Grace) + drainGraceMarginMs, GiveUpGraceMs: stuckAnswerLimitMs, SocketDelayMs: hangUpDelayMs, KeepTxn: exp.options.Keep,
+		DrainGraceMs: float64(p.Discovery.Grace) + drainGraceMarginMs, GiveUpGraceMs: stuckAnswerLimitMs, SocketDelayMs: hangUpDelayMs, KeepTxn: exp.options.KeepHistoryOf,
 		LabDelayMs: exp.maxLabDelayMs}
 	go exp.watchLabDelay()
 	terms.Schemes = exp.schemeRows
 	// Where agents start the processes, the lab does not see exactly when they start.
-	if exp.options.Mark == "" && p.Discovery.Mode != "push" {
+	if exp.options.ProcessMark == "" && p.Discovery.Mode != "push" {
 		terms.KnownWithoutWatchMs = float64(p.Discovery.MustAsk)
 	}
 	exp.auditor = audit.New(terms)
@@ -470,7 +470,7 @@
 	if err := exp.relay.open(exp); err != nil {
 		return err
 	}
-	if exp.options.Mark != "" {
+	if exp.options.ProcessMark != "" {
 		for i, s := range exp.schedulers {
 			if s.initialList = exp.discovery.initialList(i); s.initialList == nil {
 				return fmt.Errorf("could not encode the initial list of workers for scheduler %s", s.id())
@@ -480,7 +480,7 @@
 			}
 		}
 		go exp.watchProcesses()
-		return exp.options.Begin(&Fleet{exp})
+		return exp.options.StartSchedulers(&Fleet{exp})
 	}
 	for _, s := range exp.schedulers {
 		if err := s.start(); err != nil {
@@ -543,8 +543,8 @@
 		}
 		s.mu.Unlock()
 	})
-	if exp.options.Tell != nil {
-		exp.options.Tell(s.id() + " has ended")
+	if exp.options.OnEvent != nil {
+		exp.options.OnEvent(s.id() + " has ended")
 	}
 }
 
@@ -642,12 +642,12 @@
 
 // applyFault begins or ends a fault.
 func (exp *experiment) applyFault(fault script.Action) {
-	if exp.options.Tell != nil {
+	if exp.options.OnEvent != nil {
 		word := "ends"
 		if fault.Begin {
 			word = "begins"
 		}
-		exp.options.Tell(fmt.Sprintf("%s %s on %s %d", fault.Fault, word, fault.Kind, fault.Part))
+		exp.options.OnEvent(fmt.Sprintf("%s %s on %s %d", fault.Fault, word, fault.Kind, fault.Part))
 	}
 	switch fault.Kind {
 	case "workers":
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -124,7 +124,7 @@
 	}
 	ended := 0
 	done := make(chan *load.Job, 10000)
-	r, err := Play(context.Background(), p, 1, Options{Program: program, Outcome: func(j *load.Job) { done <- j }})
+	r, err := Run(context.Background(), p, 1, Options{Program: program, Outcome: func(j *load.Job) { done <- j }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Play(context.Background(), p, 1, Options{Program: program})
+	r, err := Run(context.Background(), p, 1, Options{Program: program})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +191,7 @@
 	if out, err := exec.Command("go", "build", "-o", fake, "./testdata/fake").CombinedOutput(); err != nil {
 		t.Fatal(string(out))
 	}
-	r, err := Play(context.Background(), p, 1, Options{Program: fake})
+	r, err := Run(context.Background(), p, 1, Options{Program: fake})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var addr string
-	r, err := Play(ctx, p, 1, Options{Program: program, Serving: func(a, _ string) { addr = a; cancel() }})
+	r, err := Run(ctx, p, 1, Options{Program: program, Serving: func(a, _ string) { addr = a; cancel() }})
 	if err != nil || !r.Partial {
 		t.Errorf("got result %+v, error %v; expected a partial result without an error", r, err)
 	}
--- a/lab/live/pace.go
+++ b/lab/live/pace.go
@@ -20,19 +20,19 @@
 	"time"
 )
 
-// Pace measures the throughput of one scheduler process, in txns a second, with a closed loop: each connection sends its next
+// ThroughputTest measures the throughput of one scheduler process, in txns a second, with a closed loop: each connection sends its next
 // request as soon as it has an answer, and the workers answer at once. Meanwhile further txns stay open without an answer: they
 // cost nothing only where the scheduler never goes through all open txns, so the figure shows whether it does.
-type Pace struct {
-	Program string        // path of the shalebeam program
-	Workers int           // number of worker stand-ins
-	Conns   int           // connections in the closed loop
-	Open    int           // txns that stay open
-	For     time.Duration // how long is measured, after one second of warm-up
+type ThroughputTest struct {
+	Program     string        // path of the shalebeam program
+	Workers     int           // number of worker stand-ins
+	Connections int           // connections in the closed loop
+	OpenTxns    int           // txns that stay open
+	Duration    time.Duration // how long is measured, after one second of warm-up
 }
 
 // config returns the scheduler's configuration as JSON, with these addresses of workers and with limits too high to be reached.
-func (c *Pace) config(listen, discovery string, workers []string) ([]byte, error) {
+func (c *ThroughputTest) config(listen, discovery string, workers []string) ([]byte, error) {
 	var hosts []map[string]any
 	for i, a := range workers {
 		hosts = append(hosts, map[string]any{"host": fmt.Sprint("w", i), "dial": a, "site": "a", "class": "k",
@@ -51,7 +51,7 @@
 }
 
 // Run starts a scheduler with its workers and discovery, measures once, and returns the throughput in txns a second.
-func (c *Pace) Run(ctx context.Context) (float64, error) {
+func (c *ThroughputTest) Run(ctx context.Context) (float64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "beamlab-")
@@ -125,7 +125,7 @@
 
 // measureRate sends requests for one second of warm-up and then for c.For, and returns the txns a second of the latter. A txn that
 // fails or is not settled makes it return an error.
-func (c *Pace) measureRate(ctx context.Context, addr string) (float64, error) {
+func (c *ThroughputTest) measureRate(ctx context.Context, addr string) (float64, error) {
 	var done, failed atomic.Int64
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
@@ -159,10 +159,10 @@
 			done.Add(1)
 		}
 	}
-	for i := range c.Open {
+	for i := range c.OpenTxns {
 		wg.Go(func() { sendRequests(fmt.Sprint("open", i), true) })
 	}
-	for i := range c.Conns {
+	for i := range c.Connections {
 		wg.Go(func() { sendRequests(fmt.Sprint("c", i), false) })
 	}
 	pause := func(d time.Duration) {
@@ -173,12 +173,12 @@
 	}
 	pause(time.Second)
 	doneBefore, start := done.Load(), time.Now()
-	pause(c.For)
+	pause(c.Duration)
 	rate := float64(done.Load()-doneBefore) / time.Since(start).Seconds()
 	close(stop)
 	wg.Wait()
 	if n := failed.Load(); n > 0 {
-		return 0, fmt.Errorf("%d of %d connections failed, expected none", n, c.Conns+c.Open)
+		return 0, fmt.Errorf("%d of %d connections failed, expected none", n, c.Connections+c.OpenTxns)
 	}
 	return rate, ctx.Err()
 }
--- a/lab/live/schedulers.go
+++ b/lab/live/schedulers.go
@@ -61,7 +61,7 @@
 	return all
 }
 
-// scheduler is one scheduler and its process. Where agents run the processes there may be several at a time (see Mark in
+// scheduler is one scheduler and its process. Where agents run the processes there may be several at a time (see ProcessMark in
 // Options).
 type scheduler struct {
 	exp            *experiment
@@ -135,7 +135,7 @@
 		"seed":   strconv.FormatUint(seed, 16),
 		"limits": map[string]any{"cores": 1, "memory_mb": 384, "sockets": 4096},
 		"known":  json.RawMessage(s.initialList), "settings": schedulerSettings(s.exp.plan, s.number, s.exp.currentPhase())}
-	if s.exp.options.Mark == "" {
+	if s.exp.options.ProcessMark == "" {
 		c["mgmt"] = s.managementAddr
 	}
 	if s.exp.options.Agent != nil {
@@ -164,7 +164,7 @@
 func (s *scheduler) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cmd != nil || s.exp.ctx.Err() != nil || s.exp.options.Mark != "" {
+	if s.cmd != nil || s.exp.ctx.Err() != nil || s.exp.options.ProcessMark != "" {
 		return nil
 	}
 	s.incarnation.Add(1)
@@ -249,7 +249,7 @@
 
 // signal sends a signal to the process and tells whether there was one to send it to.
 func (s *scheduler) signal(sig syscall.Signal) bool {
-	if s.exp.options.Mark != "" {
+	if s.exp.options.ProcessMark != "" {
 		return s.signalProcesses(sig)
 	}
 	s.mu.Lock()
--- a/lab/live/workers.go
+++ b/lab/live/workers.go
@@ -161,7 +161,7 @@
 	_, err := io.Copy(io.Discard, r.Body)
 	ref := r.Header.Get("Request-Id")
 	j := wk.exp.jobByReference(ref)
-	isGuest := j == nil && wk.exp.options.Guests
+	isGuest := j == nil && wk.exp.options.ServeUnplanned
 	if isGuest {
 		j = wk.exp.guestJob(r)
 	}
