--- a/cmd/beamlab/cluster.go
+++ b/cmd/beamlab/cluster.go
@@ -40,8 +40,8 @@
 
 // Run plays the seeds and prints each violation with the command that plays its seed again.
 func (c *clusterDays) Run(ctx context.Context) error {
-	if c.Plant != "" && !slices.Contains(cluster.Bugs, c.Plant) {
-		return fmt.Errorf("--plant: %q is none of %s", c.Plant, strings.Join(cluster.Bugs, ", "))
+	if c.Plant != "" && !slices.Contains(cluster.PlantableBugs, c.Plant) {
+		return fmt.Errorf("--plant: %q is none of %s", c.Plant, strings.Join(cluster.PlantableBugs, ", "))
 	}
 	if c.Voters != 3 && c.Voters != 5 {
 		return fmt.Errorf("--voters: expected 3 or 5, got %d", c.Voters)
@@ -72,9 +72,9 @@
 			for seed := range seeds {
 				runDir := filepath.Join(dir, fmt.Sprint("day", seed))
 				_ = os.RemoveAll(runDir) // an earlier run with --keep may have left the data of another fleet
-				r, err := cluster.Play(ctx, cluster.Options{Seed: seed, Agents: c.Agents, Voters: c.Voters, Schedulers: c.Schedulers,
-					Workers: c.Workers, For: c.For, Runs: c.Operations, Bug: c.Plant, Dir: runDir, Program: filepath.Join(programs, "shalebeam"),
-					Agent: filepath.Join(programs, "beamagent")})
+				r, err := cluster.Run(ctx, cluster.Options{Seed: seed, Agents: c.Agents, Voters: c.Voters, Schedulers: c.Schedulers,
+					Workers: c.Workers, FaultDuration: c.For, AgentsRunSchedulers: c.Operations, PlantedBug: c.Plant, Dir: runDir, SchedulerProgram: filepath.Join(programs, "shalebeam"),
+					AgentProgram: filepath.Join(programs, "beamagent")})
 				mu.Lock()
 				switch {
 				case ctx.Err() != nil:
@@ -82,13 +82,13 @@
 					broken++
 					fmt.Printf("day %d: could not be played: %v\n", seed, err)
 				default:
-					ops, confirmed, open = ops+r.Ops, confirmed+r.Yes, open+r.Open
-					healSeconds = append(healSeconds, r.Healed)
-					fmt.Printf("day %d: %d operations, %d by all, %d open, healed in %.1f s, %d postings: %d broken\n", seed, r.Ops, r.Yes,
-						r.Open, r.Healed, r.Postings, len(r.Breaks))
-					if len(r.Breaks) > 0 {
+					ops, confirmed, open = ops+r.Answered, confirmed+r.AcknowledgedByAll, open+r.Unanswered
+					healSeconds = append(healSeconds, r.RecoverySeconds)
+					fmt.Printf("day %d: %d operations, %d by all, %d open, healed in %.1f s, %d postings: %d broken\n", seed, r.Answered, r.AcknowledgedByAll,
+						r.Unanswered, r.RecoverySeconds, r.Postings, len(r.Violations))
+					if len(r.Violations) > 0 {
 						broken++
-						for _, b := range r.Breaks[:min(len(r.Breaks), 5)] {
+						for _, b := range r.Violations[:min(len(r.Violations), 5)] {
 							fmt.Println("  " + b)
 						}
 						fmt.Printf("  again: beamlab cluster days --seed %d --agents %d --voters %d --schedulers %d --workers %d --for %v --operations=%t",
@@ -103,7 +103,7 @@
 				if c.Keep == "" {
 					os.RemoveAll(runDir)
 				} else if r != nil {
-					_ = os.WriteFile(filepath.Join(runDir, "faults.txt"), []byte(strings.Join(r.Faults, "\n")+"\n"), 0o600)
+					_ = os.WriteFile(filepath.Join(runDir, "faults.txt"), []byte(strings.Join(r.Events, "\n")+"\n"), 0o600)
 				}
 			}
 		})
@@ -198,11 +198,11 @@
 	if operations {
 		load, length = 0.5, time.Duration(c.Times)*12*time.Second
 	}
-	r, err := cluster.Play(ctx, cluster.Options{Seed: 1, Agents: c.Agents, Dir: dir, For: length, Load: load, Runs: operations, Schedulers: c.Schedulers,
-		Program: filepath.Join(c.Programs, "shalebeam"), Agent: filepath.Join(c.Programs, "beamagent"), Act: func(d *cluster.Day) {
+	r, err := cluster.Run(ctx, cluster.Options{Seed: 1, Agents: c.Agents, Dir: dir, FaultDuration: length, Load: load, AgentsRunSchedulers: operations, Schedulers: c.Schedulers,
+		SchedulerProgram: filepath.Join(c.Programs, "shalebeam"), AgentProgram: filepath.Join(c.Programs, "beamagent"), RunInstead: func(d *cluster.Day) {
 			if c.What == "changes" {
 				for _, callers := range []int{1, 64} {
-					changes, syncs := d.Changes(callers, 5*time.Second)
+					changes, syncs := d.MeasureChangeRate(callers, 5*time.Second)
 					fmt.Printf("%d callers: %.0f changes a second, %.0f syncs a second and voter, %.2f changes a sync\n", callers, changes, syncs, changes/syncs)
 				}
 				return
@@ -215,31 +215,31 @@
 			}
 			switch c.What {
 			case "idle":
-				messages, bytes := d.Idle(10 * time.Second)
+				messages, bytes := d.MeasureIdleTraffic(10 * time.Second)
 				fmt.Printf("%d agents, %d schedulers, idle: %.0f letters, %.0f kB a second between all processes\n", c.Agents, c.Schedulers, messages, bytes/1000)
 				return
 			case "halt", "halt-alone":
-				lastStep, confirmed := d.HaltPace(c.Times, c.What == "halt-alone")
+				lastStep, confirmed := d.MeasureHalts(c.Times, c.What == "halt-alone")
 				fmt.Printf("%s: %d times, to the last new step %s; to the yes %s\n", c.What, len(lastStep), medianAndWorst(lastStep), medianAndWorst(confirmed))
 				return
 			case "back":
-				toHalt, toRollback := d.BackPace(c.Times)
+				toHalt, toRollback := d.MeasureRollbacks(c.Times)
 				fmt.Printf("back: %d times, from the start to the halt %s; from the halt until all are back %s\n", len(toHalt), medianAndWorst(toHalt), medianAndWorst(toRollback))
 				return
 			case "restart":
 				for _, share := range []float64{0.05, 0.1, 0.25, 1} {
-					took, least, n := d.ReleasePace(share)
+					took, least, n := d.MeasureRestart(share)
 					fmt.Printf("restart of %d, share %g: %.1f s, at the least %.1f s: %.2f times\n", n, share, took/1000, least/1000, took/least)
 				}
 				return
 			}
-			gaps := d.Gaps(c.What, c.Times)
+			gaps := d.MeasureOwnerGaps(c.What, c.Times)
 			fmt.Printf("%s: %d times, without an owner %.0f ms (median), %.0f ms at worst; the term is 1000 ms\n", c.What, len(gaps), gaps[len(gaps)/2], gaps[len(gaps)-1])
 		}})
 	if err != nil {
 		return err
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		fmt.Println("broken:", b)
 	}
 	return nil
@@ -278,9 +278,9 @@
 	defer os.RemoveAll(dir)
 	ctx, stop := context.WithTimeout(ctx, c.For)
 	defer stop()
-	_, err = cluster.Play(ctx, cluster.Options{Seed: 1, Dir: dir, Hold: true, Runs: c.Operations, Program: inOwnDir("shalebeam"), Agent: inOwnDir("beamagent"),
-		Tell: func(text string) { fmt.Println(text) }, Act: func(d *cluster.Day) {
-			addrs, worker, zone := d.Try()
+	_, err = cluster.Run(ctx, cluster.Options{Seed: 1, Dir: dir, RunUntilCancelled: true, AgentsRunSchedulers: c.Operations, SchedulerProgram: inOwnDir("shalebeam"), AgentProgram: inOwnDir("beamagent"),
+		OnEvent: func(text string) { fmt.Println(text) }, RunInstead: func(d *cluster.Day) {
+			addrs, worker, zone := d.DemoTargets()
 			fmt.Printf("\nthree agents and four schedulers run. In another window:\n\n")
 			fmt.Printf("  export BEAM_AGENT=%s\n  %s status\n", strings.Join(addrs, ","), inOwnDir("beamctl"))
 			fmt.Printf("  %s worker down %s --zone %s --why maintenance\n  %s worker up %s\n  %s events\n\n", inOwnDir("beamctl"), worker, zone,
@@ -289,7 +289,7 @@
 				fmt.Printf("  %s restart s0 s1 s2 s3\n  %s drain s1\n  %s why s2\n  %s undrain s1\n  %s halt all --why look\n  %s lift all\n\n", inOwnDir("beamctl"),
 					inOwnDir("beamctl"), inOwnDir("beamctl"), inOwnDir("beamctl"), inOwnDir("beamctl"), inOwnDir("beamctl"))
 			}
-			d.Script(faults)
+			d.ScheduleFaults(faults)
 		}})
 	if ctx.Err() != nil {
 		return nil
--- a/cmd/beamlab/main.go
+++ b/cmd/beamlab/main.go
@@ -34,7 +34,7 @@
 		Cluster clusterCmd `cmd:"" help:"Play agents and schedulers together, with injected faults."`
 	}
 	k := kong.Parse(&cli, kong.Name("beamlab"), kong.BindTo(ctx, (*context.Context)(nil)),
-		kong.Description("An emulator of fleets with an experiment tool."), kong.Vars{"jobs": jobs(), "bugs": strings.Join(cluster.Bugs, ", ")})
+		kong.Description("An emulator of fleets with an experiment tool."), kong.Vars{"jobs": jobs(), "bugs": strings.Join(cluster.PlantableBugs, ", ")})
 	err := k.Run()
 	if errors.Is(err, errRuleBroken) {
 		fmt.Fprintln(os.Stderr, "beamlab:", err)
--- a/lab/cluster/checks.go
+++ b/lab/cluster/checks.go
@@ -149,7 +149,7 @@
 			}
 		}
 	}
-	if d.opt.Runs {
+	if d.opt.AgentsRunSchedulers {
 		d.checkHalts()
 	}
 	d.checkFenceOrder()
--- a/lab/cluster/cluster_test.go
+++ b/lab/cluster/cluster_test.go
@@ -37,18 +37,18 @@
 // playDay runs a day, in the folder CLUSTER_KEEP if that is set, and logs its events.
 func playDay(t *testing.T, o Options) *Report {
 	t.Helper()
-	o.Program, o.Agent, o.Dir = filepath.Join(programDir, "shalebeam"), filepath.Join(programDir, "beamagent"), t.TempDir()
+	o.SchedulerProgram, o.AgentProgram, o.Dir = filepath.Join(programDir, "shalebeam"), filepath.Join(programDir, "beamagent"), t.TempDir()
 	if at := os.Getenv("CLUSTER_KEEP"); at != "" { // logs and disks are kept there
 		o.Dir = filepath.Join(at, t.Name())
 		_ = os.RemoveAll(o.Dir)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer stop()
-	r, err := Play(ctx, o)
+	r, err := Run(ctx, o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range r.Faults {
+	for _, f := range r.Events {
 		t.Log(f)
 	}
 	return r
@@ -58,17 +58,17 @@
 func TestSeededDays(t *testing.T) {
 	for seed := range uint64(3) {
 		r := playDay(t, Options{Seed: seed + 1})
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %s", seed+1, b)
 		}
-		t.Logf("seed %d: %d operations, %d by all, %d open, healed in %.1f s", seed+1, r.Ops, r.Yes, r.Open, r.Healed)
+		t.Logf("seed %d: %d operations, %d by all, %d open, healed in %.1f s", seed+1, r.Answered, r.AcknowledgedByAll, r.Unanswered, r.RecoverySeconds)
 	}
 }
 
 // requireNoBreaks fails the test with each violation of a day.
 func requireNoBreaks(t *testing.T, r *Report) {
 	t.Helper()
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 }
@@ -78,7 +78,7 @@
 // the check of fencing tokens the worker would be out again.
 func TestLateCallOfFormerOwnerIsRefused(t *testing.T) {
 	t.Parallel()
-	r := playDay(t, Options{Seed: 11, Agents: 3, Act: func(d *Day) {
+	r := playDay(t, Options{Seed: 11, Agents: 3, RunInstead: func(d *Day) {
 		oldOwner, fence := d.Owner("a")
 		worker := d.WorkerIn("a")
 		d.SetLink(fmt.Sprint("a", oldOwner), "s0", LinkStalled, LinkStalled)
@@ -113,7 +113,7 @@
 // under a new leader, and schedulers must serve throughout. A command that was sent to both sides is applied once.
 func TestLeaderCutOff(t *testing.T) {
 	t.Parallel()
-	r := playDay(t, Options{Seed: 12, Act: func(d *Day) {
+	r := playDay(t, Options{Seed: 12, RunInstead: func(d *Day) {
 		leader := -1
 		d.WaitUntil("a leader", func() bool {
 			leader = d.leader()
@@ -150,7 +150,7 @@
 // voter. Acknowledged changes must survive, and a scheduler that was restarted meanwhile must be told again who is out.
 func TestAllAgentsKilledAtOnce(t *testing.T) {
 	t.Parallel()
-	r := playDay(t, Options{Seed: 13, Act: func(d *Day) {
+	r := playDay(t, Options{Seed: 13, RunInstead: func(d *Day) {
 		worker := d.WorkerIn("a")
 		d.SetWorkerOut(0, worker, true, d.agentAddrs(nil), 10*time.Second)
 		for i := range d.agents {
@@ -183,7 +183,7 @@
 // the third voter is back the two must report that their disks are behind.
 func TestTwoVotersLoseSyncedWrites(t *testing.T) {
 	t.Parallel()
-	r := playDay(t, Options{Seed: 14, Act: func(d *Day) {
+	r := playDay(t, Options{Seed: 14, RunInstead: func(d *Day) {
 		d.SetWorkerOut(0, d.WorkerIn("b"), true, d.agentAddrs(nil), 5*time.Second)
 		for _, p := range d.agents[:2] {
 			p.setFaults(map[string]any{"LieSync": true})
@@ -211,7 +211,7 @@
 		d.SetLinks(2, LinkUp, LinkUp)
 		d.WaitUntil("a voter reports that its disk is behind", found)
 	}})
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		if !strings.Contains(b, "the record in reach") { // the record stays out of reach until an operator decides
 			t.Error(b)
 		}
--- a/lab/cluster/day.go
+++ b/lab/cluster/day.go
@@ -33,38 +33,38 @@
 
 // Options configure one day. A zero count, duration or load is replaced by a default.
 type Options struct {
-	Seed       uint64
-	Agents     int // number of agents; the first Voters of them replicate the record
-	Voters     int
-	Schedulers int
-	Workers    int
-	For        time.Duration // how long faults are injected
-	Program    string        // path of shalebeam; Bug and faults of disks and clocks need a build with the tag faults
-	Agent      string        // path of beamagent, built alike
-	Dir        string        // for configurations, logs and disks
-	Bug        string        // the bug of Bugs that the processes are started with, "" for none
-	NoFaults   bool          // inject no seeded faults
-	Load       float64       // the plan's clients.load
-	Tell       func(string)  // called with each line of the event log
-	// Act runs in place of the seeded callers and faults. When it returns, all remaining faults are ended.
-	Act func(d *Day)
-	// Runs has agents start and stop the scheduler processes. Seeded days then include operations and halts.
-	Runs bool
-	// Hold keeps the day running until ctx is done, without checks at the end, for a demonstration.
-	Hold bool
+	Seed             uint64
+	Agents           int // number of agents; the first Voters of them replicate the record
+	Voters           int
+	Schedulers       int
+	Workers          int
+	FaultDuration    time.Duration // how long faults are injected
+	SchedulerProgram string        // path of shalebeam; PlantedBug and faults of disks and clocks need a build with the tag faults
+	AgentProgram     string        // path of beamagent, built alike
+	Dir              string        // for configurations, logs and disks
+	PlantedBug       string        // the bug of PlantableBugs that the processes are started with, "" for none
+	NoFaults         bool          // inject no seeded faults
+	Load             float64       // the plan's clients.load
+	OnEvent          func(string)  // called with each line of the event log
+	// RunInstead runs in place of the seeded callers and faults. When it returns, all remaining faults are ended.
+	RunInstead func(d *Day)
+	// AgentsRunSchedulers has agents start and stop the scheduler processes. Seeded days then include operations and halts.
+	AgentsRunSchedulers bool
+	// RunUntilCancelled keeps the day running until ctx is done, without checks at the end, for a demonstration.
+	RunUntilCancelled bool
 }
 
 // Report is the result of a day.
 type Report struct {
-	Seed     uint64
-	Breaks   []string // violations of what a day checks, at most 50 plus those of txns
-	Ops      int      // commands and reads that were answered
-	Yes      int      // workers taken out with an acknowledgement of every scheduler
-	Open     int      // commands that were never answered
-	Faults   []string // the event log: injected faults and operators' actions, with seconds since the start
-	Postings int      // that workers received
-	MostOut  int      // the most schedulers out of service at once on purpose, by the lab's own health checks
-	Healed   float64  // seconds from the end of faults until every scheduler had the workers out that the record has out
+	Seed              uint64
+	Violations        []string // violations of what a day checks, at most 50 plus those of txns
+	Answered          int      // commands and reads that were answered
+	AcknowledgedByAll int      // workers taken out with an acknowledgement of every scheduler
+	Unanswered        int      // commands that were never answered
+	Events            []string // the event log: injected faults and operators' actions, with seconds since the start
+	Postings          int      // that workers received
+	MostOut           int      // the most schedulers out of service at once on purpose, by the lab's own health checks
+	RecoverySeconds   float64  // seconds from the end of faults until every scheduler had the workers out that the record has out
 }
 
 // day is a running day.
@@ -95,13 +95,13 @@
 	callersPaused    atomic.Bool // callers send nothing meanwhile
 }
 
-// Day is a running day, for Options.Act.
+// Day is a running day, for Options.RunInstead.
 type Day struct{ *day }
 
 // leaseTerm is how long a lease lasts without renewal. On every third seed it is longer than the election of a
 // leader takes.
 func (d *day) leaseTerm() time.Duration {
-	if d.opt.Seed%3 == 0 || d.opt.Bug == "new-leader-hurries" {
+	if d.opt.Seed%3 == 0 || d.opt.PlantedBug == "new-leader-hurries" {
 		return 4 * time.Second
 	}
 	return time.Second
@@ -113,7 +113,7 @@
 		o.Voters = 3
 	}
 	o.Agents = max(o.Agents, o.Voters)
-	if o.Bug == "new-leader-hurries" {
+	if o.PlantedBug == "new-leader-hurries" {
 		o.Agents = max(o.Agents, o.Voters+2) // the bug shows when an owner that is no voter is cut off and a majority of voters is left
 	}
 	if o.Schedulers == 0 {
@@ -122,12 +122,12 @@
 	if o.Workers == 0 {
 		o.Workers = 9
 	}
-	if o.For == 0 {
-		o.For = 8 * time.Second
+	if o.FaultDuration == 0 {
+		o.FaultDuration = 8 * time.Second
 	}
 	if o.Load == 0 {
 		o.Load = 0.4
-		if o.Runs { // there may be twice as many scheduler processes, which share this machine's cores
+		if o.AgentsRunSchedulers { // there may be twice as many scheduler processes, which share this machine's cores
 			o.Load = 0.25
 		}
 	}
@@ -184,8 +184,8 @@
 // Schedulers then have another 10 s to agree with the record.
 const recoveryTimeout = 30 * time.Second
 
-// Play runs one day and returns its report. An error means that the day could not be run; violations are in Report.Breaks.
-func Play(ctx context.Context, opt Options) (*Report, error) {
+// Run runs one day and returns its report. An error means that the day could not be run; violations are in Report.Violations.
+func Run(ctx context.Context, opt Options) (*Report, error) {
 	opt.setDefaults()
 	var err error
 	if opt.Dir, err = filepath.Abs(opt.Dir); err != nil {
@@ -200,11 +200,11 @@
 	if err := os.MkdirAll(d.dir, 0o755); err != nil {
 		return nil, err
 	}
-	length := opt.For
-	if opt.Runs && opt.Act == nil {
+	length := opt.FaultDuration
+	if opt.AgentsRunSchedulers && opt.RunInstead == nil {
 		length += 15 * time.Second // load goes on while restoreService brings every member back
 	}
-	if opt.Hold {
+	if opt.RunUntilCancelled {
 		length = time.Hour
 	}
 	p, err := plan.Parse(fmt.Appendf(nil, planFormat, length.String(), opt.Schedulers, opt.Workers, opt.Load))
@@ -216,7 +216,7 @@
 	}
 	defer d.close()
 	for _, a := range d.agents {
-		if opt.Runs {
+		if opt.AgentsRunSchedulers {
 			break // startAgents starts them, once the schedulers that they run are known
 		}
 		if err := a.start(); err != nil {
@@ -224,7 +224,7 @@
 		}
 	}
 	var runErr error
-	result, err := live.Run(d.ctx, p, opt.Seed, live.Options{Program: opt.Program, Env: []string{"SHALEBEAM_BUG=" + opt.Bug}, Dir: filepath.Join(d.dir, "schedulers"),
+	result, err := live.Run(d.ctx, p, opt.Seed, live.Options{Program: opt.SchedulerProgram, Env: []string{"SHALEBEAM_BUG=" + opt.PlantedBug}, Dir: filepath.Join(d.dir, "schedulers"),
 		Agent:       func(index int) string { return d.agents[index%len(d.agents)].file.Listen },
 		ProcessMark: d.environmentMark(), AgentLogDir: d.dir, StartSchedulers: d.startAgents, WasToldToStop: d.toldToEnd,
 		Fleet: func(f *live.Fleet) func() {
@@ -236,7 +236,7 @@
 			}()
 			return func() { <-done }
 		}})
-	if err != nil && !opt.Hold {
+	if err != nil && !opt.RunUntilCancelled {
 		return nil, err
 	}
 	if runErr != nil {
@@ -249,7 +249,7 @@
 		unsure := d.unsureLives()
 		for _, b := range result.Violations {
 			if text := b.String(); !strings.Contains(text, "staff took it out") || !unsure.MatchString(text) {
-				d.report.Breaks = append(d.report.Breaks, "txns: "+text)
+				d.report.Violations = append(d.report.Violations, "txns: "+text)
 			}
 		}
 	}
@@ -312,10 +312,10 @@
 func (d *day) logEvent(format string, args ...any) {
 	text := fmt.Sprintf("%6.2f ", time.Since(d.startedAt).Seconds()) + fmt.Sprintf(format, args...)
 	d.mu.Lock()
-	d.report.Faults = append(d.report.Faults, text)
+	d.report.Events = append(d.report.Events, text)
 	d.mu.Unlock()
-	if d.opt.Tell != nil {
-		d.opt.Tell(text)
+	if d.opt.OnEvent != nil {
+		d.opt.OnEvent(text)
 	}
 }
 
@@ -323,8 +323,8 @@
 func (d *day) reportBreak(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.report.Breaks) < 50 {
-		d.report.Breaks = append(d.report.Breaks, fmt.Sprintf(format, args...))
+	if len(d.report.Violations) < 50 {
+		d.report.Violations = append(d.report.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -333,7 +333,7 @@
 func (d *day) run() error {
 	d.startedAt = time.Now()
 	for i, m := range d.live.Schedulers() {
-		if d.opt.Runs {
+		if d.opt.AgentsRunSchedulers {
 			break
 		}
 		for _, p := range d.agents {
@@ -345,7 +345,7 @@
 		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.ManagementAddr})
 	}
 	for _, p := range d.agents {
-		if d.opt.Runs {
+		if d.opt.AgentsRunSchedulers {
 			break
 		}
 		p.kill() // restarted with the schedulers in its configuration
@@ -372,26 +372,26 @@
 	}
 	ctx, stop := context.WithCancel(d.ctx)
 	go d.replaceFailedVoters()
-	if d.opt.Runs {
+	if d.opt.AgentsRunSchedulers {
 		go d.checkLimitsContinuously()
 		go d.runWorkerRenewals()
 	}
 	var callers sync.WaitGroup
-	if d.opt.Hold {
-		if d.opt.Act != nil {
-			d.opt.Act(&Day{d})
+	if d.opt.RunUntilCancelled {
+		if d.opt.RunInstead != nil {
+			d.opt.RunInstead(&Day{d})
 		}
 		<-d.ctx.Done()
 		stop()
 		return nil
 	}
-	if d.opt.Act != nil {
-		d.opt.Act(&Day{d})
+	if d.opt.RunInstead != nil {
+		d.opt.RunInstead(&Day{d})
 	} else {
 		for i := range 5 {
 			callers.Go(func() { d.runCaller(ctx, i) })
 		}
-		if d.opt.Runs {
+		if d.opt.AgentsRunSchedulers {
 			callers.Go(func() { d.runOperators(ctx) })
 		}
 		d.injectFaults()
@@ -408,14 +408,14 @@
 		d.reportBreak("%v", err)
 		return nil
 	}
-	if d.opt.Runs && d.opt.Act == nil {
+	if d.opt.AgentsRunSchedulers && d.opt.RunInstead == nil {
 		d.restoreService()
 	}
 	// A new leader waits for one lease term and a new owner for another; schedulers then agree within ten seconds.
 	if err := d.waitFor(3*d.leaseTerm()+10*time.Second, "every scheduler knows who is out", d.schedulersMatchRecord); err != nil {
 		d.reportBreak("%v", err)
 	}
-	d.report.Healed = time.Since(healed).Seconds()
+	d.report.RecoverySeconds = time.Since(healed).Seconds()
 	d.checkDay()
 	return nil
 }
@@ -533,11 +533,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		d.report.Open++
+		d.report.Unanswered++
 		call.leaveOpen()
 		return a, false
 	}
-	d.report.Ops++
+	d.report.Answered++
 	call.finish(a.Applied, false)
 	return a, true
 }
@@ -561,7 +561,7 @@
 		if d.AllAcknowledged(worker, addrs) {
 			d.live.RecordWithdrawn(worker, true)
 			d.mu.Lock()
-			d.report.Yes++
+			d.report.AcknowledgedByAll++
 			d.mu.Unlock()
 			return true
 		}
@@ -599,7 +599,7 @@
 		return
 	}
 	d.mu.Lock()
-	d.report.Ops++
+	d.report.Answered++
 	d.mu.Unlock()
 	call.finish(true, r.Intents[worker].Out)
 }
@@ -630,7 +630,7 @@
 // injectFaults starts the seed's faults at random times, so that they overlap, and waits until the last one is over. The disk
 // of one voter alone may fail in a day: if two disks lose what they acknowledged, commits may be lost and no guarantee holds.
 func (d *day) injectFaults() {
-	end := d.startedAt.Add(d.opt.For)
+	end := d.startedAt.Add(d.opt.FaultDuration)
 	if d.opt.NoFaults {
 		time.Sleep(time.Until(end))
 		return
@@ -648,11 +648,11 @@
 		p := d.agents[d.random.IntN(len(d.agents))]
 		r := rand.New(rand.NewPCG(d.random.Uint64(), 3))
 		kinds := 15
-		if d.opt.Runs {
+		if d.opt.AgentsRunSchedulers {
 			kinds = 18
 		}
 		kind := d.random.IntN(kinds)
-		if d.opt.Bug != "" && d.random.IntN(4) > 0 {
+		if d.opt.PlantedBug != "" && d.random.IntN(4) > 0 {
 			kind = d.faultForBug()
 		}
 		running.Go(func() {
@@ -825,7 +825,7 @@
 // schedulerState asks a scheduler which workers it has out and which fencing tokens are in force there.
 func (d *day) schedulerState(s int) (state schedulerState, err error) {
 	addrs := []string{d.Scheduler(s).ManagementAddr}
-	if d.opt.Runs { // during and after an upgrade its process may listen at the second address
+	if d.opt.AgentsRunSchedulers { // during and after an upgrade its process may listen at the second address
 		addrs = append(addrs, d.live.ManagedSchedulers()[s].TakeoverAddr)
 	}
 	return state, (&agent.Caller{HTTP: d.http, Addrs: addrs}).Get(d.ctx, "/ops/fence", &state)
@@ -887,7 +887,7 @@
 
 // faultForBug returns the kind of fault, as numbered in injectFaults, that makes the planted bug show.
 func (d *day) faultForBug() int {
-	switch d.opt.Bug {
+	switch d.opt.PlantedBug {
 	case "no-fence", "not-closed":
 		return 11
 	case "wall-clock":
@@ -1071,8 +1071,8 @@
 	d.logEvent("faults are over")
 }
 
-// Bugs lists the bugs that can be planted in a build with the tag faults, to show that the checks find them.
-var Bugs = []string{"no-fence", "not-closed", "wall-clock", "new-leader-hurries", "yes-before-sync", "stale-read", "retry-twice",
+// PlantableBugs lists the bugs that can be planted in a build with the tag faults, to show that the checks find them.
+var PlantableBugs = []string{"no-fence", "not-closed", "wall-clock", "new-leader-hurries", "yes-before-sync", "stale-read", "retry-twice",
 	"old-disk-votes", "torn-whole", "restart-untold", "former-start", "no-change",
 	"permit-dies", "zones-alone", "cold-in", "halt-at-owner", "back-unlimited", "step-twice", "gate-yesterday", "two-permits", "unreached-in", "stale-step"}
 
--- a/lab/cluster/demo.go
+++ b/lab/cluster/demo.go
@@ -52,15 +52,15 @@
 	return f, nil
 }
 
-// Try returns what a demonstration's example commands name: the addresses of all agents, a worker and its zone.
-func (d *Day) Try() (addrs []string, worker, zone string) {
+// DemoTargets returns what a demonstration's example commands name: the addresses of all agents, a worker and its zone.
+func (d *Day) DemoTargets() (addrs []string, worker, zone string) {
 	all := d.live.Workers()
 	worker = slices.Sorted(maps.Keys(all))[0]
 	return d.agentAddrs(nil), worker, all[worker]
 }
 
-// Script schedules faults at their times and returns at once.
-func (d *Day) Script(faults []Fault) {
+// ScheduleFaults schedules faults at their times and returns at once.
+func (d *Day) ScheduleFaults(faults []Fault) {
 	for _, f := range faults {
 		time.AfterFunc(f.Start, func() { d.playFault(f) })
 	}
@@ -121,9 +121,9 @@
 	d.links[from+">"+to].setMode(there, back)
 }
 
-// Gaps measures how long zone a has no acting owner after its owner fails: how is "kill", "stop" (SIGSTOP) or "cut" (all links
+// MeasureOwnerGaps measures how long zone a has no acting owner after its owner fails: how is "kill", "stop" (SIGSTOP) or "cut" (all links
 // reset). It returns the times in ms, sorted.
-func (d *Day) Gaps(how string, times int) (gapsMs []float64) {
+func (d *Day) MeasureOwnerGaps(how string, times int) (gapsMs []float64) {
 	for range times {
 		owner, fence := d.Owner("a")
 		for ; owner < 0; owner, fence = d.Owner("a") {
@@ -169,9 +169,9 @@
 // stopAgent stops an agent with SIGSTOP.
 func (d *Day) stopAgent(index int) { d.agents[index].signal(syscall.SIGSTOP) }
 
-// Changes measures throughput for duration: changes per second that the record applies with that many concurrent callers, and
+// MeasureChangeRate measures throughput for duration: changes per second that the record applies with that many concurrent callers, and
 // disk syncs per second and voter.
-func (d *Day) Changes(callers int, duration time.Duration) (changesPerSecond, syncsPerSecond float64) {
+func (d *Day) MeasureChangeRate(callers int, duration time.Duration) (changesPerSecond, syncsPerSecond float64) {
 	count := func() (n int) {
 		for i := range d.agents {
 			var s agent.Status
--- a/lab/cluster/operators.go
+++ b/lab/cluster/operators.go
@@ -134,7 +134,7 @@
 // haltAndLift halts all operations, at every agent and in the record, and lifts the halt 0.5 to 2.5 s later.
 func (d *day) haltAndLift(ctx context.Context, r *rand.Rand) {
 	window := haltWindow{agents: map[string]bool{}}
-	if r.IntN(2) == 0 || d.opt.Bug == "halt-at-owner" { // at a moment when a step was granted and its agent is about to begin it
+	if r.IntN(2) == 0 || d.opt.PlantedBug == "halt-at-owner" { // at a moment when a step was granted and its agent is about to begin it
 		_ = d.waitFor(time.Second, "", func() error {
 			if rec, err := d.readRecord(ctx); err == nil {
 				for _, op := range rec.Ops {
--- a/lab/cluster/ops.go
+++ b/lab/cluster/ops.go
@@ -29,7 +29,7 @@
 // environmentMark returns the start of the environment variable that agents set for each scheduler process that they start, with
 // this day's folder; the lab finds the processes by it. It is "" on days on which the lab starts the schedulers itself.
 func (d *day) environmentMark() string {
-	if !d.opt.Runs {
+	if !d.opt.AgentsRunSchedulers {
 		return ""
 	}
 	return "BEAM_RUN=" + d.dir + string(filepath.Separator)
@@ -50,7 +50,7 @@
 			}
 		}
 		p := d.agents[i%len(d.agents)]
-		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.ManagementAddr, UpgradeAddr: m.TakeoverAddr, Program: d.opt.Program,
+		p.file.Schedulers = append(p.file.Schedulers, agent.SchedulerConfig{ID: m.ID, Zone: m.Zone, Addr: m.ManagementAddr, UpgradeAddr: m.TakeoverAddr, Program: d.opt.SchedulerProgram,
 			Config: m.Config, TempDir: m.Dir})
 	}
 	if err := os.MkdirAll(filepath.Join(d.dir, "renew"), 0o755); err != nil {
@@ -201,7 +201,7 @@
 // buildRelease writes a copy of the scheduler program with a digest of its own and with a bug, "none" or "again" for none, and
 // returns it as a version to release.
 func (d *day) buildRelease(bug string) fleet.Version {
-	raw, err := os.ReadFile(d.opt.Program)
+	raw, err := os.ReadFile(d.opt.SchedulerProgram)
 	if err != nil {
 		d.reportBreak("%v", err)
 		return fleet.Version{}
@@ -288,10 +288,10 @@
 	return yes
 }
 
-// HaltPace measures halts during a restart of all schedulers, as many as times says. lastMs is the time from the halt until the
+// MeasureHalts measures halts during a restart of all schedulers, as many as times says. lastMs is the time from the halt until the
 // last step began that takes a member out (0 for none), ackMs the time until the halt was acknowledged; both in ms and sorted.
 // With minority, the halt is sent only to one agent that is cut off from the others.
-func (d *Day) HaltPace(times int, minority bool) (lastMs, ackMs []float64) {
+func (d *Day) MeasureHalts(times int, minority bool) (lastMs, ackMs []float64) {
 	var all []string
 	for _, m := range d.live.Schedulers() {
 		all = append(all, m.ID)
@@ -339,9 +339,9 @@
 	return lastMs, ackMs
 }
 
-// BackPace measures releases of a program that declines everything: haltsMs is the time from the start to the halt by a gate,
+// MeasureRollbacks measures releases of a program that declines everything: haltsMs is the time from the start to the halt by a gate,
 // backsMs from the halt until the rollback is done at all schedulers; both in ms and sorted.
-func (d *Day) BackPace(times int) (haltsMs, backsMs []float64) {
+func (d *Day) MeasureRollbacks(times int) (haltsMs, backsMs []float64) {
 	var all []fleet.Member
 	for _, m := range d.live.Schedulers() {
 		all = append(all, fleet.Member{ID: m.ID, Zone: m.Zone})
@@ -399,9 +399,9 @@
 	return sumMs
 }
 
-// ReleasePace measures a restart of all schedulers of which a share may be out at once. tookMs is its duration, leastMs the lower
+// MeasureRestart measures a restart of all schedulers of which a share may be out at once. tookMs is its duration, leastMs the lower
 // bound that follows from the schedulers' own handover times and the limit, both in ms; members is the number of schedulers.
-func (d *Day) ReleasePace(share float64) (tookMs, leastMs float64, members int) {
+func (d *Day) MeasureRestart(share float64) (tookMs, leastMs float64, members int) {
 	var all []string
 	for _, m := range d.live.Schedulers() {
 		all = append(all, m.ID)
@@ -423,9 +423,9 @@
 	return tookMs, d.handoverTimeMs(began) / max(1, math.Floor(share*float64(len(all)))), len(all)
 }
 
-// Idle measures an idle cluster for duration: messages that voters send per second, and bytes per second on all links between
+// MeasureIdleTraffic measures an idle cluster for duration: messages that voters send per second, and bytes per second on all links between
 // processes.
-func (d *Day) Idle(duration time.Duration) (messagesPerSecond, bytesPerSecond float64) {
+func (d *Day) MeasureIdleTraffic(duration time.Duration) (messagesPerSecond, bytesPerSecond float64) {
 	count := func() (l int) {
 		for i := range d.agents {
 			var s agent.Status
--- a/lab/cluster/ops_test.go
+++ b/lab/cluster/ops_test.go
@@ -21,7 +21,7 @@
 // between a granted permit and the step that follows from it; a successor must go on at the recorded step.
 func TestRestartOfAllWhileOwnersAreKilled(t *testing.T) {
 	t.Parallel()
-	r := playDay(t, Options{Seed: 21, Runs: true, Agents: 5, Act: func(d *Day) {
+	r := playDay(t, Options{Seed: 21, AgentsRunSchedulers: true, Agents: 5, RunInstead: func(d *Day) {
 		d.SetLimits(oneSchedulerOut)
 		id, why := d.BeginOperation(fleet.Operation{Kind: "restart", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}})
 		if id == "" {
@@ -51,7 +51,7 @@
 		if kills < 2 {
 			d.ReportBreak("owners were killed %d times, expected 2", kills)
 		}
-	}, For: 20 * time.Second})
+	}, FaultDuration: 20 * time.Second})
 	requireNoBreaks(t, r)
 	if r.MostOut > 1 {
 		t.Errorf("%d out together", r.MostOut)
@@ -62,7 +62,7 @@
 // must go on once the other scheduler is back in service.
 func TestTwoDrainsWithRoomForOne(t *testing.T) {
 	t.Parallel()
-	r := playDay(t, Options{Seed: 22, Runs: true, Act: func(d *Day) {
+	r := playDay(t, Options{Seed: 22, AgentsRunSchedulers: true, RunInstead: func(d *Day) {
 		d.SetLimits(oneSchedulerOut)
 		var both sync.WaitGroup
 		ids := make([]string, 2)
@@ -93,7 +93,7 @@
 			d.ReportBreak("refused: %s", why)
 		}
 		d.WaitUntil("all schedulers serve", func() bool { op := d.Operation(last); return op != nil && op.Done })
-	}, For: 20 * time.Second})
+	}, FaultDuration: 20 * time.Second})
 	requireNoBreaks(t, r)
 	if r.MostOut != 1 {
 		t.Errorf("%d out together", r.MostOut)
@@ -108,7 +108,7 @@
 	}{{"never-ready", "not ready in time"}, {"declines-all", "gate: "}, {"crashes-later", "left service"}} {
 		t.Run(x.bug, func(t *testing.T) {
 			t.Parallel()
-			r := playDay(t, Options{Seed: 23, Runs: true, Load: 0.5, Act: func(d *Day) {
+			r := playDay(t, Options{Seed: 23, AgentsRunSchedulers: true, Load: 0.5, RunInstead: func(d *Day) {
 				d.SetLimits(oneSchedulerOut)
 				op := fleet.Operation{Kind: "release", Waves: [][]string{{"s0"}, {"s1", "s2", "s3"}}, Version: d.buildRelease(x.bug), WatchMs: 6000, AutoRollBack: true,
 					Gates: fleet.Gates{Settled: 0.3, MinTxns: 30, MaxLost: 1}}
@@ -126,7 +126,7 @@
 				if a, err := d.sendAsOperator(fleet.Command{Verb: "close", Lease: fleet.OperationLease(id)}); err != nil || !a.Applied {
 					d.ReportBreak("not closed: %v %v", a.Reason, err)
 				}
-			}, For: 35 * time.Second})
+			}, FaultDuration: 35 * time.Second})
 			requireNoBreaks(t, r)
 		})
 	}
@@ -137,7 +137,7 @@
 // operator lifts it.
 func TestHaltSentToMinority(t *testing.T) {
 	t.Parallel()
-	r := playDay(t, Options{Seed: 24, Runs: true, Act: func(d *Day) {
+	r := playDay(t, Options{Seed: 24, AgentsRunSchedulers: true, RunInstead: func(d *Day) {
 		d.SetLimits(oneSchedulerOut)
 		index := 0
 		d.SetLinks(index, LinkReset, LinkReset)
@@ -165,7 +165,7 @@
 			d.ReportBreak("not lifted: %v %v", a.Reason, err)
 		}
 		d.WaitUntil("it is restarted", func() bool { op := d.Operation(id); return op != nil && op.Done })
-	}, For: 20 * time.Second})
+	}, FaultDuration: 20 * time.Second})
 	requireNoBreaks(t, r)
 }
 
@@ -174,7 +174,7 @@
 // and must roll back once it is connected again.
 func TestOwnerPausedDuringHalt(t *testing.T) {
 	t.Parallel()
-	r := playDay(t, Options{Seed: 25, Runs: true, Agents: 5, Act: func(d *Day) {
+	r := playDay(t, Options{Seed: 25, AgentsRunSchedulers: true, Agents: 5, RunInstead: func(d *Day) {
 		d.SetLimits(oneSchedulerOut)
 		id, why := d.BeginOperation(fleet.Operation{Kind: "release", Waves: [][]string{{"s0", "s1", "s2", "s3"}}, Version: d.buildRelease("none")})
 		if id == "" {
@@ -197,7 +197,7 @@
 		d.SetLinks(cutOff, LinkUp, LinkUp)
 		d.WaitUntil("it has gone back", func() bool { op := d.Operation(id); return op != nil && op.RollingBack && op.Done })
 		d.WaitUntil("the former program runs everywhere", func() bool { return d.runningPrograms() == 1 })
-	}, For: 30 * time.Second})
+	}, FaultDuration: 30 * time.Second})
 	requireNoBreaks(t, r)
 	if r.MostOut > 1 {
 		t.Errorf("%d out together", r.MostOut)
@@ -208,7 +208,7 @@
 // run twice for one step, though the owner's agent is killed meanwhile.
 func TestWorkersAreRenewed(t *testing.T) {
 	t.Parallel()
-	r := playDay(t, Options{Seed: 26, Runs: true, Agents: 5, Workers: 8, Act: func(d *Day) {
+	r := playDay(t, Options{Seed: 26, AgentsRunSchedulers: true, Agents: 5, Workers: 8, RunInstead: func(d *Day) {
 		d.SetLimits([]fleet.Limit{{Kind: "worker", MaxOutCapacity: 0.3}, {Kind: "worker", Zone: "each", MinInService: 2}})
 		id, why := d.BeginOperation(fleet.Operation{Kind: "restart", Waves: [][]string{{"w0", "w1", "w2"}}})
 		if id == "" {
@@ -225,7 +225,7 @@
 			rec, err := d.readRecord(d.ctx)
 			return err == nil && (rec.Ops[id].Done || strings.Contains(rec.Halts[id].Reason, "unknown"))
 		})
-	}, For: 25 * time.Second})
+	}, FaultDuration: 25 * time.Second})
 	requireNoBreaks(t, r)
 }
 
@@ -256,7 +256,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := playDay(t, Options{Seed: 27, Runs: true, Agents: 5, Load: 0.1, Act: func(d *Day) {
+			r := playDay(t, Options{Seed: 27, AgentsRunSchedulers: true, Agents: 5, Load: 0.1, RunInstead: func(d *Day) {
 				d.SetLimits(oneSchedulerOut)
 				over := func(op fleet.Operation, begun func(d *Day)) {
 					id, why := d.BeginOperation(op)
@@ -281,9 +281,9 @@
 				}
 				over(fleet.Operation{Kind: "restart", Waves: waves}, fails)
 				d.restoreService()
-			}, For: 35 * time.Second})
+			}, FaultDuration: 35 * time.Second})
 			if name == "ignores SIGTERM" { // a killed process loses its open txns, as any killed process does
-				r.Breaks = slices.DeleteFunc(r.Breaks, func(b string) bool { return strings.HasPrefix(b, "txns: lost") })
+				r.Violations = slices.DeleteFunc(r.Violations, func(b string) bool { return strings.HasPrefix(b, "txns: lost") })
 			}
 			requireNoBreaks(t, r)
 			if r.MostOut > 1 {
--- a/lab/cluster/process.go
+++ b/lab/cluster/process.go
@@ -65,10 +65,10 @@
 	if err := p.writeConfig(); err != nil {
 		return err
 	}
-	cmd := exec.Command(p.d.opt.Agent, "serve", "--config", p.path(".toml"))
+	cmd := exec.Command(p.d.opt.AgentProgram, "serve", "--config", p.path(".toml"))
 	// The agent is killed when the lab's process ends, however that ends.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	cmd.Env = append(os.Environ(), "SHALEBEAM_FAULTS="+p.path(".faults"), "SHALEBEAM_BUG="+p.d.opt.Bug,
+	cmd.Env = append(os.Environ(), "SHALEBEAM_FAULTS="+p.path(".faults"), "SHALEBEAM_BUG="+p.d.opt.PlantedBug,
 		fmt.Sprint("SHALEBEAM_LEASH=", os.Getpid()))
 	log, err := os.OpenFile(p.path(".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
