--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -48,8 +48,8 @@
 	KnownWithoutWatchMs float64             // a change counts as known to a scheduler without a watch after this; 0: it never does
 	GiveUpGraceMs       float64             // a txn for which nothing else can be done is to be answered within this
 	SocketDelayMs       float64             // greatest delay after which a posting written to a socket is seen; 0 in simulated time
-	// LabDelayMs returns by how much the lab itself ran late between two times of the run, and so may have seen what was sent
-	// in time too late; nil: it never does.
+	// LabDelayMs returns by how much the lab itself ran late between two times of the run, and so may have seen what was
+	// sent in time too late; nil: it never does.
 	LabDelayMs    func(from, to float64) float64
 	KeepTxn       string // ref of a txn whose history is kept in any case
 	MaxViolations int    // number that are kept with their text; further ones are only counted. 0: 20
@@ -428,8 +428,8 @@
 	return ok && l.start == start
 }
 
-// WorkerOverloaded reports that a worker in slow start failed under its load, which part of that load came from schedulers that
-// knew of its start, and a description of the load. The rule is violated where that part is above two thirds.
+// WorkerOverloaded reports that a worker in slow start failed under its load, which part of that load came from schedulers
+// that knew of its start, and a description of the load. The rule is violated where that part is above two thirds.
 func (a *Auditor) WorkerOverloaded(at float64, worker string, part float64, why string) {
 	if part > 2.0/3 {
 		a.violated(ColdWorkerOverload, nil, at, "%s fell over, with %.2f of the pressure from schedulers that knew of its start: %s",
--- a/lab/cluster/day.go
+++ b/lab/cluster/day.go
@@ -184,7 +184,8 @@
 // Schedulers then have another 10 s to agree with the record.
 const recoveryTimeout = 30 * time.Second
 
-// Run runs one day and returns its report. An error means that the day could not be run; violations are in Report.Violations.
+// Run runs one day and returns its report. An error means that the day could not be run; violations are in
+// Report.Violations.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	opt.setDefaults()
 	var err error
--- a/lab/cluster/demo.go
+++ b/lab/cluster/demo.go
@@ -121,8 +121,8 @@
 	d.links[from+">"+to].setMode(there, back)
 }
 
-// MeasureOwnerGaps measures how long zone a has no acting owner after its owner fails: how is "kill", "stop" (SIGSTOP) or "cut" (all links
-// reset). It returns the times in ms, sorted.
+// MeasureOwnerGaps measures how long zone a has no acting owner after its owner fails: how is "kill", "stop" (SIGSTOP) or
+// "cut" (all links reset). It returns the times in ms, sorted.
 func (d *Day) MeasureOwnerGaps(how string, times int) (gapsMs []float64) {
 	for range times {
 		owner, fence := d.Owner("a")
@@ -169,8 +169,8 @@
 // stopAgent stops an agent with SIGSTOP.
 func (d *Day) stopAgent(index int) { d.agents[index].signal(syscall.SIGSTOP) }
 
-// MeasureChangeRate measures throughput for duration: changes per second that the record applies with that many concurrent callers, and
-// disk syncs per second and voter.
+// MeasureChangeRate measures throughput for duration: changes per second that the record applies with that many concurrent
+// callers, and disk syncs per second and voter.
 func (d *Day) MeasureChangeRate(callers int, duration time.Duration) (changesPerSecond, syncsPerSecond float64) {
 	count := func() (n int) {
 		for i := range d.agents {
--- a/lab/cluster/ops.go
+++ b/lab/cluster/ops.go
@@ -288,9 +288,9 @@
 	return yes
 }
 
-// MeasureHalts measures halts during a restart of all schedulers, as many as times says. lastMs is the time from the halt until the
-// last step began that takes a member out (0 for none), ackMs the time until the halt was acknowledged; both in ms and sorted.
-// With minority, the halt is sent only to one agent that is cut off from the others.
+// MeasureHalts measures halts during a restart of all schedulers, as many as times says. lastMs is the time from the halt
+// until the last step began that takes a member out (0 for none), ackMs the time until the halt was acknowledged; both in
+// ms and sorted. With minority, the halt is sent only to one agent that is cut off from the others.
 func (d *Day) MeasureHalts(times int, minority bool) (lastMs, ackMs []float64) {
 	var all []string
 	for _, m := range d.live.Schedulers() {
@@ -339,8 +339,8 @@
 	return lastMs, ackMs
 }
 
-// MeasureRollbacks measures releases of a program that declines everything: haltsMs is the time from the start to the halt by a gate,
-// backsMs from the halt until the rollback is done at all schedulers; both in ms and sorted.
+// MeasureRollbacks measures releases of a program that declines everything: haltsMs is the time from the start to the halt
+// by a gate, backsMs from the halt until the rollback is done at all schedulers; both in ms and sorted.
 func (d *Day) MeasureRollbacks(times int) (haltsMs, backsMs []float64) {
 	var all []fleet.Member
 	for _, m := range d.live.Schedulers() {
@@ -399,8 +399,9 @@
 	return sumMs
 }
 
-// MeasureRestart measures a restart of all schedulers of which a share may be out at once. tookMs is its duration, leastMs the lower
-// bound that follows from the schedulers' own handover times and the limit, both in ms; members is the number of schedulers.
+// MeasureRestart measures a restart of all schedulers of which a share may be out at once. tookMs is its duration, leastMs
+// the lower bound that follows from the schedulers' own handover times and the limit, both in ms; members is the number of
+// schedulers.
 func (d *Day) MeasureRestart(share float64) (tookMs, leastMs float64, members int) {
 	var all []string
 	for _, m := range d.live.Schedulers() {
@@ -423,8 +424,8 @@
 	return tookMs, d.handoverTimeMs(began) / max(1, math.Floor(share*float64(len(all)))), len(all)
 }
 
-// MeasureIdleTraffic measures an idle cluster for duration: messages that voters send per second, and bytes per second on all links between
-// processes.
+// MeasureIdleTraffic measures an idle cluster for duration: messages that voters send per second, and bytes per second on
+// all links between processes.
 func (d *Day) MeasureIdleTraffic(duration time.Duration) (messagesPerSecond, bytesPerSecond float64) {
 	count := func() (l int) {
 		for i := range d.agents {
--- a/lab/fleetsim/simulation.go
+++ b/lab/fleetsim/simulation.go
@@ -30,8 +30,8 @@
 	Voters     int
 	Agents     int
 	Schedulers int
-	// FaultsMs is how long, in ms, faults are injected. The run then goes on without faults for as long again and recoveryMS, or
-	// until afterOperationMS after its operation has ended.
+	// FaultsMs is how long, in ms, faults are injected. The run then goes on without faults for as long again and
+	// recoveryMS, or until afterOperationMS after its operation has ended.
 	FaultsMs   float64
 	PlantedBug string // name of a bug planted in the tested code, "" for none
 	Operations bool   // agents run the schedulers' processes, and an operation (release, restart, drain, maintain) is executed
--- a/lab/live/agents.go
+++ b/lab/live/agents.go
@@ -167,8 +167,8 @@
 	FailedByFault bool // if it is out, a fault is the reason and not an operator
 }
 
-// SchedulerStates returns the state of all schedulers. A scheduler counts as out after two failed health checks in a row, because a
-// single check may meet a process from which another one is taking over.
+// SchedulerStates returns the state of all schedulers. A scheduler counts as out after two failed health checks in a row,
+// because a single check may meet a process from which another one is taking over.
 func (f *Fleet) SchedulerStates() (all []SchedulerState) {
 	for _, s := range f.exp.schedulers {
 		s.mu.Lock()
@@ -205,7 +205,8 @@
 	}
 }
 
-// RestartWorker ends a worker's process and starts it again, cold, after the given down time, as the site's own restart command does.
+// RestartWorker ends a worker's process and starts it again, cold, after the given down time, as the site's own restart
+// command does.
 func (f *Fleet) RestartWorker(id string, downTime time.Duration) {
 	for _, wk := range f.exp.workers {
 		if wk.Name == id {
--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -72,10 +72,10 @@
 	// Fleet is called once all schedulers serve. The run calls the function that it returns, which may wait, before it ends
 	// the schedulers.
 	Fleet func(f *Fleet) (wait func())
-	// ProcessMark is set where agents start the processes of the schedulers; the lab then starts none. The environment of each
-	// process contains ProcessMark, followed by "|ID|" and two further fields, and so shows which scheduler it belongs to. AgentLogDir is a
-	// directory with one subdirectory for each agent, in which its schedulers' logs are. StartSchedulers makes the agents start the
-	// schedulers; it is called once all configurations are written.
+	// ProcessMark is set where agents start the processes of the schedulers; the lab then starts none. The environment of
+	// each process contains ProcessMark, followed by "|ID|" and two further fields, and so shows which scheduler it belongs
+	// to. AgentLogDir is a directory with one subdirectory for each agent, in which its schedulers' logs are.
+	// StartSchedulers makes the agents start the schedulers; it is called once all configurations are written.
 	ProcessMark, AgentLogDir string
 	StartSchedulers          func(f *Fleet) error
 	WasToldToStop            func(pid int) bool // tells whether an agent has asked a process to stop
@@ -104,8 +104,8 @@
 	return all
 }
 
-// RecordWithdrawn tells the auditor that from now on no scheduler may send new postings to a worker, or, where out is false, that all may
-// again.
+// RecordWithdrawn tells the auditor that from now on no scheduler may send new postings to a worker, or, where out is
+// false, that all may again.
 func (f *Fleet) RecordWithdrawn(worker string, out bool) {
 	for _, s := range f.exp.schedulers {
 		f.exp.recordEvent(func(at float64) { f.exp.auditor.TakenOut(at, s.id(), worker, out) })
--- a/lab/live/pace.go
+++ b/lab/live/pace.go
@@ -20,9 +20,10 @@
 	"time"
 )
 
-// ThroughputTest measures the throughput of one scheduler process, in txns a second, with a closed loop: each connection sends its next
-// request as soon as it has an answer, and the workers answer at once. Meanwhile further txns stay open without an answer: they
-// cost nothing only where the scheduler never goes through all open txns, so the figure shows whether it does.
+// ThroughputTest measures the throughput of one scheduler process, in txns a second, with a closed loop: each connection
+// sends its next request as soon as it has an answer, and the workers answer at once. Meanwhile further txns stay open
+// without an answer: they cost nothing only where the scheduler never goes through all open txns, so the figure shows
+// whether it does.
 type ThroughputTest struct {
 	Program     string        // path of the shalebeam program
 	Workers     int           // number of worker stand-ins
--- a/lab/live/schedulers.go
+++ b/lab/live/schedulers.go
@@ -61,8 +61,8 @@
 	return all
 }
 
-// scheduler is one scheduler and its process. Where agents run the processes there may be several at a time (see ProcessMark in
-// Options).
+// scheduler is one scheduler and its process. Where agents run the processes there may be several at a time (see
+// ProcessMark in Options).
 type scheduler struct {
 	exp            *experiment
 	number         int
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -216,9 +216,9 @@
 	Left     = "left"    // the client disconnected for good
 )
 
-// RecordOutcome records the outcome of an attempt and returns when the client retries, or false where it does not. retryAfter
-// is the delay that the answer asks for, in milliseconds. A settled job is never retried; a once-only job is retried
-// only if its attempt was declined or refused, so that it cannot have run.
+// RecordOutcome records the outcome of an attempt and returns when the client retries, or false where it does not.
+// retryAfter is the delay that the answer asks for, in milliseconds. A settled job is never retried; a once-only job is
+// retried only if its attempt was declined or refused, so that it cannot have run.
 func (j *Job) RecordOutcome(p *plan.Plan, now float64, outcome string, retryAfter float64) (retryAt float64, ok bool) {
 	j.Attempts++
 	scheme := &p.Schemes[j.Scheme]
@@ -233,9 +233,9 @@
 	return now + max(backoff, retryAfter*(1+0.5*jitter)), true
 }
 
-// ChooseScheduler chooses the scheduler for the current attempt as the load balancer in front of n schedulers does: a random one
-// of the client's zone among those that scheduler(i) reports as listed, that is believed alive, or of any zone where the
-// client's has none. It returns -1 if none is listed.
+// ChooseScheduler chooses the scheduler for the current attempt as the load balancer in front of n schedulers does: a
+// random one of the client's zone among those that scheduler(i) reports as listed, that is believed alive, or of any zone
+// where the client's has none. It returns -1 if none is listed.
 func (j *Job) ChooseScheduler(seed uint64, n int, scheduler func(i int) (zone int, listed bool)) int {
 	var sameZone, all []int
 	for i := range n {
--- a/lab/machine/machine.go
+++ b/lab/machine/machine.go
@@ -356,8 +356,8 @@
 	}
 }
 
-// Cancel cancels a job. A queued or running one is removed without a note. With IgnoresCancel it stays, runs to its end, and
-// its notes still come.
+// Cancel cancels a job. A queued or running one is removed without a note. With IgnoresCancel it stays, runs to its end,
+// and its notes still come.
 func (m *Machine) Cancel(now float64, j *Job) {
 	m.Advance(now)
 	if place := slices.Index(m.queue, j); place >= 0 && !m.IgnoresCancel {
@@ -370,8 +370,8 @@
 	}
 }
 
-// Drain begins a drain: jobs that arrive from now on are returned. Queued jobs are returned too with ReturnsQueuedOnDrain, and
-// stay queued without it.
+// Drain begins a drain: jobs that arrive from now on are returned. Queued jobs are returned too with ReturnsQueuedOnDrain,
+// and stay queued without it.
 func (m *Machine) Drain(now float64) {
 	m.Advance(now)
 	m.Draining = true
@@ -404,7 +404,8 @@
 	m.Overloaded, m.Draining, m.Paused = false, false, false
 }
 
-// ApplyChange applies f, which may set SpeedFactor, NeighbourShare or Paused, after working out the state up to now at the old rate.
+// ApplyChange applies f, which may set SpeedFactor, NeighbourShare or Paused, after working out the state up to now at the
+// old rate.
 func (m *Machine) ApplyChange(now float64, f func()) {
 	m.Advance(now)
 	f()
--- a/lab/plan/check.go
+++ b/lab/plan/check.go
@@ -284,8 +284,8 @@
 	return x
 }
 
-// ExpectedValue returns the mean of Draw in milliseconds. It is summed over a uniform grid, so that it includes the effect of
-// Least and Most.
+// ExpectedValue returns the mean of Draw in milliseconds. It is summed over a uniform grid, so that it includes the effect
+// of Least and Most.
 func (l *Distribution) ExpectedValue() float64 {
 	const n = 200
 	sum := 0.0
--- a/lab/plan/layout.go
+++ b/lab/plan/layout.go
@@ -8,15 +8,16 @@
 	"shalebeam/lab/machine"
 )
 
-// PlacedWorker is one worker of the fleet. Zone and Kind are indexes in Plan.Zones and Plan.Kinds; cells are numbered from 0.
+// PlacedWorker is one worker of the fleet. Zone and Kind are indexes in Plan.Zones and Plan.Kinds; cells are numbered from
+// 0.
 type PlacedWorker struct {
 	Name             string
 	Group            int // index in Plan.Workers
 	Zone, Cell, Kind int
 }
 
-// PlacedWorkers returns all workers: a group's workers are assigned to its zones round-robin, and those of one zone fill one
-// cell after another.
+// PlacedWorkers returns all workers: a group's workers are assigned to its zones round-robin, and those of one zone fill
+// one cell after another.
 func (p *Plan) PlacedWorkers() (placedWorkers []PlacedWorker) {
 	zones, kinds := p.Zones(), p.Kinds()
 	cells := 0
--- a/lab/plan/random.go
+++ b/lab/plan/random.go
@@ -73,8 +73,8 @@
 	return p
 }
 
-// RandomWithOperators returns Random's plan of a seed with operator actions added: workers are taken out for maintenance and the
-// settings change.
+// RandomWithOperators returns Random's plan of a seed with operator actions added: workers are taken out for maintenance
+// and the settings change.
 func RandomWithOperators(seed uint64) *Plan {
 	p := Random(seed)
 	r := rand.New(rand.NewPCG(seed, 0x7374616666)) // stream "staff" in ASCII
@@ -90,8 +90,8 @@
 	return p
 }
 
-// RandomWatchFaults returns a random plan, of 2 to 350 schedulers, in which schedulers learn late or never that workers leave:
-// watches fall silent, are reset or moved, or discovery is down or cut off, while workers drain.
+// RandomWatchFaults returns a random plan, of 2 to 350 schedulers, in which schedulers learn late or never that workers
+// leave: watches fall silent, are reset or moved, or discovery is down or cut off, while workers drain.
 func RandomWatchFaults(seed uint64) *Plan {
 	p := Random(seed)
 	r := rand.New(rand.NewPCG(seed, 0x746f6c64)) // stream "told" in ASCII
--- a/lab/plan/retune.go
+++ b/lab/plan/retune.go
@@ -22,8 +22,8 @@
 	PhaseTwins                       // the twins alone
 )
 
-// SchemesIn returns the schemes that schedulers have in a phase, as indexes in AllSchemeRows. The twins come first, so that a scheme's
-// index among the schedulers' schemes changes with the phase.
+// SchemesIn returns the schemes that schedulers have in a phase, as indexes in AllSchemeRows. The twins come first, so that
+// a scheme's index among the schedulers' schemes changes with the phase.
 func (p *Plan) SchemesIn(phase RetunePhase) (all []int) {
 	n := len(p.Schemes)
 	if phase != PhaseOriginal {
--- a/lab/script/script.go
+++ b/lab/script/script.go
@@ -97,8 +97,9 @@
 	return actions
 }
 
-// appendRetune adds the steps of a settings change that replaces each scheme by its twin (see plan.Plan.AllSchemeRows), or the twins
-// by the original schemes: schedulers get both sets, then clients use the new set, then schedulers drop the old set.
+// appendRetune adds the steps of a settings change that replaces each scheme by its twin (see plan.Plan.AllSchemeRows), or
+// the twins by the original schemes: schedulers get both sets, then clients use the new set, then schedulers drop the old
+// set.
 func appendRetune(actions []Action, at float64, twins bool, last plan.RetunePhase) []Action {
 	return append(actions, Action{At: at, Begin: true, Fault: "phase", Kind: "settings", Part: int(plan.PhaseBoth)},
 		Action{At: at + plan.RetuneSwitchMs, Begin: twins, Fault: "twins", Kind: "settings"},
--- a/lab/sysfault/sysfault.go
+++ b/lab/sysfault/sysfault.go
@@ -287,8 +287,8 @@
 	}
 }
 
-// UndeliveredErrors returns the errors of decisions that could not be delivered: the process was killed in the meantime, or this package
-// has a bug.
+// UndeliveredErrors returns the errors of decisions that could not be delivered: the process was killed in the meantime, or
+// this package has a bug.
 func (t *Tracer) UndeliveredErrors() []error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
