--- a/cmd/beamlab/demo.go
+++ b/cmd/beamlab/demo.go
@@ -41,7 +41,7 @@
 			text = fmt.Appendf(text, "%s = %s\n", key, value)
 		}
 	}
-	text, err := plan.With(text, fmt.Sprintf("length=%q", c.For.String()))
+	text, err := plan.WithKeys(text, fmt.Sprintf("length=%q", c.For.String()))
 	if err != nil {
 		return fmt.Errorf("--fault: %w", err)
 	}
@@ -57,11 +57,11 @@
 	defer cancel()
 	v := outcomeView{startedAt: time.Now()}
 	go v.show(ctx)
-	r, err := live.Play(ctx, p, p.Seed, live.Options{Program: program, Guests: true, Outcome: v.count,
-		Tell: func(text string) { fmt.Fprintf(os.Stderr, "\r%-78s\n", "* "+text) },
+	r, err := live.Run(ctx, p, p.Seed, live.Options{Program: program, ServeUnplanned: true, Outcome: v.count,
+		OnEvent: func(text string) { fmt.Fprintf(os.Stderr, "\r%-78s\n", "* "+text) },
 		Serving: func(addr, scheme string) {
 			fmt.Printf("%d workers, %d schedulers and discovery run on loopback until Ctrl-C. An example of a txn that settles:\n\n"+
-				"    curl -d body -H \"Request-Id: $RANDOM\" -H 'Request-Timeout: 5000m' http://%s/%s\n\n", p.Fleet(),
+				"    curl -d body -H \"Request-Id: $RANDOM\" -H 'Request-Timeout: 5000m' http://%s/%s\n\n", p.WorkerCount(),
 				p.Schedulers.Count, addr, scheme)
 		}})
 	if err != nil {
@@ -79,7 +79,7 @@
 type outcomeView struct {
 	startedAt time.Time
 	mu        sync.Mutex     // guards counts
-	counts    map[string]int // by load.Job.Got
+	counts    map[string]int // by load.Job.Outcome
 }
 
 // count counts the outcome of a job that ended.
@@ -89,7 +89,7 @@
 	if v.counts == nil {
 		v.counts = map[string]int{}
 	}
-	v.counts[j.Got]++
+	v.counts[j.Outcome]++
 }
 
 // show updates the line of outcomes every second until ctx is done.
--- a/lab/live/experiment.go
+++ b/lab/live/experiment.go
@@ -55,30 +55,30 @@
 
 // Options are the settings of a run that are not part of the plan.
 type Options struct {
-	Program string // path of the shalebeam program
-	Dir     string // for configurations and logs; empty: a temporary directory, removed after the run
-	Keep    string // reference of the txn whose history is kept
+	Program       string // path of the shalebeam program
+	Dir           string // for configurations and logs; empty: a temporary directory, removed after the run
+	KeepHistoryOf string // reference of the txn whose history is kept
 	// Progress is called once a second with the share of the plan's length that has passed, from 0 to 1.
 	Progress func(done float64)
-	// Tell is called with a line of text for each begin and end of a fault and each end of a process.
-	Tell func(text string)
+	// OnEvent is called with a line of text for each begin and end of a fault and each end of a process.
+	OnEvent func(text string)
 	// Serving is called once all schedulers serve, with the address of one of them for clients and the name of a scheme.
-	Serving func(addr, scheme string)
-	Outcome func(j *load.Job) // called for each job that has ended
-	Guests  bool              // workers also serve requests that are not part of the plan
+	Serving        func(addr, scheme string)
+	Outcome        func(j *load.Job) // called for each job that has ended
+	ServeUnplanned bool              // workers also serve requests that are not part of the plan
 	// Agent returns the address of a scheduler's agent, for the scheduler's configuration.
 	Agent func(number int) string
 	Env   []string // additional environment variables of the schedulers, as NAME=value
 	// Fleet is called once all schedulers serve. The run calls the function that it returns, which may wait, before it ends
 	// the schedulers.
 	Fleet func(f *Fleet) (wait func())
-	// Mark is set where agents start the processes of the schedulers; the lab then starts none. The environment of each
-	// process contains Mark, followed by "|ID|" and two further fields, and so shows which scheduler it belongs to. Logs is a
-	// directory with one subdirectory for each agent, in which its schedulers' logs are. Begin makes the agents start the
-	// schedulers; it is called once all configurations are written.
-	Mark, Logs string
-	Begin      func(f *Fleet) error
-	Told       func(pid int) bool // tells whether an agent has asked a process to stop
+	// ProcessMark is set where agents start the processes of the schedulers; the lab then starts none. The environment of
+	// each process contains ProcessMark, followed by "|ID|" and two further fields, and so shows which scheduler it belongs
+	// to. AgentLogDir is a directory with one subdirectory for each agent, in which its schedulers' logs are.
+	// StartSchedulers makes the agents start the schedulers; it is called once all configurations are written.
+	ProcessMark, AgentLogDir string
+	StartSchedulers          func(f *Fleet) error
+	WasToldToStop            func(pid int) bool // tells whether an agent has asked a process to stop
 }
 
 // Fleet gives access to a running experiment, for callers that act on it beyond what the plan says.
@@ -104,11 +104,11 @@
 	return all
 }
 
-// Out tells the auditor that from now on no scheduler may send new postings to a worker, or, where out is false, that all may
-// again.
-func (f *Fleet) Out(worker string, out bool) {
+// RecordWithdrawn tells the auditor that from now on no scheduler may send new postings to a worker, or, where out is
+// false, that all may again.
+func (f *Fleet) RecordWithdrawn(worker string, out bool) {
 	for _, s := range f.exp.schedulers {
-		f.exp.recordEvent(func(at float64) { f.exp.auditor.Staffed(at, s.id(), worker, out) })
+		f.exp.recordEvent(func(at float64) { f.exp.auditor.TakenOut(at, s.id(), worker, out) })
 	}
 }
 
@@ -116,7 +116,7 @@
 // on a new machine: the file in which it had stored which workers are out of service is removed.
 func (f *Fleet) Kill(number int, downTime time.Duration) {
 	s := f.exp.schedulers[number]
-	if f.exp.options.Mark != "" {
+	if f.exp.options.ProcessMark != "" {
 		s.signal(syscall.SIGKILL)
 		return // the agent starts it again
 	}
@@ -128,19 +128,19 @@
 	}
 }
 
-// Late makes discovery announce each change ms milliseconds later, for the given duration.
-func (f *Fleet) Late(ms float64, duration time.Duration) {
-	f.exp.discovery.applyFault(script.Act{Do: "lag", Begin: true, Factor: ms})
-	time.AfterFunc(duration, func() { f.exp.discovery.applyFault(script.Act{Do: "lag", Factor: ms}) })
+// DelayDiscovery makes discovery announce each change ms milliseconds later, for the given duration.
+func (f *Fleet) DelayDiscovery(ms float64, duration time.Duration) {
+	f.exp.discovery.applyFault(script.Action{Fault: "lag", Begin: true, Factor: ms})
+	time.AfterFunc(duration, func() { f.exp.discovery.applyFault(script.Action{Fault: "lag", Factor: ms}) })
 }
 
-// Stop pauses a scheduler's processes with SIGSTOP and resumes them with SIGCONT after the given duration.
-func (f *Fleet) Stop(number int, duration time.Duration) {
+// Pause pauses a scheduler's processes with SIGSTOP and resumes them with SIGCONT after the given duration.
+func (f *Fleet) Pause(number int, duration time.Duration) {
 	s := f.exp.schedulers[number]
 	if from, name := f.exp.nowMs(), s.processName(); s.signal(syscall.SIGSTOP) {
 		time.AfterFunc(duration, func() {
 			// Recorded before the events that follow SIGCONT.
-			f.exp.recordEvent(func(at float64) { f.exp.auditor.Stood(name, from, at) })
+			f.exp.recordEvent(func(at float64) { f.exp.auditor.SchedulerPaused(name, from, at) })
 			s.signal(syscall.SIGCONT)
 		})
 	}
@@ -174,7 +174,7 @@
 	openJobs        int                              // jobs whose clients are still running
 	clients         sync.WaitGroup                   // running clients
 	schemeRows      []balance.SchemeRow              // all schemes, followed by their twins
-	settingsPhase   plan.Phase                       // of a change of settings at run time: which schemes schedulers are given
+	settingsPhase   plan.RetunePhase                 // of a change of settings at run time: which schemes schedulers are given
 	useTwinSchemes  bool                             // clients send their txns under the twins of the schemes
 	withdrawals     map[string]int                   // by worker: how many maintenances have it out of service
 	crashErr        error
@@ -244,7 +244,7 @@
 }
 
 // currentPhase returns which schemes schedulers are given now.
-func (exp *experiment) currentPhase() plan.Phase {
+func (exp *experiment) currentPhase() plan.RetunePhase {
 	exp.mu.Lock()
 	defer exp.mu.Unlock()
 	return exp.settingsPhase
@@ -306,7 +306,7 @@
 	if i < 0 {
 		return nil
 	}
-	return &load.Job{Scheme: i, Work: exp.plan.Schemes[i].Cost.Expect(), Slots: exp.plan.Schemes[i].Slots}
+	return &load.Job{Scheme: i, Work: exp.plan.Schemes[i].Cost.ExpectedValue(), Slots: exp.plan.Schemes[i].Slots}
 }
 
 // recordPostingEnd tells the auditor of the outcome of a posting, as of beforeMs ago but not before it arrived.
@@ -317,11 +317,11 @@
 	exp.recordEventAt(max(exp.nowMs()-beforeMs, post.arrivedMs), func(at float64) { exp.auditor.Ended(at, post.reference, post.number, outcome) })
 }
 
-// Play runs a plan with a seed. When ctx is done it stops early and marks the result as partial.
-func Play(ctx context.Context, p *plan.Plan, seed uint64, opt Options) (*tally.Result, error) {
+// Run runs a plan with a seed. When ctx is done it stops early and marks the result as partial.
+func Run(ctx context.Context, p *plan.Plan, seed uint64, opt Options) (*tally.Result, error) {
 	exp := &experiment{plan: p, seed: seed, options: opt, program: opt.Program, dir: opt.Dir,
 		result: tally.New(p, "adus", "sockets", seed), jobsByReference: map[string]*load.Job{}, postingCounts: map[string]int{},
-		cancelFuncs: map[*load.Job]context.CancelFunc{}, schemeRows: p.Rows(), withdrawals: map[string]int{}}
+		cancelFuncs: map[*load.Job]context.CancelFunc{}, schemeRows: p.AllSchemeRows(), withdrawals: map[string]int{}}
 	created := time.Now()
 	exp.startTime.Store(&created)
 	exp.cutsChanged = sync.NewCond(&exp.mu)
@@ -411,34 +411,34 @@
 	p := exp.plan
 	// Parallel postings are allowed here even where the plan forbids them: a worker sees the end of a connection too late for
 	// the lab to judge whether two postings were outstanding at the same time.
-	terms := audit.Terms{Copies: true, MaxPosts: p.Schedulers.MaxPosts, AnswerIn: lateAnswerLimitMs,
-		Grace: float64(p.Discovery.Grace) + drainGraceMarginMs, GivenUp: stuckAnswerLimitMs, SentIn: hangUpDelayMs, Keep: exp.options.Keep,
-		Late: exp.maxLabDelayMs}
+	terms := audit.Terms{Copies: true, MaxPosts: p.Schedulers.MaxPosts, AnswerGraceMs: lateAnswerLimitMs,
+		DrainGraceMs: float64(p.Discovery.Grace) + drainGraceMarginMs, GiveUpGraceMs: stuckAnswerLimitMs, SocketDelayMs: hangUpDelayMs, KeepTxn: exp.options.KeepHistoryOf,
+		LabDelayMs: exp.maxLabDelayMs}
 	go exp.watchLabDelay()
 	terms.Schemes = exp.schemeRows
 	// Where agents start the processes, the lab does not see exactly when they start.
-	if exp.options.Mark == "" && p.Discovery.Mode != "push" {
-		terms.MustAsk = float64(p.Discovery.MustAsk)
+	if exp.options.ProcessMark == "" && p.Discovery.Mode != "push" {
+		terms.KnownWithoutWatchMs = float64(p.Discovery.MustAsk)
 	}
 	exp.auditor = audit.New(terms)
-	keyShelves, checkpointShelves := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
+	keyStores, checkpointStores := map[string]*machine.SharedStore{}, map[int]*machine.SharedStore{}
 	meanWork := p.MeanWork()
-	for i, box := range p.Boxes() {
-		wk := &worker{exp: exp, number: i, Box: box, model: machine.New(p.Spec(box.Group, meanWork)), running: p.Workers[box.Group].Joins == 0,
+	for i, box := range p.PlacedWorkers() {
+		wk := &worker{exp: exp, number: i, PlacedWorker: box, model: machine.New(p.Spec(box.Group, meanWork)), running: p.Workers[box.Group].Joins == 0,
 			random: load.Rand(exp.seed, "worker"+box.Name), postings: map[*machine.Job]*posting{}, conns: map[*workerConn]bool{},
-			idempotencyKeys: map[balance.DedupGroup]*machine.Shelf{}}
-		wk.model.Change(exp.wallClockMs(), func() {})
+			idempotencyKeys: map[balance.DedupGroup]*machine.SharedStore{}}
+		wk.model.ApplyChange(exp.wallClockMs(), func() {})
 		wk.freeSlotReadings = [2]float64{float64(wk.model.Slots), float64(wk.model.Slots)}
-		if checkpointShelves[box.Cell] == nil {
-			checkpointShelves[box.Cell] = machine.NewShelf()
+		if checkpointStores[box.Cell] == nil {
+			checkpointStores[box.Cell] = machine.NewSharedStore()
 		}
-		wk.model.Saves = checkpointShelves[box.Cell]
+		wk.model.Checkpoints = checkpointStores[box.Cell]
 		for g, key := range map[balance.DedupGroup]string{balance.GroupAll: "all",
 			balance.GroupZone: fmt.Sprint("zone", box.Zone), balance.GroupCell: fmt.Sprint("cell", box.Cell)} {
-			if keyShelves[key] == nil {
-				keyShelves[key] = machine.NewShelf()
+			if keyStores[key] == nil {
+				keyStores[key] = machine.NewSharedStore()
 			}
-			wk.idempotencyKeys[g] = keyShelves[key]
+			wk.idempotencyKeys[g] = keyStores[key]
 		}
 		if err := wk.listen(); err != nil {
 			return err
@@ -470,7 +470,7 @@
 	if err := exp.relay.open(exp); err != nil {
 		return err
 	}
-	if exp.options.Mark != "" {
+	if exp.options.ProcessMark != "" {
 		for i, s := range exp.schedulers {
 			if s.initialList = exp.discovery.initialList(i); s.initialList == nil {
 				return fmt.Errorf("could not encode the initial list of workers for scheduler %s", s.id())
@@ -480,7 +480,7 @@
 			}
 		}
 		go exp.watchProcesses()
-		return exp.options.Begin(&Fleet{exp})
+		return exp.options.StartSchedulers(&Fleet{exp})
 	}
 	for _, s := range exp.schedulers {
 		if err := s.start(); err != nil {
@@ -535,7 +535,7 @@
 		exp.stop()
 	}
 	// Recorded later than it was noticed, because an answer that the process wrote may still be in transit to its client.
-	exp.recordEventAt(exp.nowMs()+inTransitMs, func(at float64) { exp.auditor.Died(at, process, killed) })
+	exp.recordEventAt(exp.nowMs()+inTransitMs, func(at float64) { exp.auditor.SchedulerEnded(at, process, killed) })
 	exp.afterMs(float64(exp.plan.Clients.FrontLag), func() {
 		s.mu.Lock()
 		if s.cmd == nil {
@@ -543,14 +543,14 @@
 		}
 		s.mu.Unlock()
 	})
-	if exp.options.Tell != nil {
-		exp.options.Tell(s.id() + " has ended")
+	if exp.options.OnEvent != nil {
+		exp.options.OnEvent(s.id() + " has ended")
 	}
 }
 
 // playJobs starts a client for each job at its time and applies the faults. It returns when all clients are done.
 func (exp *experiment) playJobs(ctx context.Context) {
-	for _, fault := range script.Play(exp.plan, exp.seed) {
+	for _, fault := range script.Expand(exp.plan, exp.seed) {
 		exp.afterMs(fault.At, func() { exp.applyFault(fault) })
 	}
 	if exp.options.Serving != nil {
@@ -576,7 +576,7 @@
 			continue
 		}
 		exp.mu.Lock()
-		exp.result.Came(j)
+		exp.result.JobArrived(j)
 		exp.openJobs++
 		exp.mu.Unlock()
 		exp.clients.Go(func() { exp.runClient(j) })
@@ -600,7 +600,7 @@
 	for _, wk := range exp.workers {
 		wk.mu.Lock()
 		if wk.running {
-			capacity += wk.model.Capacity(wk.clockMs()) * wk.model.Speed * wk.model.Slow
+			capacity += wk.model.Capacity(wk.clockMs()) * wk.model.Speed * wk.model.SpeedFactor
 		}
 		wk.mu.Unlock()
 	}
@@ -608,7 +608,7 @@
 		s.readMaxMemory()
 	}
 	exp.mu.Lock()
-	exp.result.Look(exp.nowMs(), exp.openJobs, capacity)
+	exp.result.Sample(exp.nowMs(), exp.openJobs, capacity)
 	exp.mu.Unlock()
 	if exp.options.Progress != nil {
 		exp.options.Progress(min(exp.nowMs()/float64(exp.plan.Length), 1))
@@ -621,7 +621,7 @@
 	for _, wk := range exp.workers {
 		wk.mu.Lock()
 		wk.model.Advance(wk.clockMs())
-		exp.result.Busy += wk.model.Busy() / wk.model.Speed / max(at*min(wk.model.Cores, float64(wk.model.Slots)), 1) / float64(len(exp.workers))
+		exp.result.Busy += wk.model.WorkDone() / wk.model.Speed / max(at*min(wk.model.Cores, float64(wk.model.Slots)), 1) / float64(len(exp.workers))
 		wk.mu.Unlock()
 	}
 	exp.result.Busy = math.Round(exp.result.Busy*1e4) / 1e4
@@ -641,17 +641,17 @@
 }
 
 // applyFault begins or ends a fault.
-func (exp *experiment) applyFault(fault script.Act) {
-	if exp.options.Tell != nil {
+func (exp *experiment) applyFault(fault script.Action) {
+	if exp.options.OnEvent != nil {
 		word := "ends"
 		if fault.Begin {
 			word = "begins"
 		}
-		exp.options.Tell(fmt.Sprintf("%s %s on %s %d", fault.Do, word, fault.Kind, fault.Part))
+		exp.options.OnEvent(fmt.Sprintf("%s %s on %s %d", fault.Fault, word, fault.Kind, fault.Part))
 	}
 	switch fault.Kind {
 	case "workers":
-		if wk := exp.workers[fault.Part]; fault.Do == "maintain" {
+		if wk := exp.workers[fault.Part]; fault.Fault == "maintain" {
 			exp.maintain(wk, fault.Begin)
 		} else {
 			wk.applyFault(fault)
@@ -674,7 +674,7 @@
 			sign = 1
 		}
 		exp.network.mu.Lock()
-		switch fault.Do {
+		switch fault.Fault {
 		case "delay":
 			exp.network.extraDelayMs += sign * fault.Factor
 		case "lossy":
@@ -683,17 +683,17 @@
 		exp.network.mu.Unlock()
 	case "settings":
 		exp.mu.Lock()
-		if fault.Do == "twins" {
+		if fault.Fault == "twins" {
 			exp.useTwinSchemes = fault.Begin
 		} else {
-			exp.settingsPhase = plan.Phase(fault.Part)
+			exp.settingsPhase = plan.RetunePhase(fault.Part)
 			for _, s := range exp.schedulers {
 				go exp.reload(s)
 			}
 		}
 		exp.mu.Unlock()
 	case "clients":
-		if fault.Do == "cancel" && fault.Begin {
+		if fault.Fault == "cancel" && fault.Begin {
 			exp.cancelJobs(fault)
 		}
 	}
@@ -722,8 +722,8 @@
 	exp.mu.Unlock()
 	if begin {
 		exp.afterMs(maintenanceRestartMs, func() {
-			wk.applyFault(script.Act{Do: "kill", Begin: true})
-			wk.applyFault(script.Act{Do: "kill"})
+			wk.applyFault(script.Action{Fault: "kill", Begin: true})
+			wk.applyFault(script.Action{Fault: "kill"})
 		})
 	}
 	if !changed {
@@ -735,24 +735,24 @@
 }
 
 // applySchedulerFault begins or ends a fault of a scheduler.
-func (exp *experiment) applySchedulerFault(s *scheduler, fault script.Act) {
+func (exp *experiment) applySchedulerFault(s *scheduler, fault script.Action) {
 	switch {
-	case (fault.Do == "kill" || fault.Do == "clock") && fault.Begin:
+	case (fault.Fault == "kill" || fault.Fault == "clock") && fault.Begin:
 		s.signal(syscall.SIGKILL)
-		if fault.Do == "clock" { // the clock of a single process can't be set here, so only the restart takes place
+		if fault.Fault == "clock" { // the clock of a single process can't be set here, so only the restart takes place
 			exp.restartScheduler(s)
 		}
-	case fault.Do == "stop" && fault.Begin:
+	case fault.Fault == "stop" && fault.Begin:
 		if s.signal(syscall.SIGTERM) {
 			exp.afterMs(stopNoticeMs, func() { exp.setListed(s, false) })
 		}
-	case fault.Do == "reload" && fault.Begin:
+	case fault.Fault == "reload" && fault.Begin:
 		exp.reload(s)
-	case fault.Do == "move" && fault.Begin:
+	case fault.Fault == "move" && fault.Begin:
 		exp.discovery.moveEndpoint(s)
-	case (fault.Do == "mute" || fault.Do == "unwatch") && fault.Begin:
-		exp.discovery.breakWatch(s, fault.Do == "mute")
-	case fault.Do == "kill" || fault.Do == "stop":
+	case (fault.Fault == "mute" || fault.Fault == "unwatch") && fault.Begin:
+		exp.discovery.breakWatch(s, fault.Fault == "mute")
+	case fault.Fault == "kill" || fault.Fault == "stop":
 		exp.restartScheduler(s)
 	}
 }
@@ -771,7 +771,7 @@
 }
 
 // cancelJobs makes the clients of a random share of all open jobs leave at the same time.
-func (exp *experiment) cancelJobs(fault script.Act) {
+func (exp *experiment) cancelJobs(fault script.Action) {
 	exp.mu.Lock()
 	defer exp.mu.Unlock()
 	var open []*load.Job
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -124,17 +124,17 @@
 	}
 	ended := 0
 	done := make(chan *load.Job, 10000)
-	r, err := Play(context.Background(), p, 1, Options{Program: program, Outcome: func(j *load.Job) { done <- j }})
+	r, err := Run(context.Background(), p, 1, Options{Program: program, Outcome: func(j *load.Job) { done <- j }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for len(done) > 0 {
 		j := <-done
-		if ended++; !j.Over || j.Got == "" {
+		if ended++; !j.Ended || j.Outcome == "" {
 			t.Errorf("job %d is not over: %+v", j.No, j)
 		}
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	jobs := 0
@@ -170,12 +170,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Play(context.Background(), p, 1, Options{Program: program})
+	r, err := Run(context.Background(), p, 1, Options{Program: program})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Schemes[1].Reversed < 10 || r.Counts["held back"] > 0 {
-		t.Errorf("%d reversed, expected at least 10; breaks by rule %v, expected none held back", r.Schemes[1].Reversed, r.Counts)
+	if r.Schemes[1].Reversed < 10 || r.ViolationCounts["held back"] > 0 {
+		t.Errorf("%d reversed, expected at least 10; breaks by rule %v, expected none held back", r.Schemes[1].Reversed, r.ViolationCounts)
 	}
 }
 
@@ -191,12 +191,12 @@
 	if out, err := exec.Command("go", "build", "-o", fake, "./testdata/fake").CombinedOutput(); err != nil {
 		t.Fatal(string(out))
 	}
-	r, err := Play(context.Background(), p, 1, Options{Program: fake})
+	r, err := Run(context.Background(), p, 1, Options{Program: fake})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Counts["made up"] == 0 || r.Counts["made up"] != r.Offered {
-		t.Errorf("breaks by rule %v, expected %d made up, one for each job", r.Counts, r.Offered)
+	if r.ViolationCounts["made up"] == 0 || r.ViolationCounts["made up"] != r.Offered {
+		t.Errorf("breaks by rule %v, expected %d made up, one for each job", r.ViolationCounts, r.Offered)
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var addr string
-	r, err := Play(ctx, p, 1, Options{Program: program, Serving: func(a, _ string) { addr = a; cancel() }})
+	r, err := Run(ctx, p, 1, Options{Program: program, Serving: func(a, _ string) { addr = a; cancel() }})
 	if err != nil || !r.Partial {
 		t.Errorf("got result %+v, error %v; expected a partial result without an error", r, err)
 	}
--- a/lab/live/schedulers.go
+++ b/lab/live/schedulers.go
@@ -25,14 +25,14 @@
 
 // schedulerSettings returns the settings object of a scheduler's configuration, in the form that README.md describes. Its
 // times are in microseconds. number is the scheduler's.
-func schedulerSettings(p *plan.Plan, number int, phase plan.Phase) map[string]any {
+func schedulerSettings(p *plan.Plan, number int, phase plan.RetunePhase) map[string]any {
 	micros := func(s plan.Span) int64 { return int64(float64(s) * 1000) }
 	var schemes, orgs []map[string]any
 	var kinds []int
 	effects := map[balance.RepeatEffect]string{balance.Repeatable: "retryable", balance.Referenced: "dedup",
 		balance.OnceOnly: "fragile"}
-	rows := p.Rows()
-	for _, i := range p.In(phase) {
+	rows := p.AllSchemeRows()
+	for _, i := range p.SchemesIn(phase) {
 		c := p.Schemes[i%len(p.Schemes)]
 		schemes = append(schemes, map[string]any{"name": rows[i].Name, "effect": effects[rows[i].Effect], "key_scope": c.Group,
 			"window": micros(c.Window), "sla_time": micros(c.SLA), "aim_stretch": c.Stretch, "expiry": micros(c.Expiry),
@@ -47,7 +47,7 @@
 		"surplus_gain": s.OverShare, "weights": p.Discovery.Weights, "zones": p.Zones(), "kinds": p.Kinds(),
 		"schemes": schemes, "orgs": orgs,
 		"domain": map[string]any{"class_kind": kinds, "tells_start": true, "report_x0": "free slots"},
-		"policy_limits": map[string]any{"max_postings": p.PostsIn(phase), "parallel_tries": s.Copies, "cancel": s.Cancels,
+		"policy_limits": map[string]any{"max_postings": p.MaxPostingsIn(phase), "parallel_tries": s.Copies, "cancel": s.Cancels,
 			"max_retry_after": micros(s.Advice), "retry_after": s.Advice > 0, "peers": s.Peers, "probes": s.Probes,
 			"conn_idle": micros(s.Idle), "connect_timeout": micros(s.Dial)},
 		"guarantees": map[string]any{"cold_from": c.From, "cold": micros(c.For), "fall": micros(c.Fall),
@@ -61,8 +61,8 @@
 	return all
 }
 
-// scheduler is one scheduler and its process. Where agents run the processes there may be several at a time (see Mark in
-// Options).
+// scheduler is one scheduler and its process. Where agents run the processes there may be several at a time (see
+// ProcessMark in Options).
 type scheduler struct {
 	exp            *experiment
 	number         int
@@ -135,7 +135,7 @@
 		"seed":   strconv.FormatUint(seed, 16),
 		"limits": map[string]any{"cores": 1, "memory_mb": 384, "sockets": 4096},
 		"known":  json.RawMessage(s.initialList), "settings": schedulerSettings(s.exp.plan, s.number, s.exp.currentPhase())}
-	if s.exp.options.Mark == "" {
+	if s.exp.options.ProcessMark == "" {
 		c["mgmt"] = s.managementAddr
 	}
 	if s.exp.options.Agent != nil {
@@ -164,7 +164,7 @@
 func (s *scheduler) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cmd != nil || s.exp.ctx.Err() != nil || s.exp.options.Mark != "" {
+	if s.cmd != nil || s.exp.ctx.Err() != nil || s.exp.options.ProcessMark != "" {
 		return nil
 	}
 	s.incarnation.Add(1)
@@ -228,13 +228,13 @@
 	defer s.operatorCalls.Unlock()
 	for s.exp.ctx.Err() == nil && s.exp.isWithdrawn(worker) == out {
 		if !out {
-			s.exp.recordEvent(func(at float64) { s.exp.auditor.Staffed(at, s.id(), worker, false) })
+			s.exp.recordEvent(func(at float64) { s.exp.auditor.TakenOut(at, s.id(), worker, false) })
 		}
 		response, err := s.httpClient.Post("http://"+s.managementAddr+"/ops/workers/"+call, "text/plain", strings.NewReader(worker))
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode == 200 && out {
-				s.exp.recordEvent(func(at float64) { s.exp.auditor.Staffed(at, s.id(), worker, true) })
+				s.exp.recordEvent(func(at float64) { s.exp.auditor.TakenOut(at, s.id(), worker, true) })
 			}
 			if response.StatusCode == 200 {
 				return
@@ -249,7 +249,7 @@
 
 // signal sends a signal to the process and tells whether there was one to send it to.
 func (s *scheduler) signal(sig syscall.Signal) bool {
-	if s.exp.options.Mark != "" {
+	if s.exp.options.ProcessMark != "" {
 		return s.signalProcesses(sig)
 	}
 	s.mu.Lock()
--- a/lab/sim/schedulers.go
+++ b/lab/sim/schedulers.go
@@ -118,7 +118,7 @@
 	if s.decider = s.sim.newDecider(s.no, s.generation); s.decider == nil {
 		return
 	}
-	s.sim.auditor.Hears(s.sim.now, s.name, s.listVersion)
+	s.sim.auditor.ProcessStarted(s.sim.now, s.name, s.listVersion)
 	s.sim.auditListed(s.sim.now, s, s.sim.discovery.listAt(s.listVersion))
 	s.followWatch() // tells the decider how long the list may be relied on, before it gets the list
 	s.applyList(s.sim.discovery.listAt(s.listVersion), true)
@@ -160,17 +160,17 @@
 	if attempt.useTwin {
 		scheme += len(s.sim.plan.Schemes)
 	}
-	schemePlace := slices.Index(s.sim.plan.In(s.sim.phase), scheme)
+	schemePlace := slices.Index(s.sim.plan.SchemesIn(s.sim.phase), scheme)
 	if schemePlace < 0 { // the host itself answers that there is no such scheme; the decider is not told
 		s.sim.after(s.sim.net.delay(), func() { s.sim.endAttempt(attempt, load.Reversed, 0) })
 		return
 	}
 	txn := &openTxn{ref: attempt.ref, attempt: attempt, scheme: scheme, until: min(expiry, s.stopBy)}
 	s.txns[txn.ref] = txn
-	s.sim.auditor.Took(s.sim.now, s.name, txn.ref, txn.scheme, txn.until)
+	s.sim.auditor.Accepted(s.sim.now, s.name, txn.ref, txn.scheme, txn.until)
 	s.decider.Arrived(s.clock(), balance.Txn{Ref: txn.ref, Scheme: schemePlace, Tenant: attempt.job.Tenant,
 		Key: attempt.job.Key, Hint: attempt.job.Hint, Slots: float64(attempt.job.Slots), TimeLeftMs: expiry - s.sim.now,
-		Repeat: attempt.job.Tries > 0})
+		Repeat: attempt.job.Attempts > 0})
 	s.scheduleExpiry(txn)
 	s.runDecisions()
 }
@@ -198,7 +198,7 @@
 		return
 	}
 	txn.closed = true
-	s.sim.auditor.Left(s.sim.now, ref)
+	s.sim.auditor.ClientLeft(s.sim.now, ref)
 	s.decider.TxnClosed(s.clock(), ref)
 	s.forgetIfDone(txn)
 	s.runDecisions()
@@ -278,11 +278,11 @@
 		if p.job == nil || p.worker.generation != workerGen || !p.worker.up {
 			return
 		}
-		if !p.worker.model.RunsOn {
+		if !p.worker.model.IgnoresCancel {
 			p.worker.addWasted(p.job)
 			delete(s.sim.postings, p.job)
 		}
-		p.worker.model.Drop(p.worker.clock(), p.job)
+		p.worker.model.Cancel(p.worker.clock(), p.job)
 		p.worker.processNotes()
 	})
 }
@@ -579,7 +579,7 @@
 		return
 	}
 	s.alive = false
-	s.sim.auditor.Died(s.sim.now, s.name, killed)
+	s.sim.auditor.SchedulerEnded(s.sim.now, s.name, killed)
 	for _, ref := range sortedRefs(s.txns) {
 		txn := s.txns[ref]
 		attempt := txn.attempt
@@ -620,34 +620,34 @@
 }
 
 // applyFault begins or ends a fault of this scheduler.
-func (s *scheduler) applyFault(a script.Act) {
+func (s *scheduler) applyFault(a script.Action) {
 	switch {
-	case a.Do == "kill" && a.Begin, a.Do == "clock" && a.Begin:
+	case a.Fault == "kill" && a.Begin, a.Fault == "clock" && a.Begin:
 		s.endProcess(true)
-		if a.Do == "clock" {
+		if a.Fault == "clock" {
 			s.clockSkew += a.Factor
 			s.sim.after(clockRestartMs, s.startIfDead)
 		}
-	case a.Do == "clock":
+	case a.Fault == "clock":
 		s.clockSkew -= a.Factor
 		s.endProcess(true)
 		s.sim.after(clockRestartMs, s.startIfDead)
-	case a.Do == "mute" && a.Begin:
+	case a.Fault == "mute" && a.Begin:
 		if s.conn != nil && s.conn.watching {
 			s.sim.discovery.silence(s.conn)
 		}
-	case a.Do == "unwatch" && a.Begin:
+	case a.Fault == "unwatch" && a.Begin:
 		if s.conn != nil {
 			s.conn.reset = s.conn.watching
 			s.sim.discovery.endConnection(s.conn, watch.Rejected)
 		}
-	case a.Do == "move" && a.Begin:
+	case a.Fault == "move" && a.Begin:
 		s.sim.discovery.changeAddress(s)
-	case a.Do == "kill":
+	case a.Fault == "kill":
 		s.startIfDead()
-	case a.Do == "stop" && a.Begin:
+	case a.Fault == "stop" && a.Begin:
 		s.beginStop()
-	case a.Do == "stop":
+	case a.Fault == "stop":
 		// A scheduler whose stop has not ended yet starts again when it has.
 		if s.restartWhenStopped = s.alive && s.stopping; !s.restartWhenStopped {
 			s.startIfDead()
@@ -663,7 +663,7 @@
 }
 
 // resetConnections resets a random share of the connections to a worker that carry a posting, and all idle ones.
-func (sim *simulation) resetConnections(w *worker, a script.Act) {
+func (sim *simulation) resetConnections(w *worker, a script.Action) {
 	r := load.Rand(a.Seed, "reset")
 	for _, s := range sim.schedulers {
 		for _, ref := range sortedRefs(s.txns) {
--- a/lab/sim/simulation.go
+++ b/lab/sim/simulation.go
@@ -107,8 +107,8 @@
 	result     *tally.Result
 	progress   func(done float64)
 	digest     *xxhash.Digest      // of all decisions
-	rows       []balance.SchemeRow // all schemes, followed by their twins (see plan.Plan.Rows)
-	phase      plan.Phase          // which schemes the schedulers have now
+	rows       []balance.SchemeRow // all schemes, followed by their twins (see plan.Plan.AllSchemeRows)
+	phase      plan.RetunePhase    // which schemes the schedulers have now
 	useTwins   bool                // clients send to the schemes' twins
 	withdrawn  map[string]int      // by worker: maintenance periods that are on, during which staff took it out
 	err        error               // ends the run
@@ -116,21 +116,21 @@
 
 // Options select what a run records or reports beside its result.
 type Options struct {
-	Keep     string             // reference of a txn whose history goes into the result
-	Progress func(done float64) // called from time to time with the share of the plan's length played so far
-	Seconds  bool               // the result has a row for each second
+	KeepHistoryOf string             // reference of a txn whose history goes into the result
+	Progress      func(done float64) // called from time to time with the share of the plan's length played so far
+	Seconds       bool               // the result has a row for each second
 }
 
-// Play simulates a plan with a seed under the policy of a name (see policy.New). If ctx is cancelled it stops early, and
+// Run simulates a plan with a seed under the policy of a name (see policy.New). If ctx is cancelled it stops early, and
 // marks the result as partial.
-func Play(ctx context.Context, p *plan.Plan, seed uint64, name string, opt Options) (*tally.Result, error) {
+func Run(ctx context.Context, p *plan.Plan, seed uint64, name string, opt Options) (*tally.Result, error) {
 	sim := &simulation{plan: p, seed: seed, policy: name, attempts: map[int]*attempt{},
 		postings: map[*machine.Job]*posting{}, moreJobs: true, progress: opt.Progress,
-		digest: xxhash.New(), rows: p.Rows(), withdrawn: map[string]int{},
+		digest: xxhash.New(), rows: p.AllSchemeRows(), withdrawn: map[string]int{},
 		result: tally.New(p, name, "simulated", seed), stream: load.NewStream(p, seed)}
 	sim.result.Fleet = &tally.Fleet{}
-	terms := audit.Terms{Copies: p.Schedulers.Copies, MaxPosts: p.Schedulers.MaxPosts, AnswerIn: answerGraceMs,
-		Grace: float64(p.Discovery.Grace), MustAsk: mustAskMs(p), GivenUp: giveUpGraceMs, Keep: opt.Keep}
+	terms := audit.Terms{Copies: p.Schedulers.Copies, MaxPosts: p.Schedulers.MaxPosts, AnswerGraceMs: answerGraceMs,
+		DrainGraceMs: float64(p.Discovery.Grace), KnownWithoutWatchMs: mustAskMs(p), GiveUpGraceMs: giveUpGraceMs, KeepTxn: opt.KeepHistoryOf}
 	terms.Schemes = sim.rows
 	sim.auditor = audit.New(terms)
 	sim.net.init(sim)
@@ -165,24 +165,24 @@
 // build makes workers, discovery and schedulers, and schedules the faults and the first job.
 func (sim *simulation) build() {
 	p := sim.plan
-	idempotencyKeys, checkpoints := map[string]*machine.Shelf{}, map[int]*machine.Shelf{}
+	idempotencyKeys, checkpoints := map[string]*machine.SharedStore{}, map[int]*machine.SharedStore{}
 	meanWork := p.MeanWork()
-	for i, b := range p.Boxes() {
-		w := &worker{sim: sim, no: i, Box: b, model: machine.New(p.Spec(b.Group, meanWork)),
+	for i, b := range p.PlacedWorkers() {
+		w := &worker{sim: sim, no: i, PlacedWorker: b, model: machine.New(p.Spec(b.Group, meanWork)),
 			up: p.Workers[b.Group].Joins == 0, rand: load.Rand(sim.seed, "worker"+b.Name)}
 		if checkpoints[b.Cell] == nil {
-			checkpoints[b.Cell] = machine.NewShelf()
+			checkpoints[b.Cell] = machine.NewSharedStore()
 		}
-		w.model.Saves = checkpoints[b.Cell]
-		w.idempotencyKeys = map[balance.DedupGroup]*machine.Shelf{}
+		w.model.Checkpoints = checkpoints[b.Cell]
+		w.idempotencyKeys = map[balance.DedupGroup]*machine.SharedStore{}
 		for group, key := range map[balance.DedupGroup]string{balance.GroupAll: "all",
 			balance.GroupZone: fmt.Sprint("zone", b.Zone), balance.GroupCell: fmt.Sprint("cell", b.Cell)} {
 			if idempotencyKeys[key] == nil {
-				idempotencyKeys[key] = machine.NewShelf()
+				idempotencyKeys[key] = machine.NewSharedStore()
 			}
 			w.idempotencyKeys[group] = idempotencyKeys[key]
 		}
-		w.model.Change(epochMs, func() {})
+		w.model.ApplyChange(epochMs, func() {})
 		sim.workers = append(sim.workers, w)
 	}
 	sim.discovery.init(sim)
@@ -193,7 +193,7 @@
 	for _, s := range sim.schedulers {
 		s.startProcess()
 	}
-	for _, a := range script.Play(p, sim.seed) {
+	for _, a := range script.Expand(p, sim.seed) {
 		sim.at(a.At, func() { sim.applyFault(a) })
 	}
 	sim.scheduleNextJob()
@@ -205,10 +205,10 @@
 	capacity := 0.0
 	for _, w := range sim.workers {
 		if w.up {
-			capacity += w.model.Capacity(epochMs+sim.now) * w.model.Speed * w.model.Slow
+			capacity += w.model.Capacity(epochMs+sim.now) * w.model.Speed * w.model.SpeedFactor
 		}
 	}
-	sim.result.Look(sim.now, sim.openJobs, capacity)
+	sim.result.Sample(sim.now, sim.openJobs, capacity)
 	sim.after(1000, sim.sampleEachSecond)
 }
 
@@ -244,7 +244,7 @@
 	workDone, capacity := 0.0, 0.0
 	for _, w := range sim.workers {
 		w.model.Advance(epochMs + sim.now)
-		workDone += w.model.Busy() / w.model.Speed
+		workDone += w.model.WorkDone() / w.model.Speed
 		capacity += min(w.model.Cores, float64(w.model.Slots)) * sim.now
 		sim.result.Wasted += w.wastedWork / w.model.Speed
 	}
@@ -310,7 +310,7 @@
 func always() bool { return true }
 
 // applyFault begins or ends a fault.
-func (sim *simulation) applyFault(a script.Act) {
+func (sim *simulation) applyFault(a script.Action) {
 	switch a.Kind {
 	case "workers":
 		sim.workers[a.Part].applyFault(a)
@@ -330,26 +330,26 @@
 					break
 				}
 			}
-		case a.Do == "delay":
+		case a.Fault == "delay":
 			sim.net.extraDelay += signOf(a) * a.Factor
-		case a.Do == "lossy":
+		case a.Fault == "lossy":
 			sim.net.extraLoss = max(0, sim.net.extraLoss+signOf(a)*a.Factor)
 		}
 	case "settings":
-		if a.Do == "twins" {
+		if a.Fault == "twins" {
 			sim.useTwins = a.Begin
 		} else {
-			sim.enterPhase(plan.Phase(a.Part))
+			sim.enterPhase(plan.RetunePhase(a.Part))
 		}
 	case "clients":
-		if a.Do == "cancel" && a.Begin {
+		if a.Fault == "cancel" && a.Begin {
 			sim.massCancel(a)
 		}
 	}
 }
 
 // enterPhase applies the settings of a phase to all schedulers.
-func (sim *simulation) enterPhase(phase plan.Phase) {
+func (sim *simulation) enterPhase(phase plan.RetunePhase) {
 	sim.phase = phase
 	for _, s := range sim.schedulers {
 		if s.alive {
@@ -361,7 +361,7 @@
 
 // maintain begins or ends maintenance of a worker: staff take it out at all schedulers, it restarts a moment later, and at
 // the end they put it back.
-func (sim *simulation) maintain(w *worker, a script.Act) {
+func (sim *simulation) maintain(w *worker, a script.Action) {
 	if a.Begin {
 		gen := w.generation
 		sim.after(maintenanceRestartMs, func() {
@@ -374,7 +374,7 @@
 	sim.withdrawn[w.Name] = max(sim.withdrawn[w.Name]+int(signOf(a)), 0)
 	if sim.withdrawn[w.Name] == 1 && a.Begin || sim.withdrawn[w.Name] == 0 {
 		for _, s := range sim.schedulers {
-			sim.auditor.Staffed(sim.now, s.name, w.Name, a.Begin)
+			sim.auditor.TakenOut(sim.now, s.name, w.Name, a.Begin)
 			if s.alive {
 				s.applyWithdrawal(w.Name, a.Begin)
 				s.runDecisions()
@@ -384,7 +384,7 @@
 }
 
 // signOf returns 1 at the beginning of a fault and -1 at its end.
-func signOf(a script.Act) float64 {
+func signOf(a script.Action) float64 {
 	if a.Begin {
 		return 1
 	}
@@ -410,7 +410,7 @@
 			return 0, 0
 		}
 		w.model.Advance(epochMs + sim.now)
-		pace = min(w.model.Capacity(epochMs+sim.now), float64(w.model.Slots)) * w.model.Speed * w.model.Slow
+		pace = min(w.model.Capacity(epochMs+sim.now), float64(w.model.Slots)) * w.model.Speed * w.model.SpeedFactor
 		return w.model.RemainingWork() + w.approachingWork, pace
 	}
 }
